--- a/bench/failover.py
+++ b/bench/failover.py
@@ -23,7 +23,7 @@
 
 from reedhook.process.events.timeline import Event, EventKind
 from reedhook.process.groups.promotion import Promotion
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook.wire import Json
 from tests.cluster_group import NAMES, Cluster
 from tests.fakes_clock import EPOCH, run_virtual
@@ -211,7 +211,7 @@
         try:
             await cluster.write(cluster.leader(), "w", 0.5)
             acknowledged += 1
-        except Refusal:
+        except RefusalError:
             refused += 1
         await asyncio.sleep(WRITES_EVERY_S)
     stalls = await stalling
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -15,8 +15,8 @@
 from reedhook.connection.targethome import TargetHome
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.events.timeline import Timeline
-from reedhook.request.refusal import Reason, Refusal, not_run
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Group, Limits, Member
 from tests.fakes_clock import LoopClock, run_virtual
 from tests.fakes_target import FakeTarget
@@ -120,7 +120,7 @@
             async with asyncio.timeout(statement.remaining):
                 await asyncio.shield(serving)
         except TimeoutError:
-            raise not_run(Reason.DEADLINE, "The caller gave up.", 0) from None
+            raise not_run(RefusalReason.DEADLINE, "The caller gave up.", 0) from None
 
     async def serve(self, statement: Statement) -> None:
         """Run the statement when its turn comes."""
@@ -208,9 +208,17 @@
             left = work.deadline
             try:
                 await self.server.run(
-                    Statement(Kind.READ, "g1", work.name, sql, [], left, work.priority)
+                    Statement(
+                        StatementKind.READ,
+                        "g1",
+                        work.name,
+                        sql,
+                        [],
+                        left,
+                        work.priority,
+                    )
                 )
-            except Refusal as refusal:
+            except RefusalError as refusal:
                 phase.refusals[refusal.reason.value] += 1
                 await asyncio.sleep((refusal.retry_after_ms or 0) / 1000.0)
                 continue
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -18,7 +18,7 @@
 
 from reedhook.record import Record
 from reedhook.request.position import Position
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook.request.statement import Consistency, Statement
 from tests.fakes_clock import run_virtual
 from tests.fakes_request import World, read, write
@@ -146,7 +146,7 @@
             statement = self.statement(covers)
             try:
                 position = await self.send(statement)
-            except Refusal:
+            except RefusalError:
                 self.tally.failed += self.measuring
                 continue
             covers = position if covers is None else max(covers, position)
@@ -175,16 +175,16 @@
         if measured and statement.request_id is not None:
             self.tally.writes += 1
         elif measured:
-            self.count(ideal, served.answer.role == "replica")
+            self.count(ideal, served.result.role == "replica")
             self.tally.times.append(self.model.now() - began)
-        return served.answer.position
+        return served.result.position
 
     def oracle(self, statement: Statement) -> bool:
         """Say whether some replica meets the demand of a read right now."""
         for member, lag in self.model.lags.items():
             if member == self.model.primary:
                 continue
-            covers = statement.covers
+            covers = statement.min_position
             if covers is not None and self.model.applied(member) < covers:
                 continue
             if statement.max_age is None or lag <= statement.max_age:
--- a/src/reedhook/connection/call.py
+++ b/src/reedhook/connection/call.py
@@ -7,7 +7,7 @@
 
 from ..clock import Clock
 from ..request.deadline import Deadline
-from ..request.statement import Kind, Statement
+from ..request.statement import Statement, StatementKind
 from .health import Health
 from .patience import Patience
 from .stall import Stall
@@ -111,9 +111,9 @@
             self.health.heard()
         return result
 
-    def ended(self, call: Call, kind: Kind, answered: bool) -> None:
+    def ended(self, call: Call, kind: StatementKind, answered: bool) -> None:
         """Take note of how a write or commit ended, for a target that lives."""
-        if kind not in (Kind.WRITE, Kind.COMMIT):
+        if kind not in (StatementKind.WRITE, StatementKind.COMMIT):
             return
         if answered:
             self.stall.answered()
@@ -174,17 +174,17 @@
     """Send the statement by the method of its kind."""
     kind = statement.kind
     timeout = max(deadline.remaining(), SHORTEST_TIMEOUT)
-    if kind is Kind.READ:
+    if kind is StatementKind.READ:
         return await connection.read(statement.sql, statement.params, timeout)
-    if kind is Kind.WRITE:
+    if kind is StatementKind.WRITE:
         return await connection.write(
             statement.sql, statement.params, statement.request_id, timeout
         )
-    if kind is Kind.STEP:
+    if kind is StatementKind.STEP:
         return await connection.step(statement.sql, statement.params, timeout)
-    if kind is Kind.BEGIN:
+    if kind is StatementKind.BEGIN:
         return await connection.begin(statement.request_id, timeout)
-    if kind is Kind.COMMIT:
+    if kind is StatementKind.COMMIT:
         return await connection.commit(timeout)
     await connection.rollback(timeout)
     return None
--- a/src/reedhook/connection/home.py
+++ b/src/reedhook/connection/home.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 from ..record import Record
-from ..request.refusal import Refusal
+from ..request.refusal import RefusalError
 from ..request.statement import Statement
 from ..version.catalog import Group, Limits, Member
 from .target import MemberState, TargetResult
@@ -72,7 +72,7 @@
         """Say whether a transaction is open here."""
 
     @abstractmethod
-    def unknown(self, statement: Statement) -> Refusal:
+    def unknown(self, statement: Statement) -> RefusalError:
         """Return the refusal of a statement whose transaction is not open here.
 
         It is ``transaction_lost`` if this home ended the transaction.
--- a/src/reedhook/connection/homerefusals.py
+++ b/src/reedhook/connection/homerefusals.py
@@ -2,43 +2,50 @@
 
 from typing import Final
 
-from ..request.refusal import Reason, Refusal, may_have_run, not_run
+from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 
 RETRY_MS: Final = 50
 """When to come back after a connection was lost, in milliseconds."""
 
 
-def closed() -> Refusal:
+def closed() -> RefusalError:
     """Return the refusal of a statement that waited at a home which is closed."""
-    return not_run(Reason.TARGET_UNREACHABLE, "the home was closed", RETRY_MS)
+    return not_run(RefusalReason.TARGET_UNREACHABLE, "the home was closed", RETRY_MS)
 
 
-def stalled(target: str) -> Refusal:
+def stalled(target: str) -> RefusalError:
     """Return the refusal of a statement that would wait for a silent target."""
     return not_run(
-        Reason.TARGET_UNREACHABLE, f"the target {target} answers nothing", RETRY_MS
+        RefusalReason.TARGET_UNREACHABLE,
+        f"the target {target} answers nothing",
+        RETRY_MS,
     )
 
 
-def silent(target: str) -> Refusal:
+def silent(target: str) -> RefusalError:
     """Return the refusal of a write or commit that was sent and not answered."""
     return may_have_run(
-        Reason.TARGET_UNREACHABLE, f"the target {target} was asked and gave no answer"
+        RefusalReason.TARGET_UNREACHABLE,
+        f"the target {target} was asked and gave no answer",
     )
 
 
-def unanswered(target: str) -> Refusal:
+def unanswered(target: str) -> RefusalError:
     """Return the refusal of a read that was sent and not answered.
 
     It has no effect, so that nothing of it is kept.
     """
     return not_run(
-        Reason.TARGET_LOST, f"the target {target} gave no answer to a read", RETRY_MS
+        RefusalReason.TARGET_LOST,
+        f"the target {target} gave no answer to a read",
+        RETRY_MS,
     )
 
 
-def lost_transaction() -> Refusal:
+def lost_transaction() -> RefusalError:
     """Return the refusal of a statement whose transaction lost its connection."""
     return not_run(
-        Reason.TRANSACTION_LOST, "the connection of the transaction was lost", RETRY_MS
+        RefusalReason.TRANSACTION_LOST,
+        "the connection of the transaction was lost",
+        RETRY_MS,
     )
--- a/src/reedhook/connection/lanes.py
+++ b/src/reedhook/connection/lanes.py
@@ -7,7 +7,7 @@
 
 from ..clock import Clock
 from ..request.position import Position
-from ..request.refusal import Reason, Refusal, not_run
+from ..request.refusal import RefusalError, RefusalReason, not_run
 from ..version.registry import TargetEntry
 from .lane import Lane, Waiter, distance, granted
 from .member import (
@@ -155,10 +155,10 @@
         """Return after how many seconds a statement would get a connection."""
         return (len(self.waiting) + 1) * self.lent_for / max(self.limit, 1)
 
-    def overloaded(self, detail: str) -> Refusal:
+    def overloaded(self, detail: str) -> RefusalError:
         """Return the refusal of a statement that gets no connection."""
         return not_run(
-            Reason.OVERLOADED,
+            RefusalReason.OVERLOADED,
             f"{detail} at {self.entry.target}",
             max(RETRY_MS, int(self.expected_wait() * 1000.0)),
         )
--- a/src/reedhook/connection/memberhome.py
+++ b/src/reedhook/connection/memberhome.py
@@ -6,8 +6,8 @@
 from ..clock import Clock
 from ..decisions import Decisions
 from ..request.position import Position
-from ..request.refusal import Reason, Refusal, not_run
-from ..request.work import Begin, Work, WorkKind
+from ..request.refusal import RefusalError, RefusalReason, not_run
+from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
 from ..version.registry import TargetEntry
 from .homerefusals import (
     RETRY_MS,
@@ -92,13 +92,13 @@
         self.running_since = float("-inf")
         self.answered_at = float("-inf")
 
-    async def run(self, work: Work) -> MemberReply:
+    async def run(self, work: SessionStatement) -> MemberReply:
         """Run a statement alone or in its transaction.
 
         :raises Refusal: with a verdict that holds.
         """
         now = self.clock.monotonic()
-        deadline = now + work.left
+        deadline = now + work.remaining
         demand = self.demand(work, now)
         if not demand.inside and self.stalled():
             raise stalled(self.entry.target)
@@ -123,38 +123,42 @@
         patience = max(STALLED, self.turns.longest())
         return self.clock.monotonic() - since > patience
 
-    def demand(self, work: Work, now: float) -> Demand:
+    def demand(self, work: SessionStatement, now: float) -> Demand:
         """Return what a statement needs of the target.
 
         One that is to get a connection is refused while its caller still has the
         time for another try.
         """
         inside = work.transaction in self.transactions
-        longest = work.left if inside else max(work.due, LONGEST_QUEUE)
+        longest = (
+            work.remaining if inside else max(work.soft_deadline_seconds, LONGEST_QUEUE)
+        )
         return Demand(
             work.database,
             work.priority,
-            now + work.due,
-            now + min(work.left, longest),
+            now + work.soft_deadline_seconds,
+            now + min(work.remaining, longest),
             inside,
-            work.patience,
+            work.wait_limit_seconds,
         )
 
-    async def run_in_turn(self, work: Work, deadline: float) -> MemberReply:
+    async def run_in_turn(self, work: SessionStatement, deadline: float) -> MemberReply:
         """Run a statement whose turn it is; raises as `run`."""
         if not self.running:
             self.running_since = self.clock.monotonic()
         self.running += 1
         try:
             return await self.run_at_target(work, deadline)
-        except Refusal:
+        except RefusalError:
             if self.stalled():
                 self.turns.refuse_waiting(stalled(self.entry.target))
             raise
         finally:
             self.running -= 1
 
-    async def run_at_target(self, work: Work, deadline: float) -> MemberReply:
+    async def run_at_target(
+        self, work: SessionStatement, deadline: float
+    ) -> MemberReply:
         """Run a statement alone or in its transaction; raises as `run`."""
         if not work.transaction:
             return await self.run_single(work, deadline)
@@ -166,11 +170,11 @@
             transaction = begun
         if transaction.workspace != work.workspace:
             raise not_run(
-                Reason.TRANSACTION_LOST, "the transaction is another workspace's"
+                RefusalReason.TRANSACTION_LOST, "the transaction is another workspace's"
             )
         return await self.step(transaction, work, deadline)
 
-    async def run_single(self, work: Work, deadline: float) -> MemberReply:
+    async def run_single(self, work: SessionStatement, deadline: float) -> MemberReply:
         """Run a statement outside transactions.
 
         A read that stays unanswered is sent once more on a new connection.
@@ -179,7 +183,7 @@
         while True:
             lane = await self.ready_lane(work, deadline)
             left = deadline - self.clock.monotonic()
-            is_read = work.kind is WorkKind.READ
+            is_read = work.kind is SessionStatementKind.READ
             patience = min(left, FIRST_PATIENCE) if is_read and first else left
             try:
                 reply = await self.exchange(lane, work, patience)
@@ -200,7 +204,7 @@
             self.lanes.release(lane, reply)
             return reply
 
-    async def ready_lane(self, work: Work, deadline: float) -> Lane:
+    async def ready_lane(self, work: SessionStatement, deadline: float) -> Lane:
         """Return a connection in the state of the statement's session.
 
         :raises Refusal: not run.
@@ -209,7 +213,7 @@
         return lane
 
     async def prepared(
-        self, work: Work, deadline: float, last: Query | None
+        self, work: SessionStatement, deadline: float, last: Query | None
     ) -> tuple[Lane, MemberReply | None]:
         """Return a connection in the session's state, and the answer to `last`.
 
@@ -223,7 +227,9 @@
                 self.decisions.note(
                     "target_unreachable", target=self.entry.target, error=str(error)
                 )
-                raise not_run(Reason.TARGET_UNREACHABLE, str(error), RETRY_MS) from None
+                raise not_run(
+                    RefusalReason.TARGET_UNREACHABLE, str(error), RETRY_MS
+                ) from None
             try:
                 self.permit()
                 reply = await self.lanes.prepare(
@@ -237,19 +243,21 @@
                 self.lanes.discard(lane)
                 raise
         raise not_run(
-            Reason.TARGET_UNREACHABLE,
+            RefusalReason.TARGET_UNREACHABLE,
             f"the target {self.entry.target} gives no answer",
             RETRY_MS,
         )
 
-    def silence(self, work: Work, error: MemberSilent) -> None:
+    def silence(self, work: SessionStatement, error: MemberSilent) -> None:
         """Take note that a connection went silent or broke."""
         self.decisions.note(
             "connection_lost", id=work.id, target=self.entry.target, error=str(error)
         )
         self.lanes.drop_idle()
 
-    async def exchange(self, lane: Lane, work: Work, timeout: float) -> MemberReply:
+    async def exchange(
+        self, lane: Lane, work: SessionStatement, timeout: float
+    ) -> MemberReply:
         """Send the statement itself.
 
         :raises Refusal: not run, if the target may not be used any more.
@@ -258,14 +266,14 @@
         self.permit()
         asked = self.clock.elapsed()
         sent = self.clock.monotonic()
-        after = None if work.transaction else work.after
+        after = None if work.transaction else work.min_position
         query = Query(work.id, work.text, after)
         (reply,) = await lane.connection.exchange([query], timeout)
         if reply.fault is Fault.NONE:
             self.turns.learn(work.database, self.clock.monotonic() - sent)
         # Inside a transaction the position may be that of its snapshot, which
         # proves nothing about what was acknowledged since.
-        outside = not work.transaction or work.kind is WorkKind.COMMIT
+        outside = not work.transaction or work.kind is SessionStatementKind.COMMIT
         self.answered(reply, asked if outside else None)
         return reply
 
@@ -278,20 +286,24 @@
         if reply.position is not None and asked is not None:
             self.seen(reply.position, asked)
 
-    async def begin(self, work: Work, deadline: float) -> Transaction | MemberReply:
+    async def begin(
+        self, work: SessionStatement, deadline: float
+    ) -> Transaction | MemberReply:
         """Open a transaction for its first statement.
 
         :returns: the target's answer if it refuses to begin.
         :raises Refusal: not run.
         """
-        if work.begin is Begin.NONE:
+        if work.begin is TransactionMode.NONE:
             raise not_run(
-                Reason.TRANSACTION_LOST,
+                RefusalReason.TRANSACTION_LOST,
                 "the transaction is not open at its target any more",
                 RETRY_MS,
             )
-        text = self.phrases.begin(work.begin is Begin.READ)
-        lane, reply = await self.prepared(work, deadline, Query("", text, work.after))
+        text = self.phrases.begin(work.begin is TransactionMode.READ)
+        lane, reply = await self.prepared(
+            work, deadline, Query("", text, work.min_position)
+        )
         assert reply is not None
         self.answered(reply, None)
         if reply.fault is not Fault.NONE:
@@ -302,12 +314,13 @@
         return transaction
 
     async def step(
-        self, transaction: Transaction, work: Work, deadline: float
+        self, transaction: Transaction, work: SessionStatement, deadline: float
     ) -> MemberReply:
         """Run a statement of an open transaction, or its commit."""
         if transaction.busy:
             raise not_run(
-                Reason.CONFLICT, "another statement of the transaction is in progress"
+                RefusalReason.CONFLICT,
+                "another statement of the transaction is in progress",
             )
         transaction.busy = True
         if transaction.timer is not None:
@@ -321,7 +334,7 @@
         except MemberSilent as error:
             self.transactions.drop(transaction)
             self.silence(work, error)
-            if work.kind is WorkKind.COMMIT:
+            if work.kind is SessionStatementKind.COMMIT:
                 raise silent(self.entry.target) from error
             raise lost_transaction() from error
         except BaseException:
@@ -330,7 +343,9 @@
         self.transactions.after_step(transaction, work, reply)
         return reply
 
-    async def patient(self, lane: Lane, work: Work, deadline: float) -> MemberReply:
+    async def patient(
+        self, lane: Lane, work: SessionStatement, deadline: float
+    ) -> MemberReply:
         """Send a statement of a transaction, again while the queue is full.
 
         Refused, it would cost the caller the whole transaction.
--- a/src/reedhook/connection/opentransactions.py
+++ b/src/reedhook/connection/opentransactions.py
@@ -5,7 +5,7 @@
 
 from ..background import Background
 from ..decisions import Decisions
-from ..request.work import Work, WorkKind
+from ..request.work import SessionStatement, SessionStatementKind
 from .lane import Lane
 from .lanes import Lanes
 from .member import MemberReply, MemberSilent, Phrases, Query
@@ -75,7 +75,7 @@
         return self.by_name.get(name)
 
     def after_step(
-        self, transaction: Transaction, work: Work, reply: MemberReply
+        self, transaction: Transaction, work: SessionStatement, reply: MemberReply
     ) -> None:
         """Let the transaction rest, or end it.
 
@@ -86,7 +86,10 @@
             self.forget(transaction)
             self.lanes.give_back(transaction.lane)
             return
-        if work.kind is WorkKind.COMMIT or reply.state is SessionState.FAILED:
+        if (
+            work.kind is SessionStatementKind.COMMIT
+            or reply.state is SessionState.FAILED
+        ):
             self.roll_back(transaction)
             return
         loop = asyncio.get_running_loop()
--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -9,13 +9,13 @@
 from ..metrics import Metrics
 from ..process.announced.announcements import Announcements
 from ..record import Record
-from ..request.authorization import Authorization
-from ..request.command import Command, CommandKind
-from ..request.hop import Place
+from ..request.authorization import Authorizer
+from ..request.command import SessionCommand, SessionCommandKind
+from ..request.hop import StatementLocation
 from ..request.position import Position
-from ..request.refusal import Reason, Refusal, not_run
-from ..request.steering import Steering
-from ..request.work import Begin, Work, WorkKind
+from ..request.refusal import RefusalError, RefusalReason, not_run
+from ..request.steering import SessionRouter
+from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
 from ..version.registry import Route
 from ..version.workspace import shown
 from .lanes import PREPARED, VALUE
@@ -57,7 +57,7 @@
         signature: str = "",
         fault: Fault = Fault.NONE,
         detail: str = "",
-        refusal: Refusal | None = None,
+        refusal: RefusalError | None = None,
         position: Position | None = None,
         ends: bool = False,
     ) -> None:
@@ -88,7 +88,7 @@
         self.name = name
         self.reads_only = reads_only
         self.workspace: str | None = None
-        self.place: Place | None = None
+        self.place: StatementLocation | None = None
         self.spent = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
@@ -107,9 +107,9 @@
         name: str,
         database: str,
         digest: str,
-        steering: Steering,
+        steering: SessionRouter,
         announcements: Announcements,
-        authorization: Authorization,
+        authorization: Authorizer,
         clock: Clock,
         decisions: Decisions,
         metrics: Metrics,
@@ -135,14 +135,14 @@
         self.committing = False
         self.background = Background(decisions, session=name)
 
-    async def run(self, id: str, command: Command) -> SessionReply:
+    async def run(self, id: str, command: SessionCommand) -> SessionReply:
         """Answer one statement."""
         self.busy = True
-        self.committing = command.kind is CommandKind.COMMIT
+        self.committing = command.kind is SessionCommandKind.COMMIT
         started = self.clock.monotonic()
         try:
             reply = await self.answer(id, command)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             reply = self.refused(refusal)
         finally:
             self.busy = False
@@ -151,7 +151,7 @@
         return reply
 
     def account(
-        self, id: str, command: Command, reply: SessionReply, seconds: float
+        self, id: str, command: SessionCommand, reply: SessionReply, seconds: float
     ) -> None:
         """Count the statement, and log it if it failed or was slow."""
         kind = command.kind.value
@@ -168,7 +168,7 @@
             self.metrics.increment(f"failed.{failure}")
         record = None
         if self.route is not None:
-            record = self.steering.book.get(self.route.service)
+            record = self.steering.lease_registry.get(self.route.service)
         self.decisions.note(
             "failed" if failure else "slow",
             id=id,
@@ -186,7 +186,7 @@
             lead_revision=None if record is None else record.revision,
         )
 
-    async def answer(self, id: str, command: Command) -> SessionReply:
+    async def answer(self, id: str, command: SessionCommand) -> SessionReply:
         """Answer a statement by its kind.
 
         :raises Refusal: if it fails on the way.
@@ -196,27 +196,27 @@
             return await self.answer_failed(kind)
         if kind in LOCAL:
             return self.answer_local(command)
-        if kind is CommandKind.ROLLBACK:
+        if kind is SessionCommandKind.ROLLBACK:
             return self.roll_back()
-        if kind is CommandKind.BEGIN or kind is CommandKind.BEGIN_READ:
+        if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             return self.begin(kind)
         return await self.answer_at_target(id, command)
 
-    async def answer_failed(self, kind: CommandKind) -> SessionReply:
+    async def answer_failed(self, kind: SessionCommandKind) -> SessionReply:
         """Answer in a transaction that can only be ended."""
-        if kind is CommandKind.ROLLBACK:
+        if kind is SessionCommandKind.ROLLBACK:
             return self.roll_back()
-        if kind is CommandKind.COMMIT:
+        if kind is SessionCommandKind.COMMIT:
             self.end_transaction()
-            raise not_run(Reason.TRANSACTION_LOST, "the transaction had failed")
+            raise not_run(RefusalReason.TRANSACTION_LOST, "the transaction had failed")
         raise malformed("the transaction has failed; only its end is accepted")
 
-    def answer_local(self, command: Command) -> SessionReply:
+    def answer_local(self, command: SessionCommand) -> SessionReply:
         """Keep a value or a prepared statement until a target needs it."""
         kind, name = command.kind, command.name
-        if kind is CommandKind.SET:
+        if kind is SessionCommandKind.SET:
             self.settings = {**self.settings, f"{VALUE} {name}": command.text}
-        elif kind is CommandKind.PREPARE:
+        elif kind is SessionCommandKind.PREPARE:
             self.settings = {**self.settings, f"{PREPARED} {name}": command.text}
             self.writes[name] = command.writes
         elif name in self.writes:
@@ -224,17 +224,17 @@
             del self.settings[f"{PREPARED} {name}"]
             del self.writes[name]
         else:
-            raise not_run(Reason.UNKNOWN_NAME, f"nothing is prepared as {name}")
+            raise not_run(RefusalReason.UNKNOWN_NAME, f"nothing is prepared as {name}")
         return SessionReply(self.state)
 
-    def begin(self, kind: CommandKind) -> SessionReply:
+    def begin(self, kind: SessionCommandKind) -> SessionReply:
         """Note that a transaction begins; see `OpenTransaction`."""
         if self.state is not SessionState.IDLE:
             raise malformed("a transaction is open already")
         self.renew_route()
         self.begun += 1
         self.transaction = OpenTransaction(
-            f"{self.name}.{self.begun}", kind is CommandKind.BEGIN_READ
+            f"{self.name}.{self.begun}", kind is SessionCommandKind.BEGIN_READ
         )
         self.state = SessionState.OPEN
         return SessionReply(self.state)
@@ -256,7 +256,7 @@
             raise no_database(self.database)
         return self.route
 
-    async def answer_at_target(self, id: str, command: Command) -> SessionReply:
+    async def answer_at_target(self, id: str, command: SessionCommand) -> SessionReply:
         """Run a read, a write or a commit at a target.
 
         :raises Refusal: with a verdict that holds.
@@ -264,7 +264,7 @@
         kind = self.work_kind(command)
         transaction = self.transaction
         if transaction is None:
-            if kind is WorkKind.COMMIT:
+            if kind is SessionStatementKind.COMMIT:
                 raise malformed("no transaction is open")
             self.authorize(self.renew_route())
             return await self.run_single(id, command, kind)
@@ -278,7 +278,7 @@
 
         :raises Refusal: not run; see `Authorization.workspace`.
         """
-        found = self.authorization.workspace(route, self.digest)
+        found = self.authorization.authorize_statement(route, self.digest)
         self.workspace = "" if found is None else found.name
 
     def is_denied(self) -> bool:
@@ -298,48 +298,50 @@
             transaction.workspace = self.workspace
         if transaction.workspace != self.workspace:
             raise not_run(
-                Reason.TRANSACTION_LOST,
+                RefusalReason.TRANSACTION_LOST,
                 "the key belongs to another workspace now",
                 RETRY_MS,
             )
 
-    def work_kind(self, command: Command) -> WorkKind:
+    def work_kind(self, command: SessionCommand) -> SessionStatementKind:
         """Return what the command does at a target.
 
         :raises Refusal: if that is unknown.
         """
-        if command.kind is CommandKind.READ:
-            return WorkKind.READ
-        if command.kind is CommandKind.WRITE:
-            return WorkKind.WRITE
-        if command.kind is CommandKind.COMMIT:
-            return WorkKind.COMMIT
-        if command.kind is not CommandKind.EXECUTE:
+        if command.kind is SessionCommandKind.READ:
+            return SessionStatementKind.READ
+        if command.kind is SessionCommandKind.WRITE:
+            return SessionStatementKind.WRITE
+        if command.kind is SessionCommandKind.COMMIT:
+            return SessionStatementKind.COMMIT
+        if command.kind is not SessionCommandKind.EXECUTE:
             raise malformed("the statement is not known")
         writes = self.writes.get(command.name)
         if writes is None:
-            raise not_run(Reason.UNKNOWN_NAME, f"nothing is prepared as {command.name}")
-        return WorkKind.WRITE if writes else WorkKind.READ
+            raise not_run(
+                RefusalReason.UNKNOWN_NAME, f"nothing is prepared as {command.name}"
+            )
+        return SessionStatementKind.WRITE if writes else SessionStatementKind.READ
 
     async def run_single(
-        self, id: str, command: Command, kind: WorkKind
+        self, id: str, command: SessionCommand, kind: SessionStatementKind
     ) -> SessionReply:
         """Run a statement outside transactions."""
         assert self.route is not None
         route = self.route
         work = self.work(id, command, kind, route)
-        is_read = kind is WorkKind.READ
+        is_read = kind is SessionStatementKind.READ
         placed = await self.steering.run(route, work, self.committed, is_read)
-        reply = placed.answer.reply
-        if kind is WorkKind.WRITE and reply.fault is Fault.NONE:
+        reply = placed.result.reply
+        if kind is SessionStatementKind.WRITE and reply.fault is Fault.NONE:
             self.has_committed(reply)
         return self.replied(reply)
 
     async def run_step(
         self,
         id: str,
-        command: Command,
-        kind: WorkKind,
+        command: SessionCommand,
+        kind: SessionStatementKind,
         transaction: OpenTransaction,
     ) -> SessionReply:
         """Run a statement of the transaction, or its commit."""
@@ -348,30 +350,37 @@
         work.transaction = transaction.name
         if transaction.timer is not None:
             transaction.timer.cancel()
-        work.due -= transaction.spent
+        work.soft_deadline_seconds -= transaction.spent
         begun = self.clock.monotonic()
         if transaction.place is None:
-            work.begin = Begin.READ if transaction.reads_only else Begin.WRITE
+            work.begin = (
+                TransactionMode.READ
+                if transaction.reads_only
+                else TransactionMode.WRITE
+            )
             placed = await self.steering.run(
                 self.route, work, self.committed, transaction.reads_only
             )
-            transaction.place = placed.place
-            reply = placed.answer.reply
+            transaction.place = placed.location
+            reply = placed.result.reply
         else:
             work.target = transaction.place.target
-            answer = await self.steering.hops.run_at(transaction.place, work)
-            self.steering.learn(self.route.service, answer)
+            answer = await self.steering.forwarder.run_at(transaction.place, work)
+            self.steering.record_proof(self.route.service, answer)
             reply = answer.reply
         transaction.spent += self.clock.monotonic() - begun
-        if reply.fault is not Fault.NONE or kind is WorkKind.COMMIT:
+        if reply.fault is not Fault.NONE or kind is SessionStatementKind.COMMIT:
             return self.ended(kind, transaction, reply)
         return self.replied(reply)
 
     def ended(
-        self, kind: WorkKind, transaction: OpenTransaction, reply: MemberReply
+        self,
+        kind: SessionStatementKind,
+        transaction: OpenTransaction,
+        reply: MemberReply,
     ) -> SessionReply:
         """Take note of a commit, or of an error in a transaction."""
-        if kind is WorkKind.COMMIT:
+        if kind is SessionStatementKind.COMMIT:
             if reply.fault is Fault.NONE:
                 self.has_committed(reply)
             self.end_transaction()
@@ -380,21 +389,23 @@
         self.state = SessionState.FAILED
         return self.replied(reply)
 
-    def work(self, id: str, command: Command, kind: WorkKind, route: Route) -> Work:
+    def work(
+        self, id: str, command: SessionCommand, kind: SessionStatementKind, route: Route
+    ) -> SessionStatement:
         """Return the statement for its way to a target."""
-        return Work(
+        return SessionStatement(
             service=route.service,
             target="",
             session=self.name,
             settings=self.settings,
             transaction="",
-            begin=Begin.NONE,
-            after=None,
+            begin=TransactionMode.NONE,
+            min_position=None,
             kind=kind,
             id=id,
             text=command.text,
-            left=route.timeout,
-            due=route.objective,
+            remaining=route.timeout,
+            soft_deadline_seconds=route.objective,
             database=route.database,
             priority=route.priority,
             workspace=self.workspace,
@@ -417,9 +428,12 @@
             reply.position,
         )
 
-    def refused(self, refusal: Refusal) -> SessionReply:
+    def refused(self, refusal: RefusalError) -> SessionReply:
         """Return a refusal as the session's answer."""
-        ends = refusal.reason in (Reason.UNKNOWN_GROUP, Reason.UNAUTHENTICATED)
+        ends = refusal.reason in (
+            RefusalReason.UNKNOWN_GROUP,
+            RefusalReason.UNAUTHENTICATED,
+        )
         if self.state is SessionState.OPEN and not self.committing:
             self.end_transaction()
             self.state = SessionState.FAILED
@@ -437,7 +451,7 @@
             transaction.timer.cancel()
         if transaction.place is None or self.route is None:
             return
-        work = self.steering.hops.end(
+        work = self.steering.forwarder.roll_back(
             self.route.service, transaction.place, transaction.name
         )
         self.background.spawn(work)
@@ -466,15 +480,17 @@
         self.end_transaction()
 
 
-LOCAL: Final = frozenset({CommandKind.SET, CommandKind.PREPARE, CommandKind.DEALLOCATE})
+LOCAL: Final = frozenset(
+    {SessionCommandKind.SET, SessionCommandKind.PREPARE, SessionCommandKind.DEALLOCATE}
+)
 """Commands that no target needs to see before a statement depends on them."""
 
 
-def malformed(detail: str) -> Refusal:
+def malformed(detail: str) -> RefusalError:
     """Return the refusal of a statement that makes no sense here."""
-    return not_run(Reason.BAD_REQUEST, detail)
+    return not_run(RefusalReason.BAD_REQUEST, detail)
 
 
-def no_database(database: str) -> Refusal:
+def no_database(database: str) -> RefusalError:
     """Return the refusal of a database that no route names."""
-    return not_run(Reason.UNKNOWN_GROUP, f"there is no database {database}")
+    return not_run(RefusalReason.UNKNOWN_GROUP, f"there is no database {database}")
--- a/src/reedhook/connection/single.py
+++ b/src/reedhook/connection/single.py
@@ -2,8 +2,8 @@
 
 from ..request.deadline import Deadline
 from ..request.queue import SlotQueue
-from ..request.refusal import Refusal
-from ..request.statement import Kind, Statement
+from ..request.refusal import RefusalError
+from ..request.statement import Statement, StatementKind
 from .call import Attempt
 from .sender import Sender
 from .target import TargetResult, TargetSilent, TargetUnreachable
@@ -27,13 +27,13 @@
         caller = statement.caller
         priority = statement.priority
         remaining = statement.remaining
-        slot = self.slots.try_enter(caller, priority, remaining)
+        slot = self.slots.try_acquire(caller, priority, remaining)
         if slot is None:
-            slot = await self.slots.wait_turn(caller, priority, remaining)
+            slot = await self.slots.wait_for_slot(caller, priority, remaining)
         try:
             return await self.run_in_slot(statement, deadline)
         finally:
-            self.slots.leave(slot)
+            self.slots.release(slot)
 
     async def run_in_slot(
         self, statement: Statement, deadline: Deadline
@@ -43,7 +43,7 @@
         A read has no effect and a request id makes a write idempotent, so
         both may be repeated.
         """
-        read = statement.kind is Kind.READ
+        read = statement.kind is StatementKind.READ
         repeatable = read or statement.request_id is not None
         attempt = Attempt.FIRST_OF_TWO if repeatable else Attempt.ONLY
         try:
@@ -58,7 +58,7 @@
             return await self.send(statement, deadline, Attempt.SECOND)
         except TargetSilent as error:
             raise lost(statement, deadline, error) from error
-        except Refusal as error:
+        except RefusalError as error:
             if read:
                 raise
             # The first attempt may have taken effect whatever became of the
@@ -97,7 +97,7 @@
         try:
             result = await sender.send(connection, statement, deadline, attempt)
             in_order = True
-        except Refusal:
+        except RefusalError:
             in_order = True
             raise
         finally:
--- a/src/reedhook/connection/targethome.py
+++ b/src/reedhook/connection/targethome.py
@@ -12,8 +12,8 @@
 from ..request.deadline import Deadline
 from ..request.position import ORIGIN
 from ..request.queue import SlotQueue
-from ..request.refusal import Refusal
-from ..request.statement import Kind, Statement
+from ..request.refusal import RefusalError
+from ..request.statement import Statement, StatementKind
 from ..version.catalog import Group, Limits, Member
 from .budget import Budget
 from .call import Calls
@@ -151,7 +151,7 @@
     def holds(self, transaction: str) -> bool:
         return transaction in self.transactions.registry.open
 
-    def unknown(self, statement: Statement) -> Refusal:
+    def unknown(self, statement: Statement) -> RefusalError:
         return self.transactions.registry.unknown(statement)
 
     async def wait_change(self, revision: int, timeout: float) -> None:
@@ -208,10 +208,10 @@
         """Run a statement by the way of its kind."""
         deadline = Deadline(self.clock, statement.remaining)
         kind = statement.kind
-        if kind is Kind.READ or kind is Kind.WRITE:
+        if kind is StatementKind.READ or kind is StatementKind.WRITE:
             self.check_new_work()
             return await self.single.run(statement, deadline)
-        if kind is Kind.BEGIN:
+        if kind is StatementKind.BEGIN:
             self.check_new_work()
             return await self.transactions.begin(statement, deadline)
         result = await self.transactions.run(statement, deadline)
--- a/src/reedhook/connection/transaction.py
+++ b/src/reedhook/connection/transaction.py
@@ -6,9 +6,9 @@
 from ..record import Record
 from ..request.deadline import Deadline
 from ..request.queue import SlotQueue
-from ..request.refusal import Reason, Refusal, may_have_run, not_run
-from ..request.share import Entry
-from ..request.statement import Kind, Statement
+from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
+from ..request.share import QueueEntry
+from ..request.statement import Statement, StatementKind
 from ..request.verdict import Verdict
 from .call import Attempt
 from .sender import Sender
@@ -32,11 +32,11 @@
 
 FATAL: Final = frozenset(
     {
-        Reason.NO_PRIMARY,
-        Reason.SUPERSEDED,
-        Reason.TRANSACTION_LOST,
-        Reason.REQUEST_EXPIRED,
-        Reason.REQUEST_REUSED,
+        RefusalReason.NO_PRIMARY,
+        RefusalReason.SUPERSEDED,
+        RefusalReason.TRANSACTION_LOST,
+        RefusalReason.REQUEST_EXPIRED,
+        RefusalReason.REQUEST_REUSED,
     }
 )
 """Reasons after which the target holds no open transaction."""
@@ -61,7 +61,7 @@
     )
 
     def __init__(
-        self, name: str, caller: str, connection: TargetConnection, permit: Entry
+        self, name: str, caller: str, connection: TargetConnection, permit: QueueEntry
     ) -> None:
         self.name = name
         self.caller = caller
@@ -107,7 +107,7 @@
             raise self.unknown(statement)
         if transaction.running:
             detail = "Another statement of this transaction is in progress."
-            raise not_run(Reason.CONFLICT, detail)
+            raise not_run(RefusalReason.CONFLICT, detail)
         transaction.stop_timer()
         transaction.running = True
         return transaction
@@ -126,15 +126,15 @@
             del self.endings[next(iter(self.endings))]
         self.endings[transaction.name] = Ending(ending, transaction.committing)
 
-    def unknown(self, statement: Statement) -> Refusal:
+    def unknown(self, statement: Statement) -> RefusalError:
         """Return the refusal of a statement whose transaction is not open."""
         ending = self.endings.get(statement.transaction or "")
         if ending is None:
             detail = "No such transaction is open here."
-            return not_run(Reason.UNKNOWN_TRANSACTION, detail)
-        if ending.in_doubt and statement.kind is Kind.COMMIT:
-            return may_have_run(Reason.TRANSACTION_LOST, ending.detail)
-        return not_run(Reason.TRANSACTION_LOST, ending.detail)
+            return not_run(RefusalReason.UNKNOWN_TRANSACTION, detail)
+        if ending.in_doubt and statement.kind is StatementKind.COMMIT:
+            return may_have_run(RefusalReason.TRANSACTION_LOST, ending.detail)
+        return not_run(RefusalReason.TRANSACTION_LOST, ending.detail)
 
 
 class TransactionStatements:
@@ -170,10 +170,12 @@
         """
         name = statement.transaction
         if not name or name in self.registry.open:
-            raise not_run(Reason.BAD_REQUEST, "A transaction needs an id of its own.")
+            raise not_run(
+                RefusalReason.BAD_REQUEST, "A transaction needs an id of its own."
+            )
         if self.most == 0:
             raise full()
-        permit = await self.permits.enter(
+        permit = await self.permits.acquire(
             statement.caller, statement.priority, statement.remaining
         )
         connection: TargetConnection | None = None
@@ -190,7 +192,7 @@
             raise
         assert result is not None
         if result.repeated:
-            self.permits.leave(permit)
+            self.permits.release(permit)
             self.sender.pool.give_back(connection)
             return result
         transaction = Transaction(name, statement.caller, connection, permit)
@@ -211,23 +213,23 @@
         try:
             if self.sender.health.unreachable_since is not None:
                 raise unreachable()
-            transaction.committing = statement.kind is Kind.COMMIT
+            transaction.committing = statement.kind is StatementKind.COMMIT
             result = await self.send_in_slot(
                 transaction.connection, statement, deadline
             )
-            goes_on = statement.kind is Kind.STEP
+            goes_on = statement.kind is StatementKind.STEP
             ending = None
             return result
         except TargetSilent as error:
             raise lost(statement, deadline, error) from error
         except TargetUnreachable as error:
             transaction.committing = False
-            raise not_run(Reason.TRANSACTION_LOST, LOST) from error
-        except Refusal as refusal:
+            raise not_run(RefusalReason.TRANSACTION_LOST, LOST) from error
+        except RefusalError as refusal:
             transaction.committing = refusal.verdict is Verdict.MAY_HAVE_RUN
             goes_on = refusal.reason not in FATAL and not (
-                statement.kind is Kind.COMMIT
-                and refusal.reason is Reason.STATEMENT_FAILED
+                statement.kind is StatementKind.COMMIT
+                and refusal.reason is RefusalReason.STATEMENT_FAILED
             )
             ending = refusal.detail
             raise
@@ -254,7 +256,7 @@
             self.rest(transaction)
             return
         self.registry.remove(transaction, ending)
-        self.permits.leave(transaction.permit)
+        self.permits.release(transaction.permit)
         if ending is None:
             self.sender.pool.give_back(transaction.connection)
         else:
@@ -285,9 +287,9 @@
         finally:
             self.release(transaction.permit, transaction.connection)
 
-    def release(self, permit: Entry, connection: TargetConnection | None) -> None:
+    def release(self, permit: QueueEntry, connection: TargetConnection | None) -> None:
         """Give up the permit and the connection of a transaction."""
-        self.permits.leave(permit)
+        self.permits.release(permit)
         if connection is not None:
             self.sender.pool.give_up(connection)
 
@@ -295,10 +297,10 @@
         self, connection: TargetConnection, statement: Statement, deadline: Deadline
     ) -> TargetResult | None:
         """Run one statement; the slot is held only meanwhile."""
-        slot = await self.slots.enter(
+        slot = await self.slots.acquire(
             statement.caller, statement.priority, deadline.remaining()
         )
         try:
             return await self.sender.send(connection, statement, deadline, Attempt.ONLY)
         finally:
-            self.slots.leave(slot)
+            self.slots.release(slot)
--- a/src/reedhook/connection/turns.py
+++ b/src/reedhook/connection/turns.py
@@ -13,7 +13,7 @@
 
 from ..clock import Clock
 from ..record import Record
-from ..request.refusal import Reason, Refusal, not_run
+from ..request.refusal import RefusalError, RefusalReason, not_run
 
 AHEAD: Final = 1
 """Statements under way beyond the slots: one stands ready as a slot comes free,
@@ -282,7 +282,7 @@
 
     # What waits
 
-    def refuse_waiting(self, refusal: Refusal) -> None:
+    def refuse_waiting(self, refusal: RefusalError) -> None:
         """Refuse all that wait for a connection and a slot."""
         for turn in [one for one in self.waiting if not one.demand.inside]:
             self.forget(turn)
@@ -338,12 +338,12 @@
         works = sum(one.work for one in self.waiting if one is not turn)
         return (works + self.under_way * turn.work / 2 + turn.work) / self.slots
 
-    def refusal(self, turn: Turn, now: float, wait: float) -> Refusal:
+    def refusal(self, turn: Turn, now: float, wait: float) -> RefusalError:
         """Return the refusal of a statement, with when what waits has run."""
         due = (turn.demand.due - now) * MILLISECONDS
         back = max(wait, self.backlog(turn)) * MILLISECONDS
         return not_run(
-            Reason.OVERLOADED,
+            RefusalReason.OVERLOADED,
             f"{len(self.waiting)} statements wait at {self.target}: "
             f"{wait * MILLISECONDS:.0f} ms for one due in {due:.0f} ms",
             max(RETRY_MS, int(back)),
@@ -368,7 +368,7 @@
             if now + turn.work >= turn.demand.deadline:
                 raise self.refusal(turn, now, 0.0)
             self.check(turn, now)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self.forget(turn)
             if not turn.granted.done():
                 turn.granted.set_exception(refusal)
--- a/src/reedhook/platform/entry.py
+++ b/src/reedhook/platform/entry.py
@@ -9,7 +9,7 @@
 from ..connection.session import Session, SessionReply
 from ..connection.state import SessionState
 from ..process.callers import CallerConnection, Callers
-from ..request.refusal import Reason, Refusal
+from ..request.refusal import RefusalError, RefusalReason
 from ..request.verdict import Verdict
 from . import text
 from .line import ENCODING, LineError, LineReader, encoded
@@ -28,15 +28,15 @@
 IN_DOUBT: Final = "INDOUBT"
 NOT_RUN: Final = "BUSY"
 REASONS: Final = {
-    Reason.BAD_REQUEST: "MALFORMED",
-    Reason.UNKNOWN_NAME: "UNKNOWN",
-    Reason.UNKNOWN_GROUP: "NODATABASE",
-    Reason.TRANSACTION_LOST: "ABORTED",
-    Reason.TARGET_LOST: "ABORTED",
-    Reason.OVERLOADED: "OVERLOADED",
-    Reason.DEADLINE: "OVERLOADED",
-    Reason.RATE_LIMITED: "OVERLOADED",
-    Reason.UNAUTHENTICATED: "DENIED",
+    RefusalReason.BAD_REQUEST: "MALFORMED",
+    RefusalReason.UNKNOWN_NAME: "UNKNOWN",
+    RefusalReason.UNKNOWN_GROUP: "NODATABASE",
+    RefusalReason.TRANSACTION_LOST: "ABORTED",
+    RefusalReason.TARGET_LOST: "ABORTED",
+    RefusalReason.OVERLOADED: "OVERLOADED",
+    RefusalReason.DEADLINE: "OVERLOADED",
+    RefusalReason.RATE_LIMITED: "OVERLOADED",
+    RefusalReason.UNAUTHENTICATED: "DENIED",
 }
 
 
@@ -127,7 +127,7 @@
         try:
             key = read_key(fields[2]) if len(fields) > 2 else ""
             self.session = await self.callers.open(fields[1], key)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self.write(encoded("ERROR", *worded(refusal)))
             return False
         finally:
@@ -234,7 +234,7 @@
     return rows + encoded("COMPLETE", reply.signature or text.NONE) + state
 
 
-def worded(refusal: Refusal) -> tuple[str, str]:
+def worded(refusal: RefusalError) -> tuple[str, str]:
     """Return the code of a refusal, and its text with when to come back."""
     detail = refusal.detail
     if refusal.retry_after_ms is not None:
--- a/src/reedhook/platform/text.py
+++ b/src/reedhook/platform/text.py
@@ -4,7 +4,7 @@
 
 from ..connection.member import Fault
 from ..connection.state import SessionState
-from ..request.command import Command, CommandKind
+from ..request.command import SessionCommand, SessionCommandKind
 from ..request.position import Position
 
 NONE: Final = "-"
@@ -17,10 +17,10 @@
 STATUS: Final = "STATUS"
 
 WHOLE: Final = {
-    BEGIN: CommandKind.BEGIN,
-    BEGIN_READ: CommandKind.BEGIN_READ,
-    "COMMIT": CommandKind.COMMIT,
-    ROLLBACK: CommandKind.ROLLBACK,
+    BEGIN: SessionCommandKind.BEGIN,
+    BEGIN_READ: SessionCommandKind.BEGIN_READ,
+    "COMMIT": SessionCommandKind.COMMIT,
+    ROLLBACK: SessionCommandKind.ROLLBACK,
 }
 LETTERS: Final = {
     SessionState.IDLE: "I",
@@ -46,34 +46,36 @@
 SHAPES: Final = {"READ": False, "WRITE": True}
 
 
-def read_command(text: str) -> Command:
+def read_command(text: str) -> SessionCommand:
     """Return what `text` asks for; what is unknown is `MALFORMED`."""
     whole = WHOLE.get(text)
     if whole is not None:
-        return Command(whole, text)
+        return SessionCommand(whole, text)
     word, _, rest = text.partition(" ")
     fields = rest.split(" ")
     if not all(fields):
-        return Command(CommandKind.MALFORMED, text)
+        return SessionCommand(SessionCommandKind.MALFORMED, text)
     return read_fields(text, word, fields)
 
 
-def read_fields(text: str, word: str, fields: list[str]) -> Command:
+def read_fields(text: str, word: str, fields: list[str]) -> SessionCommand:
     """Return the command of `word` with its fields."""
     count = len(fields)
     if word == "READ" and count == 1:
-        return Command(CommandKind.READ, text)
+        return SessionCommand(SessionCommandKind.READ, text)
     if word == "WRITE" and count >= 2:
-        return Command(CommandKind.WRITE, text)
+        return SessionCommand(SessionCommandKind.WRITE, text)
     if word == "EXECUTE" and count >= 2:
-        return Command(CommandKind.EXECUTE, text, fields[0])
+        return SessionCommand(SessionCommandKind.EXECUTE, text, fields[0])
     if word == "SET" and count >= 2:
-        return Command(CommandKind.SET, text, fields[0])
+        return SessionCommand(SessionCommandKind.SET, text, fields[0])
     if word == "PREPARE" and count >= 3 and fields[1] in SHAPES:
-        return Command(CommandKind.PREPARE, text, fields[0], SHAPES[fields[1]])
+        return SessionCommand(
+            SessionCommandKind.PREPARE, text, fields[0], SHAPES[fields[1]]
+        )
     if word == "DEALLOCATE" and count == 1:
-        return Command(CommandKind.DEALLOCATE, text, fields[0])
-    return Command(CommandKind.MALFORMED, text)
+        return SessionCommand(SessionCommandKind.DEALLOCATE, text, fields[0])
+    return SessionCommand(SessionCommandKind.MALFORMED, text)
 
 
 def after(position: Position, text: str) -> str:
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from ...request.api import read_body, respond, respond_refused
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.verdict import Verdict
 from ...request.view import GroupView
 from ...version.catalog import Group
@@ -133,7 +133,9 @@
         """
         catalog = self.source.catalog()
         if catalog is None:
-            raise not_run(Reason.NO_CONFIGURATION, "no configuration is in force here")
+            raise not_run(
+                RefusalReason.NO_CONFIGURATION, "no configuration is in force here"
+            )
         return catalog.groups
 
     def group(self, name: str) -> Group:
@@ -143,7 +145,7 @@
         """
         group = self.all_groups().get(name)
         if group is None:
-            raise not_run(Reason.UNKNOWN_GROUP, f"there is no group {name}")
+            raise not_run(RefusalReason.UNKNOWN_GROUP, f"there is no group {name}")
         return group
 
     def names(self, group: str) -> frozenset[str]:
@@ -180,7 +182,7 @@
     """Answer with a typed refusal whatever `handler` raises."""
     try:
         return await handler(request)
-    except Refusal as refusal:
+    except RefusalError as refusal:
         return respond_refused(refusal)
     except web.HTTPException as error:
         detail = f"{request.method} {request.path}: {error.reason}"
@@ -189,7 +191,7 @@
         log.exception("A request of an operator failed.")
         detail = "this host failed; its log says more"
         verdict = Verdict.NOT_RUN if request.method == "GET" else Verdict.MAY_HAVE_RUN
-        return respond_refused(Refusal(Reason.INTERNAL, verdict, detail))
+        return respond_refused(RefusalError(RefusalReason.INTERNAL, verdict, detail))
 
 
 def authentication(
--- a/src/reedhook/process/administration/admin_fleet.py
+++ b/src/reedhook/process/administration/admin_fleet.py
@@ -6,7 +6,7 @@
 
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
 from ...record import Record
-from ...request.refusal import Reason, Refusal, may_have_run, not_run
+from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError
 from ..events.timeline import Event
 from ..events.timeline_filter import EventFilter
@@ -111,7 +111,7 @@
             if peer.host == host:
                 await self.drain_other(peer)
                 return
-        raise not_run(Reason.BAD_REQUEST, f"no host {host} is known")
+        raise not_run(RefusalReason.BAD_REQUEST, f"no host {host} is known")
 
     async def drain_other(self, peer: HostRef) -> None:
         """Pass the request on."""
@@ -120,7 +120,7 @@
         except PeerError as error:
             detail = f"{peer.host} gave no answer; asking again is safe"
             refuse = may_have_run if error.sent else not_run
-            raise refuse(Reason.HOST_UNREACHABLE, detail, RETRY_MS) from error
+            raise refuse(RefusalReason.HOST_UNREACHABLE, detail, RETRY_MS) from error
 
     async def status_of(self, peer: HostRef) -> HostStatus:
         """Ask one host for its status."""
@@ -147,7 +147,7 @@
             async with places:
                 try:
                     answers[peer.host] = await question(peer)
-                except (PeerError, Refusal) as error:
+                except (PeerError, RefusalError) as error:
                     missing[peer.host] = str(error)
                 except (WireError, KeyError, TypeError) as error:
                     missing[peer.host] = f"its answer is malformed: {error}"
--- a/src/reedhook/process/administration/admin_operator.py
+++ b/src/reedhook/process/administration/admin_operator.py
@@ -3,8 +3,8 @@
 import hashlib
 import hmac
 
-from ...request.credential import bearer
-from ...request.refusal import Reason, not_run
+from ...request.credential import bearer_credential
+from ...request.refusal import RefusalReason, not_run
 
 
 class Operators:
@@ -25,11 +25,11 @@
 
         :raises Refusal: ``unauthenticated`` if it proves none.
         """
-        digest = hashlib.sha256(bearer(header)).hexdigest()
+        digest = hashlib.sha256(bearer_credential(header)).hexdigest()
         found = None
         for name, known in self.digests.items():
             if hmac.compare_digest(known, digest):
                 found = name
         if found is None:
-            raise not_run(Reason.UNAUTHENTICATED, "the credential is not known")
+            raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is not known")
         return found
--- a/src/reedhook/process/administration/admin_query.py
+++ b/src/reedhook/process/administration/admin_query.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ..events.timeline import EventKind
 
 HIGHEST: Final = 2**53
@@ -61,6 +61,6 @@
         raise bad(f"kind must be of: {known}") from None
 
 
-def bad(detail: str) -> Refusal:
+def bad(detail: str) -> RefusalError:
     """Return the refusal of a malformed request."""
-    return not_run(Reason.BAD_REQUEST, detail)
+    return not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -145,8 +145,8 @@
         if known is not None:
             line["held"] = known.held.to_json()
             line["applied"] = known.applied.to_json()
-            line["age_ms"] = round((now - known.seen) * 1000)
-            line["wait_ms"] = round(known.wait * 1000, 1)
+            line["age_ms"] = round((now - known.observed_at) * 1000)
+            line["wait_ms"] = round(known.expected_wait * 1000, 1)
             line["lag_ms"] = None if known.lag is None else round(known.lag * 1000)
             line["leaving"] = known.leaving
         yield line
--- a/src/reedhook/process/administration/hostsource.py
+++ b/src/reedhook/process/administration/hostsource.py
@@ -7,7 +7,7 @@
 from ...peer import HostRef
 from ...request.api import Api
 from ...request.view import GroupView
-from ...request.views import Views
+from ...request.views import GroupViewCache
 from ...version.catalog import Catalog, Group
 from ..configuring.configuration import ConfigurationKeeper
 from ..events.timeline import Timeline
@@ -32,7 +32,7 @@
         membership: Membership,
         configuration: ConfigurationKeeper,
         homes: Homes,
-        views: Views,
+        views: GroupViewCache,
         api: Api,
         kept_metrics: Metrics,
         drain: Callable[[], None],
@@ -62,7 +62,7 @@
             version=self.configuration.version,
             in_force_ms=None if since is None else int(since * MILLISECONDS),
             started_ms=self.started_ms,
-            active=self.api.active,
+            active=self.api.active_requests,
             homes=tuple(sorted(self.homes.held)),
             rejected_stamps=self.timeline.rejected,
         )
--- a/src/reedhook/process/announced/news.py
+++ b/src/reedhook/process/announced/news.py
@@ -9,7 +9,7 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...wire import Json, WireError, reader, whole
 from .announcements import Announcements
 from .freshness import Freshness
@@ -151,7 +151,7 @@
             reached = self.take(relay, answer)
             version = whole(answer, "version")
             self.freshness.read(answer, version, asked, relay.host)
-        except (PeerError, Refusal, WireError) as error:
+        except (PeerError, RefusalError, WireError) as error:
             self.avoid(relay, str(error))
             return True
         if not reached:
--- a/src/reedhook/process/announced/tables.py
+++ b/src/reedhook/process/announced/tables.py
@@ -9,7 +9,7 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...version.delta import EMPTY, Delta, digest, pack, unpack
 from ...version.registry import RouteTable
 from ...wire import Json, WireError, text, whole
@@ -189,7 +189,7 @@
                 return False
             base = b"" if delta.base == EMPTY else value
             self.announcements.take_table(unpack(delta, base))
-        except (PeerError, Refusal, WireError) as error:
+        except (PeerError, RefusalError, WireError) as error:
             self.decisions.note(
                 "configuration_unanswered",
                 peer=peer.host,
--- a/src/reedhook/process/callers.py
+++ b/src/reedhook/process/callers.py
@@ -9,9 +9,9 @@
 from ..connection.session import Session, no_database
 from ..decisions import Decisions
 from ..metrics import Metrics
-from ..request.authorization import Authorization
-from ..request.refusal import Reason, not_run
-from ..request.steering import Steering
+from ..request.authorization import Authorizer
+from ..request.refusal import RefusalReason, not_run
+from ..request.steering import SessionRouter
 from .announced.announcements import Announcements
 
 CONFIGURED_TIMEOUT: Final = 1.5
@@ -62,9 +62,9 @@
     def __init__(
         self,
         life: str,
-        steering: Steering,
+        steering: SessionRouter,
         announcements: Announcements,
-        authorization: Authorization,
+        authorization: Authorizer,
         clock: Clock,
         decisions: Decisions,
         metrics: Metrics,
@@ -98,7 +98,7 @@
                 configuration=self.announcements.table.version,
             )
             raise no_database(database)
-        digest = self.authorization.open(route, key)
+        digest = self.authorization.authorize_session(route, key)
         self.opened += 1
         self.metrics.increment("sessions")
         return Session(
@@ -123,7 +123,9 @@
                 await self.announcements.configured.wait()
         except TimeoutError:
             raise not_run(
-                Reason.NO_CONFIGURATION, "no configuration is known yet", RETRY_MS
+                RefusalReason.NO_CONFIGURATION,
+                "no configuration is known yet",
+                RETRY_MS,
             ) from None
 
     async def drain(self, transactions: float) -> None:
--- a/src/reedhook/process/configuring/configuration.py
+++ b/src/reedhook/process/configuring/configuration.py
@@ -10,7 +10,7 @@
 from ...clock import Clock
 from ...metrics import Metrics
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.catalog import Catalog
 from ...version.check import check
 from ...version.document import Documents
@@ -252,7 +252,9 @@
                 return {"version": self.version}
             return head_answer(self.edition, int(body["have"]))
         except (KeyError, TypeError, ValueError) as error:
-            raise not_run(Reason.BAD_REQUEST, "not a question for config") from error
+            raise not_run(
+                RefusalReason.BAD_REQUEST, "not a question for config"
+            ) from error
 
     async def ask_peers(self) -> None:
         """Ask some peers for their version and pull the newest.
@@ -290,7 +292,7 @@
         try:
             answer = await self.peers.call(peer, PATH, body, timeout)
             self.heard(int(answer["version"]), peer)
-        except (PeerError, Refusal, KeyError, TypeError, ValueError):
+        except (PeerError, RefusalError, KeyError, TypeError, ValueError):
             return False
         return True
 
@@ -318,7 +320,7 @@
             return False
         try:
             edition = await Pull(self.peers, source, self.edition).run()
-        except (PeerError, Refusal, EditionError) as error:
+        except (PeerError, RefusalError, EditionError) as error:
             self.metrics.increment("configuration.pull_failed")
             log.info(f"Pull from {source.host} failed: {error}.")
             edition = None
--- a/src/reedhook/process/configuring/edit.py
+++ b/src/reedhook/process/configuring/edit.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...request.refusal import Reason, Refusal, may_have_run, not_run
+from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...request.verdict import Verdict
 from ...version.difference import VersionChanges
 from ...version.document import Documents
@@ -18,7 +18,7 @@
 UNKNOWN_PARENT_READS: Final = 4
 
 
-class EditConflict(Refusal):
+class EditConflict(RefusalError):
     """Say that the configuration has moved on since the operator's version.
 
     :param version: the version now.
@@ -32,7 +32,7 @@
         authors = ", ".join(sorted({one.head.author for one in since}))
         by = f" (by {authors})" if authors else ""
         detail = f"version {parent} was edited, but version {version} stands{by}"
-        super().__init__(Reason.CONFLICT, Verdict.NOT_RUN, detail)
+        super().__init__(RefusalReason.CONFLICT, Verdict.NOT_RUN, detail)
         self.version = version
         self.since = since
         self.omitted = omitted
@@ -160,7 +160,7 @@
             return None
         if successor <= stored.head.trimmed:
             detail = f"version {successor} is not kept; compare with what stands"
-            raise may_have_run(Reason.CONFLICT, detail)
+            raise may_have_run(RefusalReason.CONFLICT, detail)
         head = await self.head_at(successor, stored.head)
         return head if head.edit_id == self.edit_id else None
 
@@ -190,7 +190,7 @@
         if holds(found, self.documents):
             return
         detail = f"edit id {self.edit_id} was used for version {found.version}"
-        raise not_run(Reason.REQUEST_REUSED, detail)
+        raise not_run(RefusalReason.REQUEST_REUSED, detail)
 
     def refuse_unknown_parent(self, stored: StoredHead) -> Exception:
         """Return what to raise if the store knows no such parent."""
@@ -198,7 +198,7 @@
         detail = f"the store gives version {stored.version}, not {self.parent}"
         if self.touched or self.behind < UNKNOWN_PARENT_READS:
             return StoreUnavailable(detail)
-        return not_run(Reason.CONFLICT, detail)
+        return not_run(RefusalReason.CONFLICT, detail)
 
     async def conflict(self, stored: StoredHead) -> EditConflict:
         """Return the conflict, after deleting parts that only this edit wrote."""
@@ -210,10 +210,10 @@
         omitted = newest.version - self.parent - len(since)
         return EditConflict(self.parent, newest.version, since, omitted)
 
-    def unanswered(self, error: Exception) -> Refusal:
+    def unanswered(self, error: Exception) -> RefusalError:
         """Return the refusal of an edit whose outcome the store did not tell."""
         if not self.touched:
             detail = f"this attempt had no effect: {error}"
-            return not_run(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
+            return not_run(RefusalReason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
         detail = f"repeat with edit id {self.edit_id} to learn the outcome: {error}"
-        return may_have_run(Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
+        return may_have_run(RefusalReason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
--- a/src/reedhook/process/configuring/editor.py
+++ b/src/reedhook/process/configuring/editor.py
@@ -5,7 +5,7 @@
 import logbook
 
 from ...clock import Clock
-from ...request.refusal import Reason, not_run
+from ...request.refusal import RefusalReason, not_run
 from ...version.check import check
 from ...version.difference import Change
 from ...version.document import Documents
@@ -112,4 +112,4 @@
     for name, text, least, most in limits:
         if not least <= len(text) <= most:
             detail = f"the {name} must have {least} to {most} characters"
-            raise not_run(Reason.BAD_REQUEST, detail)
+            raise not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/configuring/reader.py
+++ b/src/reedhook/process/configuring/reader.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Final
 
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.difference import Change, VersionChanges, changes_between
 from ...version.document import Documents
 from ...version.edition import Edition, EditionError, Head
@@ -37,7 +37,7 @@
         if current is not None and version in (None, current.version):
             return current.head, current.documents()
         if version is None:
-            raise not_run(Reason.NO_CONFIGURATION, "no version is in force here")
+            raise not_run(RefusalReason.NO_CONFIGURATION, "no version is in force here")
         try:
             edition = await self.load(await self.head_of(version))
             return edition.head, edition.documents()
@@ -96,7 +96,7 @@
         if head is None:
             head = (await self.newest()).head
         if head is None or head.version != version:
-            raise not_run(Reason.BAD_REQUEST, f"version {version} is not kept")
+            raise not_run(RefusalReason.BAD_REQUEST, f"version {version} is not kept")
         return head
 
     async def load(self, head: Head) -> Edition:
@@ -135,6 +135,6 @@
     return head.trimmed + 1 if head.trimmed else 0
 
 
-def store_refusal(error: Exception) -> Refusal:
+def store_refusal(error: Exception) -> RefusalError:
     """Return the refusal of a reading for which the store gave no answer."""
-    return not_run(Reason.STORE_UNAVAILABLE, str(error), RETRY_AFTER_MS)
+    return not_run(RefusalReason.STORE_UNAVAILABLE, str(error), RETRY_AFTER_MS)
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/desk.py
@@ -9,9 +9,14 @@
 from ..connection.memberhome import MemberHome
 from ..decisions import Decisions
 from ..peer import PeerRoutes
-from ..request.refusal import Reason, Refusal, may_have_run, not_run
+from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ..request.verdict import Verdict
-from ..request.work import Proof, Work, WorkAnswer, WorkKind
+from ..request.work import (
+    PositionProof,
+    SessionStatement,
+    SessionStatementKind,
+    SessionStatementResult,
+)
 from ..version.registry import TargetEntry
 from ..wire import Json, text
 from .announced.announcements import Announcements
@@ -30,7 +35,9 @@
 TIDY_EVERY: Final = 2.0
 """Seconds between two looks for homes and outcomes that are needed no more."""
 
-PERHAPS_SENT: Final = frozenset({Reason.TARGET_LOST, Reason.TRANSACTION_LOST})
+PERHAPS_SENT: Final = frozenset(
+    {RefusalReason.TARGET_LOST, RefusalReason.TRANSACTION_LOST}
+)
 """Reasons of refusals of operations that may have reached a target, without effect."""
 
 RETRY_MS: Final = 50
@@ -73,7 +80,7 @@
 
     async def answer_work(self, body: Json) -> Json:
         """Run a statement for another host."""
-        answer = await self.execute(Work.from_json(body))
+        answer = await self.execute(SessionStatement.from_json(body))
         return answer.to_json(self.clock.elapsed())
 
     async def answer_end(self, body: Json) -> Json:
@@ -87,24 +94,25 @@
         proof = await self.prove(text(body, "service"), now - float(body["age"]))
         return proof.to_json(self.clock.elapsed())
 
-    async def execute(self, work: Work) -> WorkAnswer:
+    async def execute(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement, or return the outcome if it has run before.
 
         :raises Refusal: with a verdict that holds.
         """
-        if work.kind is WorkKind.READ:
+        if work.kind is SessionStatementKind.READ:
             return await self.run(work)
         known = self.outcomes.get(work.id)
         if known is not None:
             return await known.answer()
-        if work.again:
+        if work.resent:
             raise may_have_run(
-                Reason.HOST_UNREACHABLE, "this host does not know what became of it"
+                RefusalReason.HOST_UNREACHABLE,
+                "this host does not know what became of it",
             )
         outcome = self.outcomes[work.id] = Outcome(self.clock.monotonic())
         try:
             answer = await self.run(work)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             outcome.fail(refusal)
             if refusal.verdict is Verdict.NOT_RUN:
                 # It may be sent anew, and then it is to run.
@@ -112,28 +120,28 @@
             raise
         except BaseException:
             detail = "the statement ended without an answer"
-            outcome.fail(may_have_run(Reason.INTERNAL, detail))
+            outcome.fail(may_have_run(RefusalReason.INTERNAL, detail))
             raise
         outcome.done(answer)
         if answer.reply.fault in WITHOUT_EFFECT:
             del self.outcomes[work.id]
         return answer
 
-    async def run(self, work: Work) -> WorkAnswer:
+    async def run(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement, if its workspace may run another operation.
 
         One that reaches no target counts for nothing.
 
         :raises Refusal: with a verdict that holds.
         """
-        if not work.workspace or not work.begins:
+        if not work.workspace or not work.starts_operation:
             return await self.run_at_target(work)
         begun = self.clock.monotonic()
         await self.allowances.admit(work.workspace)
-        work.spend(self.clock.monotonic() - begun)
+        work.subtract_elapsed(self.clock.monotonic() - begun)
         try:
             answer = await self.run_at_target(work)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             not_sent = refusal.reason not in PERHAPS_SENT
             if refusal.verdict is Verdict.NOT_RUN and not_sent:
                 self.allowances.give_back(work.workspace)
@@ -142,15 +150,15 @@
             self.allowances.give_back(work.workspace)
         return answer
 
-    async def run_at_target(self, work: Work) -> WorkAnswer:
+    async def run_at_target(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement at the primary or at a replica."""
         if not work.target:
             return await self.leader(work.service).execute(work)
         home = self.home(work)
         reply = await home.run(work)
-        return WorkAnswer(work.target, reply, None)
+        return SessionStatementResult(work.target, reply, None)
 
-    def home(self, work: Work) -> MemberHome:
+    def home(self, work: SessionStatement) -> MemberHome:
         """Return the home of a replica, made when it is first needed.
 
         :raises Refusal: not run, if the target takes no new work.
@@ -161,7 +169,9 @@
         entry = self.announcements.targets.get(work.target)
         if entry is None or entry.leaving or entry.service != work.service:
             raise not_run(
-                Reason.TARGET_LEAVING, f"{work.target} takes no new work", RETRY_MS
+                RefusalReason.TARGET_LEAVING,
+                f"{work.target} takes no new work",
+                RETRY_MS,
             )
         home = self.homes.get(work.target)
         if home is not None and has_moved(home.entry, entry):
@@ -190,7 +200,7 @@
         if home is not None:
             home.transactions.end(name)
 
-    async def prove(self, service: str, younger_than: float) -> Proof:
+    async def prove(self, service: str, younger_than: float) -> PositionProof:
         """Return a proof of a primary's position that is young enough.
 
         :raises Refusal: if this host cannot give one.
@@ -204,7 +214,9 @@
         """
         user = self.leads.user(service)
         if user is None:
-            raise not_run(Reason.WRONG_HOME, f"this host does not lead {service}")
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"this host does not lead {service}"
+            )
         return user
 
     async def tidy(self) -> None:
@@ -260,22 +272,22 @@
 
     def __init__(self, begun: float) -> None:
         self.begun = begun
-        self.result: asyncio.Future[WorkAnswer | Refusal] = (
+        self.result: asyncio.Future[SessionStatementResult | RefusalError] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def done(self, answer: WorkAnswer) -> None:
+    def done(self, answer: SessionStatementResult) -> None:
         """Keep an answer."""
         self.result.set_result(answer)
 
-    def fail(self, refusal: Refusal) -> None:
+    def fail(self, refusal: RefusalError) -> None:
         """Keep a refusal."""
         self.result.set_result(refusal)
 
-    async def answer(self) -> WorkAnswer:
+    async def answer(self) -> SessionStatementResult:
         """Return the answer or raise the refusal, once it is there."""
         result = await asyncio.shield(self.result)
-        if isinstance(result, Refusal):
+        if isinstance(result, RefusalError):
             raise result
         return result
 
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -14,7 +14,7 @@
 
 from ...clock import Clock
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Reason, Refusal
+from ...request.refusal import RefusalError, RefusalReason
 from ...wire import Json, WireError
 from .greeter import UNKNOWN, Greeter
 from .heartbeat_timing import Timing
@@ -133,8 +133,8 @@
             self.on_answer(answer, answer["v"], asked, sender.ref.host)
             if "died" in answer:
                 membership.told_died(answer["died"])
-        except Refusal as refusal:
-            return refusal.reason is not Reason.UNAUTHENTICATED
+        except RefusalError as refusal:
+            return refusal.reason is not RefusalReason.UNAUTHENTICATED
         except PeerError as error:
             late = self.clock.monotonic() - started >= timeout
             if late:
@@ -186,7 +186,7 @@
             answer = await self.peers.call(
                 helper, "reach", body, 2 * self.timing.answer * self.health.factor
             )
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return False
         return answer.get("alive") is True
 
@@ -353,7 +353,7 @@
                 peer, "members", request, 5 * self.timing.answer * self.health.factor
             )
             return self.membership.take_pulled(answer)
-        except (PeerError, Refusal, WireError):
+        except (PeerError, RefusalError, WireError):
             return 0
 
 
--- a/src/reedhook/process/fleet/leaving.py
+++ b/src/reedhook/process/fleet/leaving.py
@@ -9,7 +9,7 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...peer import PeerRoutes
-from ...request.refusal import Reason, not_run
+from ...request.refusal import RefusalReason, not_run
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
 from ..groups.group import GroupKeeper
@@ -61,7 +61,7 @@
             raise WireError("a target and whether it leaves are expected")
         home = self.homes(member)
         if home is None:
-            raise not_run(Reason.WRONG_HOME, f"the home of {member} is not here")
+            raise not_run(RefusalReason.WRONG_HOME, f"the home of {member} is not here")
         if not leaving:
             home.leaving = False
         elif not home.leaving and member not in self.tasks:
--- a/src/reedhook/process/fleet/listing.py
+++ b/src/reedhook/process/fleet/listing.py
@@ -8,7 +8,7 @@
 
 from ...clock import Clock
 from ...peer import PeerError, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...version.catalog import Catalog, Member
 from .directory import MembershipDirectory
 from .hostlist import HostList, HostListUnavailable, ListedHost, ListedKind, ListedState
@@ -163,7 +163,7 @@
         try:
             body = {"member": member.member, "leaving": leaving}
             await self.peers.call(home, PATH, body, TELL_TIMEOUT)
-        except (PeerError, Refusal) as error:
+        except (PeerError, RefusalError) as error:
             log.info("{} was not told of {}: {}", home.host, member.member, error)
             return
         if leaving:
--- a/src/reedhook/process/groups/control.py
+++ b/src/reedhook/process/groups/control.py
@@ -17,7 +17,7 @@
 from ...directory import Directory
 from ...peer import HostRef, PeerError, Peers
 from ...record import Record
-from ...request.refusal import Reason, Refusal, may_have_run, not_run
+from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...version.catalog import Group, Member
 from ...wire import Json, reader, text
 
@@ -121,15 +121,15 @@
 
     :raises Refusal: the last one, or ``host_unreachable``.
     """
-    last = not_run(Reason.HOST_UNREACHABLE, "no live host is known")
+    last = not_run(RefusalReason.HOST_UNREACHABLE, "no live host is known")
     for host in hosts:
         try:
             return await peers.call(host, path, body, timeout)
         except PeerError as error:
             make = may_have_run if error.sent else not_run
-            last = make(Reason.HOST_UNREACHABLE, str(error))
-        except Refusal as refusal:
-            if refusal.reason is not Reason.WRONG_HOME:
+            last = make(RefusalReason.HOST_UNREACHABLE, str(error))
+        except RefusalError as refusal:
+            if refusal.reason is not RefusalReason.WRONG_HOME:
                 raise
             last = refusal
     raise last
@@ -177,10 +177,10 @@
     return await connection.state(timeout)
 
 
-def refusal_of(error: TargetError) -> Refusal:
+def refusal_of(error: TargetError) -> RefusalError:
     """Return the refusal that tells another host of `error`."""
     if isinstance(error, TargetRefused):
-        return not_run(Reason.CONFLICT, error.detail)
+        return not_run(RefusalReason.CONFLICT, error.detail)
     if isinstance(error, TargetSilent):
-        return may_have_run(Reason.TARGET_LOST, str(error))
-    return not_run(Reason.TARGET_UNREACHABLE, str(error))
+        return may_have_run(RefusalReason.TARGET_LOST, str(error))
+    return not_run(RefusalReason.TARGET_UNREACHABLE, str(error))
--- a/src/reedhook/process/groups/coordinator.py
+++ b/src/reedhook/process/groups/coordinator.py
@@ -13,7 +13,7 @@
 from ...directory import Directory
 from ...metrics import Metrics
 from ...record import Record
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ..events.timeline import EventKind, Timeline
 from .control import Control, Controller, Op
 from .knowledge import Knowledge
@@ -195,7 +195,7 @@
         order = Control(member, Op.STATE)
         try:
             state = await self.controller.control(order, STEP_TIMEOUT)
-        except Refusal:
+        except RefusalError:
             return
         states[member] = state
         self.knowledge.absorb(state, asked)
--- a/src/reedhook/process/groups/executor.py
+++ b/src/reedhook/process/groups/executor.py
@@ -8,10 +8,10 @@
 from ...connection.home import Home
 from ...connection.target import Role, TargetResult
 from ...peer import HostRef
-from ...request.execution import Execution, Served
+from ...request.execution import HomeResponse, StatementExecutor
 from ...request.position import Position
-from ...request.refusal import Reason, not_run
-from ...request.statement import Answer, Consistency, Kind, Statement
+from ...request.refusal import RefusalReason, not_run
+from ...request.statement import Consistency, Statement, StatementKind, StatementResult
 from .group import GroupKeeper
 
 COVER_SHARE: Final = 0.2
@@ -19,7 +19,9 @@
 PROOF_SHARE: Final = 0.25
 PROOF_LIMIT: Final = 0.25
 RETRY_SOON_MS: Final = 20
-OF_TRANSACTION: Final = frozenset({Kind.STEP, Kind.COMMIT, Kind.ROLLBACK})
+OF_TRANSACTION: Final = frozenset(
+    {StatementKind.STEP, StatementKind.COMMIT, StatementKind.ROLLBACK}
+)
 
 Homes: TypeAlias = Callable[[str], Home | None]
 Holding: TypeAlias = Callable[[str, Statement], Home]
@@ -63,7 +65,7 @@
         return await self.home.run(self.statement)
 
 
-class Executor(Execution):
+class Executor(StatementExecutor):
     """Execute statements at members whose home is here.
 
     :param homes: gives the local home of a member, or None.
@@ -87,17 +89,17 @@
         self.clock = clock
         self.host = host
 
-    async def execute(self, member: str, statement: Statement) -> Served:
+    async def execute(self, member: str, statement: Statement) -> HomeResponse:
         home = self.home(member, statement)
         keeper = self.keepers(statement.group)
         if home is None or keeper is None:
             raise not_run(
-                Reason.WRONG_HOME, f"{member} is not at home here", RETRY_SOON_MS
+                RefusalReason.WRONG_HOME, f"{member} is not at home here", RETRY_SOON_MS
             )
         work = Work(home, keeper, statement, self.clock)
         answer = await self.answer(work)
         keeper.reporter.learn(home)
-        return Served(answer, home.load().wait, keeper.view, self.host)
+        return HomeResponse(answer, home.load().wait, keeper.view, self.host)
 
     def home(self, member: str, statement: Statement) -> Home | None:
         """Return the home here that is to run a statement, or None.
@@ -108,21 +110,21 @@
             return self.holding(member, statement)
         return self.homes(member)
 
-    async def answer(self, work: Work) -> Answer:
+    async def answer(self, work: Work) -> StatementResult:
         """Execute by kind."""
         kind = work.statement.kind
-        if kind is Kind.READ:
+        if kind is StatementKind.READ:
             return await read(work)
-        if kind is Kind.WRITE:
+        if kind is StatementKind.WRITE:
             return await write(work)
-        if kind is Kind.COMMIT:
+        if kind is StatementKind.COMMIT:
             return await commit(work)
-        if kind is Kind.BEGIN:
+        if kind is StatementKind.BEGIN:
             return await begin(work)
         return reply(work, await work.run(), None)
 
 
-async def read(work: Work) -> Answer:
+async def read(work: Work) -> StatementResult:
     """Execute a read with the consistency that it demands."""
     if work.statement.consistency is Consistency.FRESH:
         return await fresh_read(work)
@@ -131,7 +133,7 @@
     return await session_read(work)
 
 
-async def fresh_read(work: Work) -> Answer:
+async def fresh_read(work: Work) -> StatementResult:
     """Read at the primary and prove that it led after the question came.
 
     The confirmation runs beside the read: it shows that nothing was
@@ -142,14 +144,16 @@
     ticket = work.keeper.request_confirmation()
     result = await work.run()
     if result.role is not Role.PRIMARY or result.position.term != result.term:
-        raise not_run(Reason.UNCONFIRMED, "the member does not lead now", RETRY_SOON_MS)
+        raise not_run(
+            RefusalReason.UNCONFIRMED, "the member does not lead now", RETRY_SOON_MS
+        )
     await work.keeper.confirmed(ticket, result.position, work.remaining())
     return reply(work, result, work.clock.monotonic() - asked)
 
 
-async def session_read(work: Work) -> Answer:
+async def session_read(work: Work) -> StatementResult:
     """Read once the member has applied the position that must be covered."""
-    covers = work.statement.covers
+    covers = work.statement.min_position
     if covers is not None:
         await await_covered(work, covers)
     result = await work.run()
@@ -159,11 +163,11 @@
     return reply(work, result, work.keeper.age(result.position))
 
 
-async def bounded_read(work: Work) -> Answer:
+async def bounded_read(work: Work) -> StatementResult:
     """Read where the age is proved, and prove it again for the answer."""
     bound = work.statement.max_age
     if bound is None:
-        raise not_run(Reason.BAD_REQUEST, "a bounded read needs an age")
+        raise not_run(RefusalReason.BAD_REQUEST, "a bounded read needs an age")
     await await_proof(work, bound)
     result = await work.run()
     await check_kept(work, result)
@@ -173,7 +177,7 @@
     return reply(work, result, age)
 
 
-async def write(work: Work) -> Answer:
+async def write(work: Work) -> StatementResult:
     """Write at the primary and answer once a majority holds the entry."""
     await check_lead(work)
     work.keeper.check_reach()
@@ -183,7 +187,7 @@
     return reply(work, result, None)
 
 
-async def begin(work: Work) -> Answer:
+async def begin(work: Work) -> StatementResult:
     """Open a transaction, or answer for one that committed under the same id.
 
     The latter acknowledges the commit, which has to be durable like any other.
@@ -196,7 +200,7 @@
     return reply(work, result, None)
 
 
-async def commit(work: Work) -> Answer:
+async def commit(work: Work) -> StatementResult:
     """Commit and answer once the transaction's entry is durable.
 
     A transaction that wrote nothing has no entry of its own; a confirmation
@@ -223,7 +227,7 @@
         await pass_gate(work, gate)
     primary = work.keeper.knowledge.primary
     if primary is not None and primary != work.member:
-        raise not_run(Reason.NO_PRIMARY, f"{primary} leads now", RETRY_SOON_MS)
+        raise not_run(RefusalReason.NO_PRIMARY, f"{primary} leads now", RETRY_SOON_MS)
 
 
 async def pass_gate(work: Work, gate: asyncio.Event) -> None:
@@ -233,7 +237,7 @@
             await gate.wait()
     except TimeoutError:
         raise not_run(
-            Reason.DEADLINE, "the primary is being moved", RETRY_SOON_MS
+            RefusalReason.DEADLINE, "the primary is being moved", RETRY_SOON_MS
         ) from None
 
 
@@ -320,7 +324,7 @@
     """Return the refusal of a member that lags behind the session."""
     work.keeper.metrics.increment("executor.not_covered")
     return not_run(
-        Reason.NOT_COVERED,
+        RefusalReason.NOT_COVERED,
         f"{work.member} does not hold safely what the session has seen",
         RETRY_SOON_MS,
     )
@@ -330,15 +334,15 @@
     """Return the refusal of a member whose age cannot be proved."""
     work.keeper.metrics.increment("executor.age_unproved")
     return not_run(
-        Reason.AGE_UNPROVED,
+        RefusalReason.AGE_UNPROVED,
         f"the age of {work.member} is not proved to be within the bound",
         RETRY_SOON_MS,
     )
 
 
-def reply(work: Work, result: TargetResult, age: float | None) -> Answer:
+def reply(work: Work, result: TargetResult, age: float | None) -> StatementResult:
     """Make the answer to `result`."""
-    return Answer(
+    return StatementResult(
         result.columns,
         result.rows,
         result.rowcount,
--- a/src/reedhook/process/groups/group.py
+++ b/src/reedhook/process/groups/group.py
@@ -12,7 +12,7 @@
 from ...metrics import Metrics
 from ...peer import PeerError, Peers
 from ...request.position import Position
-from ...request.refusal import Reason, Refusal, may_have_run, not_run
+from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...request.view import GroupView
 from ...version.catalog import Group
 from ..events.timeline import EventKind, Timeline
@@ -209,7 +209,7 @@
         except TimeoutError:
             self.metrics.increment("group.not_durable")
             raise may_have_run(
-                Reason.NOT_DURABLE,
+                RefusalReason.NOT_DURABLE,
                 "applied, not yet safe: no majority holds it in time",
                 RETRY_UNSAFE_MS,
             ) from None
@@ -217,7 +217,7 @@
             self.check_reach()
             self.metrics.increment("group.superseded")
             raise may_have_run(
-                Reason.SUPERSEDED,
+                RefusalReason.SUPERSEDED,
                 "the primary was superseded before the write was known to be safe",
                 RETRY_SOON_MS,
             )
@@ -257,7 +257,7 @@
         if not held:
             self.metrics.increment("group.unconfirmed")
             raise not_run(
-                Reason.UNCONFIRMED,
+                RefusalReason.UNCONFIRMED,
                 "no majority confirms that the primary still leads",
                 RETRY_SOON_MS,
             )
@@ -323,12 +323,12 @@
         """
         home = self.home(member)
         if home is None:
-            raise not_run(Reason.WRONG_HOME, f"{member} is not at home here")
+            raise not_run(RefusalReason.WRONG_HOME, f"{member} is not at home here")
         asked = self.clock.monotonic()
         try:
             state = await home.ask_state(CONFIRM_TIMEOUT)
         except TargetError as error:
-            raise not_run(Reason.TARGET_UNREACHABLE, str(error)) from error
+            raise not_run(RefusalReason.TARGET_UNREACHABLE, str(error)) from error
         self.knowledge.absorb(state, asked)
         return state
 
@@ -346,7 +346,7 @@
             if self.home(member) is not None:
                 return await self.on_confirm(member)
             return await self.ask_peer(member, timeout)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return None
 
     async def ask_peer(self, member: str, timeout: float) -> MemberState | None:
@@ -404,7 +404,7 @@
             return
         self.metrics.increment("group.not_durable")
         raise may_have_run(
-            Reason.NOT_DURABLE,
+            RefusalReason.NOT_DURABLE,
             "the primary's home reaches no majority of the group",
             RETRY_ISOLATED_MS,
         )
--- a/src/reedhook/process/groups/grouproutes.py
+++ b/src/reedhook/process/groups/grouproutes.py
@@ -8,10 +8,10 @@
 from ...connection.target import MemberState, TargetError, TargetFactory
 from ...directory import Directory
 from ...peer import PeerRoutes
-from ...request.execution import Execution
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.execution import StatementExecutor
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.statement import Statement
-from ...request.view import ViewQuestion
+from ...request.view import GroupViewRequest
 from ...version.catalog import Catalog, Group, Member
 from ...wire import Json, text
 from .control import Control, Op, at_home, at_target
@@ -38,7 +38,7 @@
         catalog: Callable[[], Catalog | None],
         homes: Callable[[str], Home | None],
         keepers: Callable[[str], GroupKeeper | None],
-        execution: Execution,
+        execution: StatementExecutor,
         factory: TargetFactory,
         directory: Directory,
         clock: Clock,
@@ -83,10 +83,10 @@
 
     async def view(self, body: Json) -> Json:
         """Give what is known of a group here, held open for a newer leader."""
-        question = ViewQuestion.from_json(body)
+        question = GroupViewRequest.from_json(body)
         keeper = self.keeper(question.group)
-        if question.hold > 0.0:
-            hold = min(question.hold, MAX_HOLD)
+        if question.long_poll_seconds > 0.0:
+            hold = min(question.long_poll_seconds, MAX_HOLD)
             await keeper.newer_leader(question.term, question.primary, hold)
         keeper.refresh_view()
         return {"view": keeper.view.to_json(self.clock.monotonic())}
@@ -120,7 +120,7 @@
             return {"alive": await self.answers_here(member), "home": False}
         keeper = self.keepers(group.name)
         if keeper is None or not body.get("relay"):
-            raise not_run(Reason.WRONG_HOME, f"{member.member} is not near here")
+            raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
         evidence = await keeper.verifier.relayed(member.member)
         return {
             "alive": evidence is not Evidence.LOST,
@@ -132,7 +132,7 @@
         order = Control(member.member, Op.STATE)
         try:
             await at_target(self.factory, member, order, PROBE_TIMEOUT)
-        except Refusal:
+        except RefusalError:
             return False
         return True
 
@@ -144,7 +144,7 @@
         catalog = self.catalog()
         found = catalog.member(member) if catalog is not None else None
         if found is None:
-            raise not_run(Reason.WRONG_HOME, f"no member {member} is known here")
+            raise not_run(RefusalReason.WRONG_HOME, f"no member {member} is known here")
         return found
 
     def keeper(self, group: str) -> GroupKeeper:
@@ -154,7 +154,9 @@
         """
         keeper = self.keepers(group)
         if keeper is None:
-            raise not_run(Reason.WRONG_HOME, f"no member of {group} is at home here")
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"no member of {group} is at home here"
+            )
         return keeper
 
     def stands_by(self, member: Member) -> bool:
@@ -166,7 +168,7 @@
     def check_standby(self, member: Member) -> None:
         """Refuse what only a host near the target may do."""
         if not self.stands_by(member):
-            raise not_run(Reason.WRONG_HOME, f"{member.member} is not near here")
+            raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
 
 
 async def answers(home: Home) -> bool:
--- a/src/reedhook/process/groups/homes.py
+++ b/src/reedhook/process/groups/homes.py
@@ -9,7 +9,7 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.statement import Statement
 from ...version.catalog import Catalog, Group, Limits, Member
 from ...wire import Json, WireError
@@ -156,9 +156,11 @@
                 return home
         for home in homes:
             refusal = home.unknown(statement)
-            if refusal.reason is Reason.TRANSACTION_LOST:
+            if refusal.reason is RefusalReason.TRANSACTION_LOST:
                 raise refusal
-        raise not_run(Reason.UNKNOWN_TRANSACTION, "no such transaction is open here")
+        raise not_run(
+            RefusalReason.UNKNOWN_TRANSACTION, "no such transaction is open here"
+        )
 
     async def run(self) -> None:
         """Follow hosts and configuration until cancelled.
@@ -390,7 +392,7 @@
         }
         try:
             await self.peers.call(ref, TAKEOVER, body, TAKEOVER_TIMEOUT)
-        except (PeerError, Refusal) as error:
+        except (PeerError, RefusalError) as error:
             log.info("{} did not take over: {}", ref.host, error)
 
     async def close(self) -> None:
--- a/src/reedhook/process/groups/knowledge.py
+++ b/src/reedhook/process/groups/knowledge.py
@@ -48,7 +48,7 @@
 
     def lead(self, term: int, primary: str | None) -> None:
         """Take note of a leader term, and of who leads if that is known."""
-        if not self.view.lead(term, primary):
+        if not self.view.record_primary(term, primary):
             return
         self.leader_changed()
 
@@ -88,7 +88,7 @@
             self.states[state.member] = state
             self.mark()
         now = self.clock.monotonic()
-        self.view.learn(
+        self.view.merge_member(
             MemberView(
                 state.member,
                 state.applied,
--- a/src/reedhook/process/groups/promotion.py
+++ b/src/reedhook/process/groups/promotion.py
@@ -12,7 +12,7 @@
 from ...clock import Clock
 from ...connection.target import MemberState, Role
 from ...record import Record
-from ...request.refusal import Reason, Refusal
+from ...request.refusal import RefusalError, RefusalReason
 from ...version.catalog import Group
 from .control import Control, Controller, Op
 
@@ -143,8 +143,8 @@
         order = Control(member, Op.RAISE, self.term, self.owner)
         try:
             self.granted[member] = await self.controller.control(order, STEP_TIMEOUT)
-        except Refusal as refusal:
-            if refusal.reason is Reason.CONFLICT:
+        except RefusalError as refusal:
+            if refusal.reason is RefusalReason.CONFLICT:
                 await self.learn_promise(member)
 
     async def learn_promise(self, member: str) -> None:
@@ -153,7 +153,7 @@
             state = await self.controller.control(
                 Control(member, Op.STATE), STEP_TIMEOUT
             )
-        except Refusal:
+        except RefusalError:
             return
         self.promised = max(self.promised, state.promised)
 
@@ -181,8 +181,8 @@
         for left in reversed(range(PROMOTE_TRIES)):
             try:
                 state = await self.controller.control(order, STEP_TIMEOUT)
-            except Refusal as refusal:
-                if left and refusal.reason is not Reason.CONFLICT:
+            except RefusalError as refusal:
+                if left and refusal.reason is not RefusalReason.CONFLICT:
                     continue
                 await self.learn_promise(chosen)
                 raise PromotionFailed(
@@ -211,5 +211,5 @@
         order = Control(member, Op.FOLLOW, self.term, primary=chosen)
         try:
             await self.controller.control(order, STEP_TIMEOUT)
-        except Refusal:
+        except RefusalError:
             return
--- a/src/reedhook/process/groups/report.py
+++ b/src/reedhook/process/groups/report.py
@@ -10,7 +10,7 @@
 from ...directory import Directory
 from ...peer import HostRef, PeerError, Peers
 from ...record import Record
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...request.view import GroupView
 from ...wire import Json, reader, text
 from .knowledge import Knowledge
@@ -311,7 +311,7 @@
             self.contact.broken = True
             self.doubt()
             return
-        except Refusal:
+        except RefusalError:
             self.doubt()
             return
         finally:
--- a/src/reedhook/process/groups/sampling.py
+++ b/src/reedhook/process/groups/sampling.py
@@ -6,7 +6,7 @@
 
 from ...clock import Clock
 from ...peer import PeerError
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from .confirmation import Confirmation, Lead
 from .knowledge import Knowledge
 from .report import Report, Reporter
@@ -63,7 +63,7 @@
             report = Report(self.knowledge.group.name, home.state, age, prompt=True)
             try:
                 await self.reporter.call(report, primary, PROVE_TIMEOUT)
-            except (PeerError, Refusal):
+            except (PeerError, RefusalError):
                 await self.clock.sleep(ASK_AGAIN)
             return
         # Nobody can be asked yet; who waits for a proof asks again at once.
--- a/src/reedhook/process/groups/suspicion.py
+++ b/src/reedhook/process/groups/suspicion.py
@@ -6,7 +6,7 @@
 
 from ...directory import Directory
 from ...peer import HostRef, PeerError, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...version.catalog import Group
 from ...wire import Json
 
@@ -106,7 +106,7 @@
         timeout = RELAY_TIMEOUT if relay else PROBE_TIMEOUT
         try:
             answer = await self.peers.call(host, "probe", body, timeout)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return None
         return evidence_of(answer)
 
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -14,10 +14,10 @@
 from ..metrics import Metrics
 from ..peer import HostRef, PeerRoutes, Peers
 from ..request.api import Api
-from ..request.choice import Chooser
-from ..request.dispatch import Dispatch
+from ..request.choice import ReplicaSelector
+from ..request.dispatch import StatementDispatcher
 from ..request.router import Router
-from ..request.views import Views
+from ..request.views import GroupViewCache
 from ..version.catalog import Catalog, Group, Limits, Member
 from .administration.admin import Admin
 from .administration.admin_fleet import Fleet
@@ -172,10 +172,10 @@
 
     def make_requests(self) -> None:
         """Make what routes the statements of callers."""
-        self.dispatch = Dispatch(
+        self.dispatch = StatementDispatcher(
             self.executor, self.directory, self.peers, self.catalog, self.clock
         )
-        self.views = Views(
+        self.views = GroupViewCache(
             self.clock,
             self.random,
             self.directory,
@@ -185,7 +185,7 @@
         self.router = Router(
             self.dispatch,
             self.views,
-            Chooser(self.me.zone, self.random),
+            ReplicaSelector(self.me.zone, self.random),
             self.clock,
             self.random,
             self.metrics,
@@ -268,7 +268,7 @@
         self.api.leaving = True
         await asyncio.gather(self.homes.drain(), self.clock.sleep(LINGER))
         self.api.draining = True
-        while self.api.active > 0:
+        while self.api.active_requests > 0:
             await self.clock.sleep(DRAIN_POLL)
         self.timeline.record(EventKind.DRAIN, self.me.host, step="done")
 
--- a/src/reedhook/process/lead/duty.py
+++ b/src/reedhook/process/lead/duty.py
@@ -8,7 +8,7 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ...peer import PeerError, PeerRoutes, Peers
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, WireError, decode, encode, text
 from ..announced.keyspace import Item, Keyspace, KeyspaceError
 from ..fleet.membership_record import HostState
@@ -98,7 +98,7 @@
         """
         outcome = await self.order_here(text(body, "service"), text(body, "target"))
         if outcome is None:
-            raise not_run(Reason.WRONG_HOME, "this host does not have the duty")
+            raise not_run(RefusalReason.WRONG_HOME, "this host does not have the duty")
         return {"outcome": outcome.value}
 
     async def order(self, service: str, target: str) -> OrderOutcome:
@@ -149,9 +149,9 @@
         try:
             answer = await self.peers.call(holder.ref, PATH, body, ORDER_TIMEOUT)
             return OrderOutcome(answer["outcome"])
-        except Refusal as refusal:
+        except RefusalError as refusal:
             # The store names that life, and the process there is another one.
-            if refusal.reason is Reason.WRONG_HOME:
+            if refusal.reason is RefusalReason.WRONG_HOME:
                 self.over.add(holder.life)
             cause = refusal.detail
         except (PeerError, LookupError, ValueError) as error:
--- a/src/reedhook/process/lead/lead.py
+++ b/src/reedhook/process/lead/lead.py
@@ -16,7 +16,7 @@
 from ...decisions import Decisions
 from ...peer import HostRef
 from ...record import Record
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...version.registry import TargetEntry
 from ..announced.announcements import Announcements
 from .claim import Claim
@@ -233,7 +233,7 @@
             return False
         try:
             await home.sight(SIGHT_TIMEOUT)
-        except (MemberSilent, MemberUnreachable, Refusal):
+        except (MemberSilent, MemberUnreachable, RefusalError):
             home.lanes.drop_idle()
             return False
         return True
--- a/src/reedhook/process/lead/leads.py
+++ b/src/reedhook/process/lead/leads.py
@@ -8,7 +8,7 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ...peer import PeerError, PeerRoutes, Peers
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, text
 from ..announced.announcements import Announcements
 from ..announced.keyspace import Keyspace, KeyspaceError, Unanswered
@@ -140,7 +140,7 @@
         :raises Refusal: if this host ends itself.
         """
         if self.leaving:
-            raise not_run(Reason.DRAINING, "this host ends itself")
+            raise not_run(RefusalReason.DRAINING, "this host ends itself")
         if not self.announcements.reached:
             # Said at once: who asks goes on to the next host, or tries the
             # store anew, in place of waiting for a call that fails.
@@ -263,7 +263,7 @@
         for host in self.witnesses.chosen(record.holder.ref.zone)[:MOST_ASKED]:
             try:
                 answer = await self.peers.call(host, TAKE_LOST_PATH, body, TAKE_TIMEOUT)
-            except (PeerError, Refusal) as error:
+            except (PeerError, RefusalError) as error:
                 self.decisions.note("take_unanswered", host=host.host, error=str(error))
                 continue
             if answer.get("taken") is True:
--- a/src/reedhook/process/lead/others.py
+++ b/src/reedhook/process/lead/others.py
@@ -7,7 +7,7 @@
 from ...connection.memberhome import MemberHome
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from .claim import Claim
 from .ranking import Ranking
 from .record import Holder
@@ -112,7 +112,7 @@
         """Ask a host for the life of its process; None without an answer."""
         try:
             answer = await self.peers.call(host, LIFE_PATH, {}, WORD_TIMEOUT)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return None
         life = answer.get("life")
         return life if isinstance(life, str) else None
--- a/src/reedhook/process/lead/tenure.py
+++ b/src/reedhook/process/lead/tenure.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...request.refusal import Reason, not_run
+from ...request.refusal import RefusalReason, not_run
 
 TENURE: Final = 12.0
 """Seconds for which a look at the store permits the use of a primary. Longer
@@ -57,5 +57,5 @@
         """
         if not self.valid:
             raise not_run(
-                Reason.WRONG_HOME, "this host may not use the primary", RETRY_MS
+                RefusalReason.WRONG_HOME, "this host may not use the primary", RETRY_MS
             )
--- a/src/reedhook/process/lead/user.py
+++ b/src/reedhook/process/lead/user.py
@@ -17,8 +17,8 @@
 from ...connection.memberhome import MemberHome
 from ...decisions import Decisions
 from ...request.position import Position
-from ...request.refusal import Reason, Refusal, not_run
-from ...request.work import Proof, Work, WorkAnswer
+from ...request.refusal import RefusalError, RefusalReason, not_run
+from ...request.work import PositionProof, SessionStatement, SessionStatementResult
 from ...version.registry import TargetEntry
 from .claim import Claim
 from .record import LeadRecord
@@ -84,7 +84,7 @@
         self.decisions = decisions
         self.ready = asyncio.Event()
         self.home: MemberHome | None = None
-        self.proof: Proof | None = None
+        self.proof: PositionProof | None = None
         self.top: Position | None = None
         self.answered: Position | None = None
         self.questioned = False
@@ -104,7 +104,7 @@
         """Return until when the primary may be used."""
         return self.claim.tenure
 
-    async def execute(self, work: Work) -> WorkAnswer:
+    async def execute(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement at the primary.
 
         :raises Refusal: with a verdict that holds.
@@ -115,20 +115,22 @@
         home = await self.usable(work)
         return await self.run_at(home, work)
 
-    async def run_at(self, home: MemberHome, work: Work) -> WorkAnswer:
+    async def run_at(
+        self, home: MemberHome, work: SessionStatement
+    ) -> SessionStatementResult:
         """Run a statement at a home and add what is known of the position."""
         reply = await home.run(work)
         if reply.fault is Fault.READ_ONLY and home is self.home:
             self.questioned = True
-        return WorkAnswer(home.entry.target, reply, self.proof)
+        return SessionStatementResult(home.entry.target, reply, self.proof)
 
-    async def usable(self, work: Work) -> MemberHome:
+    async def usable(self, work: SessionStatement) -> MemberHome:
         """Return the home of the primary, waiting a little for one.
 
         :raises Refusal: not run.
         """
         if not self.ready.is_set() and not self.yielding and self.promising():
-            wait = min(WAIT_FOR_PRIMARY, work.left / 2)
+            wait = min(WAIT_FOR_PRIMARY, work.remaining / 2)
             begun = self.clock.monotonic()
             try:
                 async with asyncio.timeout(wait):
@@ -136,12 +138,14 @@
             except TimeoutError:
                 # Refused below, since nothing has become usable.
                 pass
-            work.spend(self.clock.monotonic() - begun)
+            work.subtract_elapsed(self.clock.monotonic() - begun)
         if self.yielding:
-            raise not_run(Reason.WRONG_HOME, "another host takes the lead", RETRY_MS)
+            raise not_run(
+                RefusalReason.WRONG_HOME, "another host takes the lead", RETRY_MS
+            )
         if self.home is None or not self.ready.is_set():
             raise not_run(
-                Reason.NO_PRIMARY,
+                RefusalReason.NO_PRIMARY,
                 f"the service {self.service} has no primary now",
                 RETRY_MS,
             )
@@ -167,8 +171,8 @@
         if self.answered is None or self.answered < position:
             self.answered = position
         known = self.proof
-        if known is None or asked > known.at:
-            self.proof = Proof(position, asked)
+        if known is None or asked > known.as_of:
+            self.proof = PositionProof(position, asked)
             self.news.set()
 
     def opened(self, position: Position | None) -> None:
@@ -193,17 +197,17 @@
         )
         raise MemberReborn(f"{self.record.primary} has lost what it held")
 
-    async def prove(self, younger_than: float) -> Proof:
+    async def prove(self, younger_than: float) -> PositionProof:
         """Return a proof of the primary's position that is young enough.
 
         :param younger_than: a moment by `Clock.elapsed`.
         :raises Refusal: if there is none; nothing ran.
         """
-        if self.proof is None or self.proof.at < younger_than:
+        if self.proof is None or self.proof.as_of < younger_than:
             await self.ask_position()
-        if self.proof is None or self.proof.at < younger_than:
+        if self.proof is None or self.proof.as_of < younger_than:
             raise not_run(
-                Reason.AGE_UNPROVED, "the primary gives no position", RETRY_MS
+                RefusalReason.AGE_UNPROVED, "the primary gives no position", RETRY_MS
             )
         return self.proof
 
@@ -227,7 +231,7 @@
                     await self.news.wait()
                 return
             await home.sight(SIGHT_TIMEOUT)
-        except (MemberSilent, MemberUnreachable, Refusal, TimeoutError) as error:
+        except (MemberSilent, MemberUnreachable, RefusalError, TimeoutError) as error:
             self.decisions.note(
                 "primary_unanswered", service=self.service, error=repr(error)
             )
--- a/src/reedhook/process/lead/vigil.py
+++ b/src/reedhook/process/lead/vigil.py
@@ -8,7 +8,7 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...wire import Json, WireError
 from ..fleet.membership_table import MembershipTable
 
@@ -124,7 +124,7 @@
         """Say whether a host answers within `timeout` seconds."""
         try:
             await self.peers.call(host, PATH, {}, timeout)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return False
         return True
 
@@ -135,7 +135,7 @@
             answer = await self.peers.call(
                 witness, REACH_PATH, body, 2 * ANSWER_TIMEOUT
             )
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return None
         return answer.get("reached") is True
 
--- a/src/reedhook/process/lead/witness.py
+++ b/src/reedhook/process/lead/witness.py
@@ -7,7 +7,7 @@
 
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
 from ...record import Record
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...version.registry import TargetEntry
 from ...wire import Json, text
 from ..announced.announcements import Announcements
@@ -96,7 +96,7 @@
         body: Json = {"target": entry.target}
         try:
             answer = await self.peers.call(host, PATH, body, ANSWER_TIMEOUT)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return None
         return Sighting(
             host, answer.get("reached") is True, answer.get("stored") is True
@@ -117,6 +117,6 @@
         body: Json = {"service": service, "alone": alone}
         try:
             answer = await self.peers.call(host, TAKE_PATH, body, TAKE_TIMEOUT)
-        except (PeerError, Refusal):
+        except (PeerError, RefusalError):
             return False
         return answer.get("taken") is True
--- a/src/reedhook/process/network/heard_peers.py
+++ b/src/reedhook/process/network/heard_peers.py
@@ -2,7 +2,7 @@
 
 from ...clock import Clock
 from ...peer import HostRef, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...wire import Json
 
 
@@ -23,7 +23,7 @@
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         try:
             answer = await self.calls.call(peer, path, body, timeout)
-        except Refusal:
+        except RefusalError:
             # A refusal is an answer, too.
             self.heard(peer)
             raise
--- a/src/reedhook/process/network/parsing.py
+++ b/src/reedhook/process/network/parsing.py
@@ -8,7 +8,7 @@
 from aiohttp.http import HttpProcessingError
 from aiohttp.web_protocol import RequestHandler
 
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import encode
 
 DETAIL_MOST: Final = 160
@@ -58,8 +58,8 @@
         return response
 
 
-def unparsed(message: str) -> Refusal:
+def unparsed(message: str) -> RefusalError:
     """Return the refusal of a request by what the parser says."""
     first = message.strip().partition("\n")[0]
     detail = f"the request cannot be read: {first[:DETAIL_MOST]}"
-    return not_run(Reason.BAD_REQUEST, detail)
+    return not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -8,7 +8,7 @@
 from ...connection.link import Link
 from ...metrics import MemoryMetrics, Metrics
 from ...peer import HostRef, PeerError, Peers
-from ...request.refusal import Refusal
+from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
 from .peer_wire import BODY_LIMIT, CLIENT_KEEPALIVE, CREDENTIAL, PREFIX
@@ -87,7 +87,7 @@
             message = decode(raw)
             self.timeline.observe(*message["stamp"])
             if "refusal" in message:
-                raise Refusal.from_json(message["refusal"])
+                raise RefusalError.from_json(message["refusal"])
             body: Json = message["body"]
             return body
         except (WireError, KeyError, TypeError, ValueError):
--- a/src/reedhook/process/network/peer_server.py
+++ b/src/reedhook/process/network/peer_server.py
@@ -7,7 +7,7 @@
 import logbook
 
 from ...peer import PeerRoutes
-from ...request.refusal import Reason, Refusal, may_have_run, not_run
+from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
 from .peer_wire import BODY_LIMIT, CREDENTIAL, PREFIX, SERVER_KEEPALIVE
@@ -50,7 +50,7 @@
         )
         self.endpoint = endpoint
 
-    def refuse(self, refusal: Refusal) -> PlainResponse:
+    def refuse(self, refusal: RefusalError) -> PlainResponse:
         return self.endpoint.refuse(refusal)
 
 
@@ -68,7 +68,7 @@
             self.authenticate(request)
             body = self.open(read_envelope(request))
             answer = await self.dispatch(path_of(request), body)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             return self.refuse(refusal)
         return self.respond({"body": answer}, HTTP_OK)
 
@@ -76,13 +76,13 @@
         """Check the shared credential in constant time."""
         given = request.headers.get(CREDENTIAL.lower(), b"")
         if not hmac.compare_digest(given, self.credential):
-            raise not_run(Reason.UNAUTHENTICATED, "the peer credential is wrong")
+            raise not_run(RefusalReason.UNAUTHENTICATED, "the peer credential is wrong")
 
     def open(self, envelope: Json) -> Json:
         """Return the body of an envelope and take note of its stamp."""
         body, stamp = envelope.get("body"), envelope.get("stamp")
         if not isinstance(body, dict) or not is_stamp(stamp):
-            raise not_run(Reason.BAD_REQUEST, "the envelope is malformed")
+            raise not_run(RefusalReason.BAD_REQUEST, "the envelope is malformed")
         self.timeline.observe(*stamp)
         return body
 
@@ -90,19 +90,19 @@
         """Run the handler of `path`."""
         handler = self.routes.handlers.get(path)
         if handler is None:
-            raise not_run(Reason.BAD_REQUEST, "there is no such peer path")
+            raise not_run(RefusalReason.BAD_REQUEST, "there is no such peer path")
         try:
             return await handler(body)
-        except Refusal:
+        except RefusalError:
             raise
         except WireError as error:
-            raise not_run(Reason.BAD_REQUEST, str(error)) from None
+            raise not_run(RefusalReason.BAD_REQUEST, str(error)) from None
         except Exception:
             log.exception("The handler of {} failed.", path)
             detail = "the handler failed at the peer"
-            raise may_have_run(Reason.HOST_UNREACHABLE, detail) from None
+            raise may_have_run(RefusalReason.HOST_UNREACHABLE, detail) from None
 
-    def refuse(self, refusal: Refusal) -> PlainResponse:
+    def refuse(self, refusal: RefusalError) -> PlainResponse:
         """Return the answer that carries a refusal."""
         return self.respond({"refusal": refusal.to_json()}, refusal.status)
 
@@ -132,8 +132,10 @@
     :raises Refusal: if it is compressed or malformed.
     """
     if ENCODING in request.headers or LENGTH not in request.headers:
-        raise not_run(Reason.BAD_REQUEST, "a plain body of stated length is expected")
+        raise not_run(
+            RefusalReason.BAD_REQUEST, "a plain body of stated length is expected"
+        )
     try:
         return decode(request.body)
     except WireError as error:
-        raise not_run(Reason.BAD_REQUEST, str(error)) from None
+        raise not_run(RefusalReason.BAD_REQUEST, str(error)) from None
--- a/src/reedhook/process/network/plain_server.py
+++ b/src/reedhook/process/network/plain_server.py
@@ -17,7 +17,7 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from ...record import Record
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import encode
 from .sockets import BACKLOG, address_of, bound_socket, end_listening
 
@@ -133,7 +133,7 @@
         self.server: asyncio.Server | None = None
         self.connections: set[PlainConnection] = set()
 
-    def refuse(self, refusal: Refusal) -> PlainResponse:
+    def refuse(self, refusal: RefusalError) -> PlainResponse:
         """Return the response to what is no request, or passes a bound."""
         return PlainResponse(refusal.status, encode(refusal.to_json()))
 
@@ -202,7 +202,7 @@
         self.parser = HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
-        self.waiting: deque[PlainRequest | Refusal] = deque()
+        self.waiting: deque[PlainRequest | RefusalError] = deque()
         self.arrived = asyncio.Event()
         self.serving = False
         self.ended = False
@@ -238,7 +238,9 @@
         except (HttpParserError, HttpParserUpgrade) as error:
             detail = str(error)[:DETAIL_MOST]
             self.refuse(
-                not_run(Reason.BAD_REQUEST, f"the request cannot be read: {detail}")
+                not_run(
+                    RefusalReason.BAD_REQUEST, f"the request cannot be read: {detail}"
+                )
             )
 
     def eof_received(self) -> bool:
@@ -274,13 +276,13 @@
         """Refuse a head that is too large."""
         self.head_size += size
         if self.head_size > HEAD_LIMIT:
-            self.refuse(not_run(Reason.TOO_LARGE, "the head is too large"))
+            self.refuse(not_run(RefusalReason.TOO_LARGE, "the head is too large"))
 
     def on_headers_complete(self) -> None:
         """Refuse a body that is too large; called by the parser."""
         length = self.headers.get(LENGTH, b"0")
         if length.isdigit() and int(length) > self.server.body_limit:
-            self.refuse(not_run(Reason.TOO_LARGE, "the body is too large"))
+            self.refuse(not_run(RefusalReason.TOO_LARGE, "the body is too large"))
 
     def on_body(self, body: bytes) -> None:
         """Keep a part of the body; called by the parser."""
@@ -293,7 +295,7 @@
         if self.refused:
             return
         if len(self.waiting) >= MOST_QUEUED:
-            self.refuse(not_run(Reason.BAD_REQUEST, "too many requests at once"))
+            self.refuse(not_run(RefusalReason.BAD_REQUEST, "too many requests at once"))
             return
         self.waiting.append(
             PlainRequest(
@@ -305,7 +307,7 @@
         )
         self.arrived.set()
 
-    def refuse(self, refusal: Refusal) -> None:
+    def refuse(self, refusal: RefusalError) -> None:
         """Answer with a refusal in its turn, and read no further request."""
         if self.refused:
             return
@@ -333,7 +335,7 @@
             self.await_bytes(self.server.keepalive)
         await self.finish()
 
-    async def next_request(self) -> PlainRequest | Refusal | None:
+    async def next_request(self) -> PlainRequest | RefusalError | None:
         """Return the next request, or None once the client has ended."""
         while not self.waiting:
             if self.ended:
@@ -342,9 +344,9 @@
             await self.arrived.wait()
         return self.waiting.popleft()
 
-    async def answer(self, request: PlainRequest | Refusal) -> PlainResponse:
+    async def answer(self, request: PlainRequest | RefusalError) -> PlainResponse:
         """Return the response to one request."""
-        if isinstance(request, Refusal):
+        if isinstance(request, RefusalError):
             return self.server.refuse(request)
         try:
             return await self.server.handler(request)
--- a/src/reedhook/process/rates/allowances.py
+++ b/src/reedhook/process/rates/allowances.py
@@ -9,7 +9,7 @@
 from ...decisions import Decisions
 from ...metrics import Metrics
 from ...peer import HostRef, PeerError, Peers
-from ...request.refusal import Reason, Refusal, not_run
+from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.workspace import Workspace
 from ...wire import WireError
 from .allowance import Allowance
@@ -115,17 +115,17 @@
         if allowance is not None:
             allowance.left += 1
 
-    def limited(self, name: str, wait: float) -> Refusal:
+    def limited(self, name: str, wait: float) -> RefusalError:
         """Return the refusal of an operation beyond the rate."""
         detail = f"the workspace {name} exceeds its rate"
-        return self.refusal(Reason.RATE_LIMITED, detail, wait)
+        return self.refusal(RefusalReason.RATE_LIMITED, detail, wait)
 
-    def unknown(self, name: str, wait: float) -> Refusal:
+    def unknown(self, name: str, wait: float) -> RefusalError:
         """Return the refusal of an operation that nobody counts."""
         detail = f"no host answers that counts the operations of {name}"
-        return self.refusal(Reason.RATE_UNKNOWN, detail, wait)
+        return self.refusal(RefusalReason.RATE_UNKNOWN, detail, wait)
 
-    def refusal(self, reason: Reason, detail: str, wait: float) -> Refusal:
+    def refusal(self, reason: RefusalReason, detail: str, wait: float) -> RefusalError:
         """Return a refusal, with when to come back."""
         self.metrics.increment(reason.value)
         back = max(RETRY_MS, math.ceil(wait * MILLISECONDS))
@@ -161,7 +161,7 @@
             ask.elsewhere = allowance.untold.get(host.host, 0)
             try:
                 grant = await self.granted(host, ask)
-            except (PeerError, Refusal, WireError) as error:
+            except (PeerError, RefusalError, WireError) as error:
                 self.avoid(host, workspace.name, error)
                 continue
             self.take_over(workspace, rate, allowance, host, grant, asked)
--- a/src/reedhook/process/rates/owner.py
+++ b/src/reedhook/process/rates/owner.py
@@ -146,9 +146,11 @@
             return Grant(0, 1.0)
         now = self.clock.elapsed()
         bucket = self.bucket(workspace, workspace.rate, now)
-        bucket.spend(ask.elsewhere - ask.unused)
-        granted = bucket.take_up_to(ask.count, now)
-        return Grant(granted, bucket.wait() if granted < ask.count else 0.0)
+        bucket.deduct(ask.elsewhere - ask.unused)
+        granted = bucket.acquire_up_to(ask.count, now)
+        return Grant(
+            granted, bucket.seconds_until_available() if granted < ask.count else 0.0
+        )
 
     def reset(self, cause: str) -> None:
         """Begin to count anew, since another host may have counted meanwhile."""
@@ -169,14 +171,14 @@
             bucket = self.buckets[name] = TokenBucket(allowed, burst, now, start)
             self.decisions.note("rate_owner", workspace=name, sole=sole)
         elif sole == (name in self.restricted):
-            bucket.fill(now)
+            bucket.refill(now)
             bucket.level = min(bucket.level, start)
             self.decisions.note("rate_owner", workspace=name, sole=sole)
         if sole:
             self.restricted.discard(name)
         else:
             self.restricted.add(name)
-        bucket.change(allowed, burst, now)
+        bucket.set_rate(allowed, burst, now)
         return bucket
 
     def is_sole(self, name: str) -> bool:
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -14,11 +14,11 @@
 from ..connection.memberhome import MemberHome
 from ..decisions import Decisions
 from ..peer import HostRef, PeerRoutes, Peers
-from ..request.authorization import Authorization
-from ..request.hop import Hops
+from ..request.authorization import Authorizer
+from ..request.hop import StatementForwarder
 from ..request.position import Position
-from ..request.replicas import Replicas
-from ..request.steering import Steering
+from ..request.replicas import ReplicaReader
+from ..request.steering import SessionRouter
 from ..version.registry import RouteTable, TargetEntry
 from ..wire import Json
 from .announced.announcements import Announcements
@@ -275,7 +275,7 @@
             self.clock,
             self.decisions,
         )
-        self.hops = Hops(
+        self.hops = StatementForwarder(
             self.me,
             self.desk,
             self.peers,
@@ -283,7 +283,7 @@
             self.clock,
             self.decisions,
         )
-        self.replicas = Replicas(
+        self.replicas = ReplicaReader(
             self.hops,
             self.desk,
             self.book,
@@ -293,7 +293,7 @@
             self.clock,
             self.decisions,
         )
-        self.steering = Steering(
+        self.steering = SessionRouter(
             self.hops,
             self.replicas,
             self.book,
@@ -302,7 +302,7 @@
             self.clock,
             self.decisions,
         )
-        authorization = Authorization(
+        authorization = Authorizer(
             self.announcements,
             self.freshness,
             self.settings.revoke,
@@ -337,7 +337,7 @@
         self.heartbeats.on_replaced = self.rate_owner.reset
         self.announcements.on_table.append(self.configured)
         self.announcements.on_news.append(self.learned)
-        self.announcements.on_reborn.append(self.replicas.reborn)
+        self.announcements.on_reborn.append(self.replicas.forget_target)
 
     def make_home(
         self,
--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -17,27 +17,37 @@
 from ..version.catalog import Catalog, Group
 from ..version.workspace import Workspace
 from ..wire import Json, encode
-from .body import BEGIN, END, MAX_BODY, READ, STEP, WRITE, Body, Form, parse
-from .credential import authenticate, permit
-from .dispatch import WITHOUT_EFFECT, CatalogSource, Dispatch
-from .execution import Served
-from .handle import Handle, HandleCodec, unknown_transaction
+from .body import (
+    BEGIN_SCHEMA,
+    END_SCHEMA,
+    MAX_BODY_BYTES,
+    READ_SCHEMA,
+    STEP_SCHEMA,
+    WRITE_SCHEMA,
+    BodySchema,
+    RequestBody,
+    parse_body,
+)
+from .credential import authenticate, check_service_access
+from .dispatch import NO_EFFECT_KINDS, CatalogSource, StatementDispatcher
+from .execution import HomeResponse
+from .handle import TransactionHandle, TransactionHandleCodec, unknown_transaction
 from .position import Position
-from .rate import WorkspaceRates
-from .refusal import Reason, Refusal, may_have_run, not_run
+from .rate import LocalRateLimiter
+from .refusal import RefusalError, RefusalReason, may_have_run, not_run
 from .router import Router
-from .statement import Consistency, Kind, Statement
+from .statement import Consistency, Statement, StatementKind
 from .token import SessionToken, TokenCodec
 from .verdict import Verdict
 
-MAX_AHEAD: Final = 300.0
-ISSUE_DIGITS: Final = 13
-ID_SIZE: Final = 24
+MAX_REQUEST_ID_AHEAD_SECONDS: Final = 300.0
+ISSUED_AT_DIGITS: Final = 13
+REQUEST_ID_DIGEST_BYTES: Final = 24
 DRAIN_RETRY_MS: Final = 100
 START_RETRY_MS: Final = 500
 INTERNAL_RETRY_MS: Final = 1000
-BODY_TIMEOUT: Final = 10.0
-IDENTITY: Final = "identity"
+BODY_TIMEOUT_SECONDS: Final = 10.0
+IDENTITY_ENCODING: Final = "identity"
 JSON_TYPE: Final = "application/json"
 
 Handler: TypeAlias = Callable[[web.BaseRequest], Awaitable[web.Response]]
@@ -45,15 +55,23 @@
 log = logbook.Logger("api")
 
 
-class Ask:
+class RequestContext:
     """Keep what is known of one request while it is answered.
 
-    :param text: the token as it was given, if one was.
-    :ivar sent: whether it was handed on, so that it may have run.
+    :param token_text: the token as it was given, if one was.
+    :ivar forwarded: whether it was handed on, so that it may have run.
     :ivar kind: what it does.
     """
 
-    __slots__ = ("workspace", "catalog", "group", "token", "text", "kind", "sent")
+    __slots__ = (
+        "workspace",
+        "catalog",
+        "group",
+        "token",
+        "token_text",
+        "kind",
+        "forwarded",
+    )
 
     def __init__(
         self,
@@ -61,20 +79,20 @@
         catalog: Catalog,
         group: Group,
         token: SessionToken,
-        text: str | None,
-        kind: Kind,
+        token_text: str | None,
+        kind: StatementKind,
     ) -> None:
         self.workspace = workspace
         self.catalog = catalog
         self.group = group
         self.token = token
-        self.text = text
+        self.token_text = token_text
         self.kind = kind
-        self.sent = False
+        self.forwarded = False
 
 
-ASK: Final = web.RequestKey("ask", Ask)
-TRANSACTION: Final = web.RequestKey("transaction", str)
+REQUEST_CONTEXT: Final = web.RequestKey("ask", RequestContext)
+TRANSACTION_HANDLE: Final = web.RequestKey("transaction", str)
 
 
 class Api:
@@ -87,7 +105,7 @@
     :param me: this host.
     :param secrets: secrets of session tokens and transaction handles, shared
         by all hosts; the first one signs.
-    :ivar active: requests in progress.
+    :ivar active_requests: requests in progress.
     :ivar leaving: whether the balancer should send callers elsewhere.
     :ivar draining: whether only open transactions are still served.
     """
@@ -102,8 +120,8 @@
         "rates",
         "clock",
         "metrics",
-        "max_body",
-        "active",
+        "max_body_bytes",
+        "active_requests",
         "leaving",
         "draining",
     )
@@ -113,59 +131,61 @@
         me: HostRef,
         catalog: CatalogSource,
         router: Router,
-        dispatch: Dispatch,
+        dispatch: StatementDispatcher,
         secrets: tuple[bytes, ...],
         clock: Clock,
         metrics: Metrics,
-        max_body: int = MAX_BODY,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
         self.me = me
         self.catalog = catalog
         self.router = router
         self.dispatch = dispatch
         self.tokens = TokenCodec(secrets)
-        self.handles = HandleCodec(secrets)
-        self.rates = WorkspaceRates()
+        self.handles = TransactionHandleCodec(secrets)
+        self.rates = LocalRateLimiter()
         self.clock = clock
         self.metrics = metrics
-        self.max_body = max_body
-        self.active = 0
+        self.max_body_bytes = max_body_bytes
+        self.active_requests = 0
         self.leaving = False
         self.draining = False
 
     async def read(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/read``."""
-        body, ask = await self.opened(request, READ, Kind.READ)
-        statement = self.statement(ask, body)
+        body, ask = await self.open_request(request, READ_SCHEMA, StatementKind.READ)
+        statement = self.build_statement(ask, body)
         set_consistency(statement, body, ask.catalog)
-        return self.answer(ask, await self.run(ask, statement, True))
+        return self.build_response(ask, await self.run(ask, statement, True))
 
     async def write(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/write``."""
-        body, ask = await self.opened(request, WRITE, Kind.WRITE)
-        statement = self.statement(ask, body)
-        statement.request_id = self.request_id(ask.workspace, body)
-        return self.answer(ask, await self.run(ask, statement, True))
+        body, ask = await self.open_request(request, WRITE_SCHEMA, StatementKind.WRITE)
+        statement = self.build_statement(ask, body)
+        statement.request_id = self.scoped_request_id(ask.workspace, body)
+        return self.build_response(ask, await self.run(ask, statement, True))
 
     async def begin(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/transactions``."""
-        body, ask = await self.opened(request, BEGIN, Kind.BEGIN)
-        statement = self.statement(ask, body)
-        statement.request_id = self.request_id(ask.workspace, body)
+        body, ask = await self.open_request(request, BEGIN_SCHEMA, StatementKind.BEGIN)
+        statement = self.build_statement(ask, body)
+        statement.request_id = self.scoped_request_id(ask.workspace, body)
         served = await self.run(ask, statement, True)
-        return self.answer(ask, served, self.new_handle(ask, statement, served))
+        return self.build_response(ask, served, self.new_handle(ask, statement, served))
 
     async def step(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/transactions/{id}/statements``."""
-        return await self.continued(request, STEP, Kind.STEP)
+        return await self.run_in_transaction(request, STEP_SCHEMA, StatementKind.STEP)
 
     async def commit(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/transactions/{id}/commit``."""
-        return await self.continued(request, END, Kind.COMMIT)
+        return await self.run_in_transaction(request, END_SCHEMA, StatementKind.COMMIT)
 
     async def rollback(self, request: web.BaseRequest) -> web.Response:
         """Answer ``POST /v1/transactions/{id}/rollback``."""
-        return await self.continued(request, END, Kind.ROLLBACK)
+        return await self.run_in_transaction(
+            request, END_SCHEMA, StatementKind.ROLLBACK
+        )
 
     async def health(self, request: web.BaseRequest) -> web.Response:
         """Answer ``GET /v1/health`` for the platform's balancer."""
@@ -181,53 +201,57 @@
         }
         return respond(200 if status == "ok" else 503, message)
 
-    async def opened(
-        self, request: web.BaseRequest, form: Form, kind: Kind
-    ) -> tuple[Body, Ask]:
+    async def open_request(
+        self, request: web.BaseRequest, schema: BodySchema, kind: StatementKind
+    ) -> tuple[RequestBody, RequestContext]:
         """Check a request that names its group.
 
         :raises Refusal: if anything is wrong with it; nothing was run.
         """
         if self.draining:
-            raise not_run(Reason.DRAINING, "this host is leaving", DRAIN_RETRY_MS)
-        catalog, workspace = self.admitted(request)
-        body = parse(form, await read_body(request, self.max_body))
-        group = group_of(body, catalog, workspace)
-        return body, self.ask(request, workspace, catalog, group, body, kind)
-
-    async def continued(
-        self, request: web.BaseRequest, form: Form, kind: Kind
+            raise not_run(
+                RefusalReason.DRAINING, "this host is leaving", DRAIN_RETRY_MS
+            )
+        catalog, workspace = self.admit_request(request)
+        body = parse_body(schema, await read_body(request, self.max_body_bytes))
+        group = resolve_group(body, catalog, workspace)
+        return body, self.new_context(request, workspace, catalog, group, body, kind)
+
+    async def run_in_transaction(
+        self, request: web.BaseRequest, schema: BodySchema, kind: StatementKind
     ) -> web.Response:
         """Run a statement of an open transaction at the host that holds it."""
-        catalog, workspace = self.admitted(request)
-        body = parse(form, await read_body(request, self.max_body))
-        handle = self.handles.decode(request[TRANSACTION], workspace.name)
+        catalog, workspace = self.admit_request(request)
+        body = parse_body(schema, await read_body(request, self.max_body_bytes))
+        handle = self.handles.decode(request[TRANSACTION_HANDLE], workspace.name)
         group = catalog.groups.get(handle.group)
         if group is None:
             raise unknown_transaction()
-        permit(workspace, group)
-        ask = self.ask(request, workspace, catalog, group, body, kind)
-        statement = self.statement(ask, body)
+        check_service_access(workspace, group)
+        ask = self.new_context(request, workspace, catalog, group, body, kind)
+        statement = self.build_statement(ask, body)
         statement.transaction = handle.transaction
-        ask.sent = True
-        served = await self.at_home(handle, statement)
-        open_still = request[TRANSACTION] if kind is Kind.STEP else None
-        return self.answer(ask, served, open_still)
-
-    async def at_home(self, handle: Handle, statement: Statement) -> Served:
+        ask.forwarded = True
+        served = await self.execute_at_holder(handle, statement)
+        open_still = request[TRANSACTION_HANDLE] if kind is StatementKind.STEP else None
+        return self.build_response(ask, served, open_still)
+
+    async def execute_at_holder(
+        self, handle: TransactionHandle, statement: Statement
+    ) -> HomeResponse:
         """Run a statement of a transaction where it was begun, once.
 
         A commit whose transaction is no longer known may have run before.
         """
         try:
             return await self.dispatch.execute_at(handle.host, handle.member, statement)
-        except Refusal as refusal:
-            forgotten = refusal.reason is Reason.UNKNOWN_TRANSACTION
-            if forgotten and statement.kind is Kind.COMMIT:
+        except RefusalError as refusal:
+            forgotten = refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
+            if forgotten and statement.kind is StatementKind.COMMIT:
                 raise may_have_run(refusal.reason, refusal.detail) from refusal
             raise
 
-    def admitted(self, request: web.BaseRequest) -> tuple[Catalog, Workspace]:
+    def admit_request(self, request: web.BaseRequest) -> tuple[Catalog, Workspace]:
         """Return the configuration and the workspace that sent a request.
 
         :raises Refusal: if it is not to be served; nothing was run.
@@ -235,7 +259,7 @@
         catalog = self.catalog()
         if catalog is None:
             raise not_run(
-                Reason.NO_CONFIGURATION,
+                RefusalReason.NO_CONFIGURATION,
                 "no configuration is in force yet",
                 START_RETRY_MS,
             )
@@ -243,44 +267,46 @@
         self.rates.admit(workspace, self.clock.monotonic())
         return catalog, workspace
 
-    def ask(
+    def new_context(
         self,
         request: web.BaseRequest,
         workspace: Workspace,
         catalog: Catalog,
         group: Group,
-        body: Body,
-        kind: Kind,
-    ) -> Ask:
+        body: RequestBody,
+        kind: StatementKind,
+    ) -> RequestContext:
         """Return the request as it is answered, with its session token."""
         if body.token is None:
             token = SessionToken(workspace.name, group.service)
         else:
             token = self.tokens.decode(body.token, workspace.name, group.service)
-        ask = Ask(workspace, catalog, group, token, body.token, kind)
-        request[ASK] = ask
+        ask = RequestContext(workspace, catalog, group, token, body.token, kind)
+        request[REQUEST_CONTEXT] = ask
         return ask
 
-    def statement(self, ask: Ask, body: Body) -> Statement:
+    def build_statement(self, context: RequestContext, body: RequestBody) -> Statement:
         """Return the statement of a request."""
-        deadline_ms = body.deadline_ms or ask.catalog.limits.deadline_ms
+        deadline_ms = body.deadline_ms or context.catalog.limits.deadline_ms
         return Statement(
-            kind=ask.kind,
-            group=ask.group.name,
-            caller=ask.workspace.name,
+            kind=context.kind,
+            group=context.group.name,
+            caller=context.workspace.name,
             sql=body.sql,
             params=body.params,
             remaining=deadline_ms / 1000.0,
-            priority=ask.workspace.priority,
-            covers=ask.token.positions.get(ask.group.name),
+            priority=context.workspace.priority,
+            min_position=context.token.positions.get(context.group.name),
         )
 
-    async def run(self, ask: Ask, statement: Statement, repeatable: bool) -> Served:
+    async def run(
+        self, context: RequestContext, statement: Statement, repeatable: bool
+    ) -> HomeResponse:
         """Hand a statement on to the router."""
-        ask.sent = True
-        return await self.router.run(ask.group, statement, repeatable)
+        context.forwarded = True
+        return await self.router.run(context.group, statement, repeatable)
 
-    def request_id(self, workspace: Workspace, body: Body) -> str | None:
+    def scoped_request_id(self, workspace: Workspace, body: RequestBody) -> str | None:
         """Return the request id as targets record it.
 
         It is made of the caller's id and the workspace, so that no workspace can reach
@@ -291,51 +317,58 @@
         given = body.request_id
         if given is None:
             return None
-        issued = given[:ISSUE_DIGITS]
-        if int(issued) / 1000.0 > self.clock.wall() + MAX_AHEAD:
+        issued = given[:ISSUED_AT_DIGITS]
+        if int(issued) / 1000.0 > self.clock.wall() + MAX_REQUEST_ID_AHEAD_SECONDS:
             raise not_run(
-                Reason.BAD_REQUEST, "request_id was issued too far in the future"
+                RefusalReason.BAD_REQUEST, "request_id was issued too far in the future"
             )
-        scoped = blake2b(f"{workspace.name}\0{given}".encode(), digest_size=ID_SIZE)
+        scoped = blake2b(
+            f"{workspace.name}\0{given}".encode(), digest_size=REQUEST_ID_DIGEST_BYTES
+        )
         return f"{issued}-{scoped.hexdigest()}"
 
-    def new_handle(self, ask: Ask, statement: Statement, served: Served) -> str | None:
+    def new_handle(
+        self, context: RequestContext, statement: Statement, home_response: HomeResponse
+    ) -> str | None:
         """Return the handle of the transaction that was begun.
 
         There is none if the request id had run: its answer is that of the
         earlier commit.
         """
-        if served.answer.repeated or statement.transaction is None:
+        if home_response.result.repeated or statement.transaction is None:
             return None
-        assert served.host is not None
+        assert home_response.host is not None
         return self.handles.encode(
-            Handle(
-                ask.workspace.name,
-                ask.group.name,
-                served.answer.target,
-                served.host,
+            TransactionHandle(
+                context.workspace.name,
+                context.group.name,
+                home_response.result.target,
+                home_response.host,
                 statement.transaction,
             )
         )
 
-    def answer(
-        self, ask: Ask, served: Served, transaction: str | None = None
+    def build_response(
+        self,
+        context: RequestContext,
+        home_response: HomeResponse,
+        transaction: str | None = None,
     ) -> web.Response:
         """Return the response with a token that covers what it shows."""
-        answer = served.answer
+        answer = home_response.result
         age = answer.age
-        self.metrics.increment(f"api.{ask.kind.value}.{answer.role}")
+        self.metrics.increment(f"api.{context.kind.value}.{answer.role}")
         message: Json = {
             "verdict": Verdict.DONE.value,
             "columns": answer.columns,
             "rows": answer.rows,
             "rowcount": answer.rowcount,
-            "token": self.token_after(ask, answer.position),
+            "token": self.token_after(context, answer.position),
             "age_ms": None if age is None else round(age * 1000.0, 3),
             "target": answer.target,
             "role": answer.role,
             "host": self.me.host,
-            "home": served.host.host if served.host else None,
+            "home": home_response.host.host if home_response.host else None,
             "term": answer.position.term,
             "position": answer.position.to_json(),
             "repeated": answer.repeated,
@@ -344,41 +377,41 @@
             message["transaction"] = transaction
         return respond(200, message)
 
-    def token_after(self, ask: Ask, position: Position) -> str:
+    def token_after(self, context: RequestContext, position: Position) -> str:
         """Return a token that also covers `position`."""
-        token = ask.token.advanced(ask.group.name, position)
-        if token is ask.token and ask.text is not None:
-            return ask.text
+        token = context.token.advanced(context.group.name, position)
+        if token is context.token and context.token_text is not None:
+            return context.token_text
         return self.tokens.encode(token)
 
 
-def typed(api: Api, handler: Handler) -> Handler:
+def refuse_on_error(api: Api, handler: Handler) -> Handler:
     """Answer with a typed refusal whatever `handler` raises."""
 
     async def answer(request: web.BaseRequest) -> web.Response:
-        api.active += 1
+        api.active_requests += 1
         try:
             return await handler(request)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             api.metrics.increment(f"api.refused.{refusal.reason.value}")
             return respond_refused(refusal)
         except Exception:
             api.metrics.increment("api.refused.internal")
             log.exception("A request failed unexpectedly.")
-            return respond_refused(unexpected(request))
+            return respond_refused(internal_error_refusal(request))
         finally:
-            api.active -= 1
+            api.active_requests -= 1
 
     return answer
 
 
-def unexpected(request: web.BaseRequest) -> Refusal:
+def internal_error_refusal(request: web.BaseRequest) -> RefusalError:
     """Return the refusal for an error of this host itself."""
-    ask = request.get(ASK)
+    ask = request.get(REQUEST_CONTEXT)
     detail = "this host failed; its log says more"
-    if ask is not None and ask.sent and ask.kind not in WITHOUT_EFFECT:
-        return may_have_run(Reason.INTERNAL, detail, INTERNAL_RETRY_MS)
-    return not_run(Reason.INTERNAL, detail, INTERNAL_RETRY_MS)
+    if ask is not None and ask.sent and ask.kind not in NO_EFFECT_KINDS:
+        return may_have_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
+    return not_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
 
 
 def respond(status: int, message: Json) -> web.Response:
@@ -386,13 +419,13 @@
     return web.Response(status=status, body=encode(message), content_type=JSON_TYPE)
 
 
-def respond_refused(refusal: Refusal) -> web.Response:
+def respond_refused(refusal: RefusalError) -> web.Response:
     """Return the response that carries a refusal."""
     response = respond(refusal.status, refusal.to_json())
     if refusal.retry_after_ms is not None:
         seconds = ceil(refusal.retry_after_ms / 1000.0)
         response.headers["Retry-After"] = str(seconds)
-    if refusal.reason is Reason.UNAUTHENTICATED:
+    if refusal.reason is RefusalReason.UNAUTHENTICATED:
         response.headers["WWW-Authenticate"] = "Bearer"
     return response
 
@@ -402,8 +435,8 @@
 
     :raises Refusal: if a bound is passed or the body is cut short.
     """
-    if request.headers.get(CONTENT_ENCODING, IDENTITY) != IDENTITY:
-        raise not_run(Reason.BAD_REQUEST, "compressed bodies are not accepted")
+    if request.headers.get(CONTENT_ENCODING, IDENTITY_ENCODING) != IDENTITY_ENCODING:
+        raise not_run(RefusalReason.BAD_REQUEST, "compressed bodies are not accepted")
     size = request.content_length
     if size is not None and size > limit:
         raise too_large(limit)
@@ -411,25 +444,29 @@
         if request.content.is_eof():
             raw = await request.read()
         else:
-            async with asyncio.timeout(BODY_TIMEOUT):
+            async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
                 raw = await request.read()
     except web.HTTPRequestEntityTooLarge as error:
         raise too_large(limit) from error
     except TimeoutError as error:
-        raise not_run(Reason.BAD_REQUEST, "the body did not arrive in time") from error
+        raise not_run(
+            RefusalReason.BAD_REQUEST, "the body did not arrive in time"
+        ) from error
     except (web.RequestPayloadError, ConnectionError) as error:
-        raise not_run(Reason.BAD_REQUEST, "the body could not be read") from error
+        raise not_run(
+            RefusalReason.BAD_REQUEST, "the body could not be read"
+        ) from error
     if len(raw) > limit:
         raise too_large(limit)
     return raw
 
 
-def too_large(limit: int) -> Refusal:
+def too_large(limit: int) -> RefusalError:
     """Return the refusal of a body beyond `limit` bytes."""
-    return not_run(Reason.TOO_LARGE, f"a body may hold at most {limit} bytes")
+    return not_run(RefusalReason.TOO_LARGE, f"a body may hold at most {limit} bytes")
 
 
-def group_of(body: Body, catalog: Catalog, workspace: Workspace) -> Group:
+def resolve_group(body: RequestBody, catalog: Catalog, workspace: Workspace) -> Group:
     """Return the group that a request names, by name or by service and key.
 
     :raises Refusal: if there is none, or the workspace may not use it.
@@ -439,27 +476,29 @@
         assert body.service is not None and body.key is not None
         if not workspace.may_use(body.service):
             raise not_run(
-                Reason.FORBIDDEN,
+                RefusalReason.FORBIDDEN,
                 f"the workspace {workspace.name} may not use {body.service}",
             )
-        name = group_of_key(catalog, body.service, body.key)
+        name = group_for_key(catalog, body.service, body.key)
     group = catalog.groups.get(name)
     if group is None:
-        raise not_run(Reason.UNKNOWN_GROUP, f"the group {name} is not known")
-    permit(workspace, group)
+        raise not_run(RefusalReason.UNKNOWN_GROUP, f"the group {name} is not known")
+    check_service_access(workspace, group)
     return group
 
 
-def group_of_key(catalog: Catalog, service: str, key: str) -> str:
+def group_for_key(catalog: Catalog, service: str, key: str) -> str:
     """Return the name of the group of `service` that holds `key`."""
     names = [one.name for one in catalog.groups.values() if one.service == service]
     if not names:
-        raise not_run(Reason.UNKNOWN_GROUP, f"the service {service} has no groups")
+        raise not_run(
+            RefusalReason.UNKNOWN_GROUP, f"the service {service} has no groups"
+        )
     names.sort()
     return names[xxh3_64_intdigest(key.encode()) % len(names)]
 
 
-def set_consistency(statement: Statement, body: Body, catalog: Catalog) -> None:
+def set_consistency(statement: Statement, body: RequestBody, catalog: Catalog) -> None:
     """Set what a read demands."""
     statement.consistency = Consistency(body.consistency or Consistency.SESSION)
     if statement.consistency is not Consistency.MAX_AGE:
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -8,17 +8,17 @@
 from ..process.announced.freshness import Freshness
 from ..version.registry import Route
 from ..version.workspace import LONGEST_KEY, Workspace, key_digest, shown
-from .refusal import Reason, Refusal, not_run
+from .refusal import RefusalError, RefusalReason, not_run
 
-REVOKE_MARGIN: Final = 0.25
+REVOCATION_MARGIN_SECONDS: Final = 0.25
 """Seconds by which a host knows the keys younger than it has to: far more than two
 clocks that count the same seconds drift apart in between."""
 
-RETRY_MS: Final = 250
+RETRY_AFTER_MS: Final = 250
 """When to come back to a host that cannot prove its keys, in milliseconds."""
 
 
-class Authorization:
+class Authorizer:
     """Find the workspace of a caller, on proof that its key was not taken away.
 
     A request that arrives was sent earlier, so that a key which was taken away more
@@ -26,7 +26,7 @@
     younger than `revoke` covers. The look at a statement's arrival decides: whatever
     happens to it later, it was sent before.
 
-    :param revoke: seconds after which a key that was taken away opens nothing; None
+    :param revocation_seconds: seconds after which a key that was taken away opens nothing; None
         where that is not bounded.
     """
 
@@ -34,17 +34,17 @@
         self,
         announcements: Announcements,
         freshness: Freshness,
-        revoke: float | None,
+        revocation_seconds: float | None,
         decisions: Decisions,
         metrics: Metrics,
     ) -> None:
         self.announcements = announcements
         self.freshness = freshness
-        self.revoke = revoke
+        self.revocation_seconds = revocation_seconds
         self.decisions = decisions
         self.metrics = metrics
 
-    def open(self, route: Route, key: str) -> str:
+    def authorize_session(self, route: Route, key: str) -> str:
         """Return the digest of the key with which a session is opened.
 
         :raises Refusal: not run, if it opens nothing.
@@ -52,10 +52,10 @@
         if route.public:
             return ""
         digest = key_digest(key) if 0 < len(key) <= LONGEST_KEY else ""
-        self.workspace(route, digest)
+        self.authorize_statement(route, digest)
         return digest
 
-    def workspace(self, route: Route, digest: str) -> Workspace | None:
+    def authorize_statement(self, route: Route, digest: str) -> Workspace | None:
         """Return the workspace whose work a statement is; None where none is named.
 
         :raises Refusal: not run, if the key is not known, or this host cannot prove
@@ -63,22 +63,22 @@
         """
         if route.public:
             return None
-        self.check_age(route, digest)
+        self.check_key_freshness(route, digest)
         found = self.announcements.table.workspaces.holder(digest)
         if found is None:
-            raise self.denied(route, digest)
+            raise self.unknown_key_refusal(route, digest)
         return found
 
-    def check_age(self, route: Route, digest: str) -> None:
+    def check_key_freshness(self, route: Route, digest: str) -> None:
         """Refuse where a key may have been taken away unnoticed.
 
         :raises Refusal: not run.
         """
-        if self.revoke is None:
+        if self.revocation_seconds is None:
             return
         age = self.freshness.age()
         self.metrics.timing("keys.age", age)
-        if age < self.revoke - REVOKE_MARGIN:
+        if age < self.revocation_seconds - REVOCATION_MARGIN_SECONDS:
             return
         self.metrics.increment("keys_unproved")
         self.decisions.note(
@@ -90,12 +90,12 @@
             configuration=self.announcements.table.version,
         )
         raise not_run(
-            Reason.KEYS_UNPROVED,
+            RefusalReason.KEYS_UNPROVED,
             "this host has not heard of the keys for too long",
-            RETRY_MS,
+            RETRY_AFTER_MS,
         )
 
-    def denied(self, route: Route, digest: str) -> Refusal:
+    def unknown_key_refusal(self, route: Route, digest: str) -> RefusalError:
         """Return the refusal of a caller whose key nobody holds."""
         self.metrics.increment("denied")
         self.decisions.note(
@@ -105,4 +105,4 @@
             age=round(min(self.freshness.age(), 1e6), 3),
             configuration=self.announcements.table.version,
         )
-        return not_run(Reason.UNAUTHENTICATED, "the key is not known")
+        return not_run(RefusalReason.UNAUTHENTICATED, "the key is not known")
--- a/src/reedhook/request/body.py
+++ b/src/reedhook/request/body.py
@@ -10,50 +10,56 @@
 
 from ..record import Record
 from ..wire import Json, WireError, decode
-from .refusal import Reason, not_run
+from .refusal import RefusalReason, not_run
 from .statement import Consistency
 
-MAX_BODY: Final = 1_048_576
-MAX_SQL: Final = 65_536
+MAX_BODY_BYTES: Final = 1_048_576
+MAX_SQL_CHARACTERS: Final = 65_536
 MAX_PARAMS: Final = 1_000
-MAX_NAME: Final = 256
+MAX_NAME_CHARACTERS: Final = 256
 MAX_DEADLINE_MS: Final = 60_000
 MAX_AGE_MS: Final = 86_400_000
-INT64: Final = 2**63
-REQUEST_ID: Final = re.compile(r"[0-9]{13}-[A-Za-z0-9_-]{8,64}")
+INT64_LIMIT: Final = 2**63
+REQUEST_ID_PATTERN: Final = re.compile(r"[0-9]{13}-[A-Za-z0-9_-]{8,64}")
 CONSISTENCIES: Final = frozenset(one.value for one in Consistency)
 
 Check: TypeAlias = Callable[[Any], str | None]
 
 
-class Form(Record):
+class BodySchema(Record):
     """Describe the body that an entry of the callers' interface takes.
 
-    :param allowed: names of the fields it may have.
-    :param sql: whether a statement must be given.
-    :param group: whether the group must be named.
-    :param identity: whether a write must say how it may be repeated.
-    :param empty: whether the body may be left out.
+    :param allowed_fields: names of the fields it may have.
+    :param requires_sql: whether a statement must be given.
+    :param requires_group: whether the group must be named.
+    :param requires_idempotency: whether a write must say how it may be repeated.
+    :param allows_empty: whether the body may be left out.
     """
 
-    __slots__ = ("allowed", "sql", "group", "identity", "empty")
+    __slots__ = (
+        "allowed_fields",
+        "requires_sql",
+        "requires_group",
+        "requires_idempotency",
+        "allows_empty",
+    )
 
     def __init__(
         self,
-        allowed: frozenset[str],
-        sql: bool = False,
-        group: bool = False,
-        identity: bool = False,
-        empty: bool = False,
+        allowed_fields: frozenset[str],
+        requires_sql: bool = False,
+        requires_group: bool = False,
+        requires_idempotency: bool = False,
+        allows_empty: bool = False,
     ) -> None:
-        self.allowed = allowed
-        self.sql = sql
-        self.group = group
-        self.identity = identity
-        self.empty = empty
+        self.allowed_fields = allowed_fields
+        self.requires_sql = requires_sql
+        self.requires_group = requires_group
+        self.requires_idempotency = requires_idempotency
+        self.allows_empty = allows_empty
 
 
-class Body(Record):
+class RequestBody(Record):
     """Carry the checked fields of a request; None stands for absent."""
 
     __slots__ = (
@@ -85,57 +91,57 @@
         self.idempotent: bool = get("idempotent") or False
 
 
-def parse(form: Form, raw: bytes) -> Body:
+def parse_body(schema: BodySchema, raw: bytes) -> RequestBody:
     """Read and check the body of a request.
 
     :raises Refusal: ``bad_request``, with every error that was found.
     """
-    fields = fields_of(form, raw)
-    errors = field_errors(form, fields)
-    body = Body(fields)
+    fields = decode_fields(schema, raw)
+    errors = field_errors(schema, fields)
+    body = RequestBody(fields)
     if not errors:
-        errors = joint_errors(form, body)
+        errors = cross_field_errors(schema, body)
     if errors:
-        raise not_run(Reason.BAD_REQUEST, "; ".join(errors))
+        raise not_run(RefusalReason.BAD_REQUEST, "; ".join(errors))
     return body
 
 
-def fields_of(form: Form, raw: bytes) -> Json:
+def decode_fields(schema: BodySchema, raw: bytes) -> Json:
     """Decode the body; ending a transaction needs none."""
-    if not raw and form.empty:
+    if not raw and schema.allows_empty:
         return {}
     try:
         return decode(raw)
     except WireError as error:
-        raise not_run(Reason.BAD_REQUEST, f"the body is {error}") from error
+        raise not_run(RefusalReason.BAD_REQUEST, f"the body is {error}") from error
 
 
-def field_errors(form: Form, fields: Json) -> list[str]:
+def field_errors(schema: BodySchema, fields: Json) -> list[str]:
     """Return what is wrong with single fields."""
     errors = []
     for name, value in fields.items():
-        if name not in form.allowed:
-            errors.append(f"the field {name[:MAX_NAME]!r} is unknown here")
-        elif value is not None and (error := CHECKS[name](value)) is not None:
+        if name not in schema.allowed_fields:
+            errors.append(f"the field {name[:MAX_NAME_CHARACTERS]!r} is unknown here")
+        elif value is not None and (error := FIELD_CHECKS[name](value)) is not None:
             errors.append(f"{name} {error}")
     return errors
 
 
-def joint_errors(form: Form, body: Body) -> list[str]:
+def cross_field_errors(schema: BodySchema, body: RequestBody) -> list[str]:
     """Return what is wrong with fields taken together."""
     errors = []
-    if form.sql and not body.sql:
+    if schema.requires_sql and not body.sql:
         errors.append("sql is missing")
-    if form.group and not names_group(body):
+    if schema.requires_group and not names_group(body):
         errors.append("either group, or service with key, must be given")
-    if form.identity and (body.request_id is not None) == body.idempotent:
+    if schema.requires_idempotency and (body.request_id is not None) == body.idempotent:
         errors.append("either request_id or idempotent: true must be given")
     if body.max_age_ms is not None and body.consistency != Consistency.MAX_AGE:
         errors.append("max_age_ms goes with consistency max_age only")
     return errors
 
 
-def names_group(body: Body) -> bool:
+def names_group(body: RequestBody) -> bool:
     """Say whether the body names its group in exactly one way."""
     if body.group is not None:
         return body.service is None and body.key is None
@@ -144,15 +150,15 @@
 
 def check_name(value: Any) -> str | None:
     """Return what is wrong with a name, or None."""
-    if isinstance(value, str) and 0 < len(value) <= MAX_NAME:
+    if isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS:
         return None
-    return f"must be a text of 1 to {MAX_NAME} characters"
+    return f"must be a text of 1 to {MAX_NAME_CHARACTERS} characters"
 
 
 def check_sql(value: Any) -> str | None:
     """Return what is wrong with the text of a statement, or None."""
-    if not isinstance(value, str) or len(value) > MAX_SQL:
-        return f"must be a text of at most {MAX_SQL} characters"
+    if not isinstance(value, str) or len(value) > MAX_SQL_CHARACTERS:
+        return f"must be a text of at most {MAX_SQL_CHARACTERS} characters"
     if "\0" in value:
         return "must not hold the character NUL"
     return None
@@ -163,7 +169,7 @@
     if not isinstance(value, list) or len(value) > MAX_PARAMS:
         return f"must be a list of at most {MAX_PARAMS} values"
     for one in value:
-        if isinstance(one, int) and not -INT64 <= one < INT64:
+        if isinstance(one, int) and not -INT64_LIMIT <= one < INT64_LIMIT:
             return "holds a whole number beyond 64 bits"
         if isinstance(one, (list, dict)):
             return "may hold texts, numbers, true, false and null only"
@@ -189,7 +195,7 @@
 
 def check_request_id(value: Any) -> str | None:
     """Return what is wrong with the id of a request, or None."""
-    if isinstance(value, str) and REQUEST_ID.fullmatch(value):
+    if isinstance(value, str) and REQUEST_ID_PATTERN.fullmatch(value):
         return None
     return "must be 13 digits of milliseconds, a dash and 8 to 64 of A-Za-z0-9_-"
 
@@ -212,7 +218,7 @@
     return f"must be a number from {low} to {high}"
 
 
-CHECKS: Final[dict[str, Check]] = {
+FIELD_CHECKS: Final[dict[str, Check]] = {
     "group": check_name,
     "service": check_name,
     "key": check_name,
@@ -225,16 +231,25 @@
     "request_id": check_request_id,
     "idempotent": check_flag,
 }
-TARGETING: Final = frozenset({"group", "service", "key", "token", "deadline_ms"})
-IDENTITY: Final = frozenset({"request_id", "idempotent"})
-STATEMENT: Final = frozenset({"sql", "params"})
-ENDING: Final = frozenset({"token", "deadline_ms"})
-READ: Final = Form(
-    TARGETING | STATEMENT | {"consistency", "max_age_ms"}, sql=True, group=True
+ROUTING_FIELDS: Final = frozenset({"group", "service", "key", "token", "deadline_ms"})
+IDEMPOTENCY_FIELDS: Final = frozenset({"request_id", "idempotent"})
+STATEMENT_FIELDS: Final = frozenset({"sql", "params"})
+IN_TRANSACTION_FIELDS: Final = frozenset({"token", "deadline_ms"})
+READ_SCHEMA: Final = BodySchema(
+    ROUTING_FIELDS | STATEMENT_FIELDS | {"consistency", "max_age_ms"},
+    requires_sql=True,
+    requires_group=True,
+)
+WRITE_SCHEMA: Final = BodySchema(
+    ROUTING_FIELDS | STATEMENT_FIELDS | IDEMPOTENCY_FIELDS,
+    requires_sql=True,
+    requires_group=True,
+    requires_idempotency=True,
+)
+BEGIN_SCHEMA: Final = BodySchema(
+    ROUTING_FIELDS | IDEMPOTENCY_FIELDS, requires_group=True, requires_idempotency=True
 )
-WRITE: Final = Form(
-    TARGETING | STATEMENT | IDENTITY, sql=True, group=True, identity=True
+STEP_SCHEMA: Final = BodySchema(
+    STATEMENT_FIELDS | IN_TRANSACTION_FIELDS, requires_sql=True
 )
-BEGIN: Final = Form(TARGETING | IDENTITY, group=True, identity=True)
-STEP: Final = Form(STATEMENT | ENDING, sql=True)
-END: Final = Form(ENDING, empty=True)
+END_SCHEMA: Final = BodySchema(IN_TRANSACTION_FIELDS, allows_empty=True)
--- a/src/reedhook/request/command.py
+++ b/src/reedhook/request/command.py
@@ -5,7 +5,7 @@
 from ..record import Record
 
 
-class CommandKind(str, Enum):
+class SessionCommandKind(str, Enum):
     """Name what a command does."""
 
     READ = "read"
@@ -21,7 +21,7 @@
     MALFORMED = "malformed"
 
 
-class Command(Record):
+class SessionCommand(Record):
     """Carry one command.
 
     :param text: what a target is sent, to the letter as the caller sent it.
@@ -32,7 +32,7 @@
     __slots__ = ("kind", "text", "name", "writes")
 
     def __init__(
-        self, kind: CommandKind, text: str, name: str = "", writes: bool = False
+        self, kind: SessionCommandKind, text: str, name: str = "", writes: bool = False
     ) -> None:
         self.kind = kind
         self.text = text
--- a/src/reedhook/request/credential.py
+++ b/src/reedhook/request/credential.py
@@ -5,10 +5,10 @@
 
 from ..version.catalog import Catalog, Group
 from ..version.workspace import Workspace
-from .refusal import Reason, not_run
+from .refusal import RefusalReason, not_run
 
 SCHEME: Final = "bearer"
-MAX_CREDENTIAL: Final = 1024
+MAX_CREDENTIAL_CHARACTERS: Final = 1024
 
 
 def authenticate(header: str | None, catalog: Catalog) -> Workspace:
@@ -18,36 +18,38 @@
 
     :raises Refusal: ``unauthenticated`` if it proves none.
     """
-    digest = hashlib.sha256(bearer(header)).hexdigest()
+    digest = hashlib.sha256(bearer_credential(header)).hexdigest()
     found = catalog.workspaces.holder(digest)
     if found is None:
-        raise not_run(Reason.UNAUTHENTICATED, "the credential is not known")
+        raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is not known")
     return found
 
 
-def bearer(header: str | None) -> bytes:
+def bearer_credential(header: str | None) -> bytes:
     """Return the credential of an ``Authorization`` header."""
     if header is None:
-        raise not_run(Reason.UNAUTHENTICATED, "the header Authorization is missing")
+        raise not_run(
+            RefusalReason.UNAUTHENTICATED, "the header Authorization is missing"
+        )
     scheme, _, credential = header.partition(" ")
     credential = credential.strip()
     if scheme.lower() != SCHEME or not credential:
         raise not_run(
-            Reason.UNAUTHENTICATED,
+            RefusalReason.UNAUTHENTICATED,
             "the header Authorization must be: Bearer CREDENTIAL",
         )
-    if len(credential) > MAX_CREDENTIAL:
-        raise not_run(Reason.UNAUTHENTICATED, "the credential is too long")
+    if len(credential) > MAX_CREDENTIAL_CHARACTERS:
+        raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is too long")
     return credential.encode("utf-8", "surrogateescape")
 
 
-def permit(workspace: Workspace, group: Group) -> None:
+def check_service_access(workspace: Workspace, group: Group) -> None:
     """Let a workspace reach the groups of its own services only.
 
     :raises Refusal: ``forbidden``.
     """
     if not workspace.may_use(group.service):
         raise not_run(
-            Reason.FORBIDDEN,
+            RefusalReason.FORBIDDEN,
             f"the workspace {workspace.name} may not use the service {group.service}",
         )
--- a/src/reedhook/request/deadline.py
+++ b/src/reedhook/request/deadline.py
@@ -12,12 +12,12 @@
     :param remaining: time left now, in seconds.
     """
 
-    __slots__ = ("clock", "at")
+    __slots__ = ("clock", "expires_at")
 
     def __init__(self, clock: Clock, remaining: float) -> None:
         self.clock = clock
-        self.at = clock.monotonic() + remaining
+        self.expires_at = clock.monotonic() + remaining
 
     def remaining(self) -> float:
         """Return the time left in seconds; negative once it has passed."""
-        return self.at - self.clock.monotonic()
+        return self.expires_at - self.clock.monotonic()
--- a/src/reedhook/request/handle.py
+++ b/src/reedhook/request/handle.py
@@ -8,13 +8,13 @@
 
 from ..peer import HostRef
 from ..record import Record
-from .refusal import Reason, Refusal, not_run
+from .refusal import RefusalError, RefusalReason, not_run
 
-MAC_SIZE: Final = 16
-MAX_TEXT: Final = 1024
+MAC_BYTES: Final = 16
+MAX_TEXT_CHARACTERS: Final = 1024
 
 
-class Handle(Record):
+class TransactionHandle(Record):
     """Name a transaction and the host that holds its connection.
 
     :param workspace: the one that began it, and that alone can use the handle.
@@ -34,7 +34,7 @@
         self.transaction = transaction
 
 
-class HandleCodec:
+class TransactionHandleCodec:
     """Write and read handles with the secret that all hosts share.
 
     :param secrets: the first one signs; all verify.
@@ -45,39 +45,41 @@
     def __init__(self, secrets: tuple[bytes, ...]) -> None:
         self.secrets = secrets
 
-    def encode(self, handle: Handle) -> str:
+    def encode(self, handle: TransactionHandle) -> str:
         """Return the text of `handle`."""
         payload = orjson.dumps(
             [handle.group, handle.member, handle.host.to_json(), handle.transaction]
         )
-        body = code(self.secrets[0], handle.workspace, payload) + payload
+        body = handle_mac(self.secrets[0], handle.workspace, payload) + payload
         return urlsafe_b64encode(body).rstrip(b"=").decode()
 
-    def decode(self, text: str, workspace: str) -> Handle:
+    def decode(self, text: str, workspace: str) -> TransactionHandle:
         """Read a handle that `workspace` presents.
 
         :raises Refusal: ``unknown_transaction`` if it is not one of its own.
         """
-        body = unpacked(text)
-        given, payload = body[:MAC_SIZE], body[MAC_SIZE:]
-        codes = [code(secret, workspace, payload) for secret in self.secrets]
+        body = decode_base64url(text)
+        given, payload = body[:MAC_BYTES], body[MAC_BYTES:]
+        codes = [handle_mac(secret, workspace, payload) for secret in self.secrets]
         if not any(hmac.compare_digest(one, given) for one in codes):
             raise unknown_transaction()
         group, member, host, transaction = orjson.loads(payload)
-        return Handle(workspace, group, member, HostRef.from_json(host), transaction)
+        return TransactionHandle(
+            workspace, group, member, HostRef.from_json(host), transaction
+        )
 
 
-def code(secret: bytes, workspace: str, payload: bytes) -> bytes:
+def handle_mac(secret: bytes, workspace: str, payload: bytes) -> bytes:
     """Return the authentication code of a handle of `workspace`."""
     owner = workspace.encode()
     size = len(owner).to_bytes(2, "big")
     signed = b"transaction" + size + owner + payload
-    return hmac.digest(secret, signed, "sha256")[:MAC_SIZE]
+    return hmac.digest(secret, signed, "sha256")[:MAC_BYTES]
 
 
-def unpacked(text: str) -> bytes:
+def decode_base64url(text: str) -> bytes:
     """Return the bytes of a handle's text."""
-    if len(text) > MAX_TEXT:
+    if len(text) > MAX_TEXT_CHARACTERS:
         raise unknown_transaction()
     try:
         packed = text.encode("ascii")
@@ -86,6 +88,6 @@
         raise unknown_transaction() from error
 
 
-def unknown_transaction() -> Refusal:
+def unknown_transaction() -> RefusalError:
     """Return the refusal of a handle that names no transaction of the workspace."""
-    return not_run(Reason.UNKNOWN_TRANSACTION, "the transaction is not known")
+    return not_run(RefusalReason.UNKNOWN_TRANSACTION, "the transaction is not known")
--- a/src/reedhook/request/hedge.py
+++ b/src/reedhook/request/hedge.py
@@ -4,16 +4,16 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Final
 
-from .execution import Served
-from .refusal import Refusal
+from .execution import HomeResponse
+from .refusal import RefusalError
 
 QUANTILE: Final = 0.95
-FIRST_GUESS: Final = 0.05
-STEP: Final = 0.02
-MIN_DELAY: Final = 0.002
+INITIAL_ESTIMATE_SECONDS: Final = 0.05
+STEP_FACTOR: Final = 0.02
+MIN_DELAY_SECONDS: Final = 0.002
 
 
-class SlowBound:
+class LatencyPercentile:
     """Estimate the 95th percentile of durations, one step for each sample.
 
     :ivar seconds: the estimate.
@@ -22,42 +22,42 @@
     __slots__ = ("seconds",)
 
     def __init__(self) -> None:
-        self.seconds = FIRST_GUESS
+        self.seconds = INITIAL_ESTIMATE_SECONDS
 
     def add(self, duration: float) -> None:
         """Take a duration in seconds into account."""
         if duration > self.seconds:
-            self.seconds *= 1.0 + STEP * QUANTILE
+            self.seconds *= 1.0 + STEP_FACTOR * QUANTILE
         else:
-            self.seconds *= 1.0 - STEP * (1.0 - QUANTILE)
-        self.seconds = max(self.seconds, MIN_DELAY)
+            self.seconds *= 1.0 - STEP_FACTOR * (1.0 - QUANTILE)
+        self.seconds = max(self.seconds, MIN_DELAY_SECONDS)
 
 
-class Hedge:
+class HedgedRead:
     """Run a second attempt once `delay` seconds passed without an answer.
 
     The first attempt runs in the task of its caller, so that a read which
     needs no hedge costs one timer and no task. Whichever attempt answers
     first wins; the other is cancelled.
 
-    :param second: starts the second attempt; returns None if there is no
+    :param start_second: starts the second attempt; returns None if there is no
         member or no budget left for it.
     """
 
-    __slots__ = ("delay", "second", "owner", "attempt", "interrupted")
+    __slots__ = ("delay", "start_second", "owner", "second_attempt", "interrupted")
 
     def __init__(
         self,
         delay: float,
-        second: Callable[[], Coroutine[Any, Any, Served] | None],
+        start_second: Callable[[], Coroutine[Any, Any, HomeResponse] | None],
     ) -> None:
         self.delay = delay
-        self.second = second
+        self.start_second = start_second
         self.owner: asyncio.Task[Any] | None = None
-        self.attempt: asyncio.Task[Served] | None = None
+        self.second_attempt: asyncio.Task[HomeResponse] | None = None
         self.interrupted = False
 
-    async def run(self, first: Awaitable[Served]) -> Served:
+    async def run(self, first: Awaitable[HomeResponse]) -> HomeResponse:
         """Return the first answer.
 
         :raises Refusal: that of the last attempt, if none answers.
@@ -66,30 +66,30 @@
         timer = asyncio.get_running_loop().call_later(self.delay, self.start)
         try:
             return await first
-        except Refusal:
-            if self.attempt is None:
+        except RefusalError:
+            if self.second_attempt is None:
                 raise
             return await self.fallback()
         except asyncio.CancelledError:
-            if not self.interrupted or not self.resumed():
+            if not self.interrupted or not self.clear_interruption():
                 raise
-            assert self.attempt is not None
-            return self.attempt.result()
+            assert self.second_attempt is not None
+            return self.second_attempt.result()
         finally:
             timer.cancel()
             self.owner = None
-            if self.attempt is not None:
-                self.attempt.cancel()
+            if self.second_attempt is not None:
+                self.second_attempt.cancel()
 
     def start(self) -> None:
         """Start the second attempt; called by the timer."""
-        attempt = self.second()
+        attempt = self.start_second()
         if attempt is None:
             return
-        self.attempt = asyncio.create_task(attempt)
-        self.attempt.add_done_callback(self.finish)
+        self.second_attempt = asyncio.create_task(attempt)
+        self.second_attempt.add_done_callback(self.finish)
 
-    def finish(self, attempt: asyncio.Task[Served]) -> None:
+    def finish(self, attempt: asyncio.Task[HomeResponse]) -> None:
         """Interrupt the first attempt once the second has answered."""
         if attempt.cancelled() or attempt.exception() is not None:
             return
@@ -97,14 +97,14 @@
             self.interrupted = True
             self.owner.cancel()
 
-    def resumed(self) -> bool:
+    def clear_interruption(self) -> bool:
         """Take back the interruption; return whether nobody else cancelled."""
         return self.owner is not None and self.owner.uncancel() == 0
 
-    async def fallback(self) -> Served:
+    async def fallback(self) -> HomeResponse:
         """Wait for the second attempt after the first was refused."""
         if self.interrupted:
-            self.resumed()
+            self.clear_interruption()
         self.interrupted = True
-        assert self.attempt is not None
-        return await self.attempt
+        assert self.second_attempt is not None
+        return await self.second_attempt
