--- a/src/reedhook/request/hop.py
+++ b/src/reedhook/request/hop.py
@@ -14,47 +14,47 @@
 from ..record import Record
 from ..wire import Json, WireError
 from .position import Position
-from .ratelimits import RateLimits
-from .refusal import Reason, Refusal, may_have_run, not_run
-from .work import Work, WorkAnswer, WorkKind
+from .ratelimits import RemoteRateLimits
+from .refusal import RefusalError, RefusalReason, may_have_run, not_run
+from .work import SessionStatement, SessionStatementKind, SessionStatementResult
 
-HOP_GRACE: Final = 0.05
+HOP_GRACE_SECONDS: Final = 0.05
 """Seconds beyond the deadline for the answer of another host to arrive."""
 
-READ_PATIENCE: Final = 0.45
+READ_WAIT_LIMIT_SECONDS: Final = 0.45
 """Seconds after which a read that another host does not answer is sent
 elsewhere; the host itself gives a target 0.35 s."""
 
-DOUBT_AFTER: Final = 0.1
+LIVENESS_PROBE_DELAY_SECONDS: Final = 0.1
 """Seconds without an answer after which a host is asked whether it lives, if it has
 answered nothing else meanwhile. Machines that lost power refuse no connection, and
 what was sent to one waited 0.45 s to be sent elsewhere, a statement of a transaction
 its whole time; it is 0.2 s now, where callers expect the whole answer in 0.1 to 0.5 s.
 A call between hosts takes 3 ms, most statements 3 to 30 ms at their target."""
 
-ALIVE_TIMEOUT: Final = 0.1
+LIVENESS_PROBE_TIMEOUT_SECONDS: Final = 0.1
 """Seconds for the answer that it lives, which takes 3 ms; a host whose share of a
 processor is used up stands still for less."""
 
-QUEUE_GRACE: Final = 0.1
+QUEUE_GRACE_SECONDS: Final = 0.1
 """Seconds beyond the time in which its caller expects the answer for which a read
 waits at another host: it may wait there for its turn, and run as it is due."""
 
-AGAIN_TIMEOUT: Final = 0.5
+OUTCOME_QUERY_TIMEOUT_SECONDS: Final = 0.5
 """Seconds for another host to say again what became of a write."""
 
-TRY_SILENT_EVERY: Final = 0.2
+SILENT_HOST_RETRY_SECONDS: Final = 0.2
 """Seconds between two statements that try a host which gave no answer."""
 
-SILENT_FOR: Final = 1.5
+FAILOVER_SECONDS: Final = 1.5
 """Seconds in which another host takes over from one that is lost; later what
 depends on it is refused at once."""
 
-RETRY_MS: Final = 100
+RETRY_AFTER_MS: Final = 100
 """When to come back after a host gave no answer, in milliseconds."""
 
 
-class Place(Record):
+class StatementLocation(Record):
     """Say where a transaction runs.
 
     :param target: empty for the primary.
@@ -67,20 +67,22 @@
         self.target = target
 
 
-class Placed(Record):
+class LocatedResult(Record):
     """Carry an answer with the place that gave it."""
 
-    __slots__ = ("answer", "place")
+    __slots__ = ("result", "location")
 
-    def __init__(self, answer: WorkAnswer, place: Place) -> None:
-        self.answer = answer
-        self.place = place
+    def __init__(
+        self, result: SessionStatementResult, location: StatementLocation
+    ) -> None:
+        self.result = result
+        self.location = location
 
 
-class Hops:
+class StatementForwarder:
     """Have statements run at hosts, and know which of these gave no answer.
 
-    :param cut_off: says whether this host reaches no other availability zone.
+    :param is_zone_isolated: says whether this host reaches no other availability zone.
     :ivar lost_since: when hosts first gave no answer, by monotonic time.
     :ivar on_host_lost: is told of a host that gave no answer.
     """
@@ -88,63 +90,74 @@
     def __init__(
         self,
         me: HostRef,
-        desk: Desk,
+        local_handler: Desk,
         peers: HeardPeers,
-        cut_off: Callable[[], bool],
+        is_zone_isolated: Callable[[], bool],
         clock: Clock,
         decisions: Decisions,
     ) -> None:
         self.me = me
-        self.desk = desk
+        self.local_handler = local_handler
         self.peers = peers
-        self.cut_off = cut_off
+        self.is_zone_isolated = is_zone_isolated
         self.clock = clock
         self.decisions = decisions
         self.lost_since: dict[str, float] = {}
-        self.tried_at: dict[str, float] = {}
-        self.limits = RateLimits(clock)
+        self.last_attempt_at: dict[str, float] = {}
+        self.rate_limits = RemoteRateLimits(clock)
         self.on_host_lost: Callable[[HostRef], None] = lambda host: None
 
-    def leader(self, record: LeadRecord, refused_by_deputy: bool) -> HostRef:
+    def acting_holder(self, record: LeadRecord, refused_by_backup: bool) -> HostRef:
         """Return the host that uses the primary: the holder, or its deputy.
 
-        :param refused_by_deputy: whether the deputy was asked for this
+        :param refused_by_backup: whether the deputy was asked for this
             statement and does not act.
         """
         holder, deputy = record.holder.ref, record.deputy
-        if refused_by_deputy or deputy is None or holder.host not in self.lost_since:
+        if refused_by_backup or deputy is None or holder.host not in self.lost_since:
             return holder
         return holder if deputy.ref.host in self.lost_since else deputy.ref
 
-    async def run_at(self, place: Place, work: Work) -> WorkAnswer:
+    async def run_at(
+        self, location: StatementLocation, statement: SessionStatement
+    ) -> SessionStatementResult:
         """Run a statement at a place.
 
         :raises Refusal: with a verdict that holds also if the hop breaks.
         """
-        if place.host.host == self.me.host:
-            return await self.desk.execute(work)
-        self.check_host(place.host)
-        self.limits.check(place.host.host, work)
+        if location.host.host == self.me.host:
+            return await self.local_handler.execute(statement)
+        self.check_host(location.host)
+        self.rate_limits.check(location.host.host, statement)
         asked = self.clock.elapsed()
         sent_at = self.clock.monotonic()
-        if work.kind is WorkKind.READ and not work.transaction:
+        if statement.kind is SessionStatementKind.READ and not statement.transaction:
             # The home gives it up before this host does: nobody would wait for it.
-            patience = max(READ_PATIENCE, work.due + QUEUE_GRACE)
-            work.left = min(work.left, patience - HOP_GRACE)
-        timeout = work.left + HOP_GRACE
+            patience = max(
+                READ_WAIT_LIMIT_SECONDS,
+                statement.soft_deadline_seconds + QUEUE_GRACE_SECONDS,
+            )
+            statement.remaining = min(statement.remaining, patience - HOP_GRACE_SECONDS)
+        timeout = statement.remaining + HOP_GRACE_SECONDS
         try:
-            message = await self.answer_of(place.host, work, timeout)
-            self.lost_since.pop(place.host.host, None)
-            return WorkAnswer.from_json(message, asked)
-        except Refusal as refusal:
-            self.limits.learn(place.host.host, work, refusal)
+            message = await self.call_host(location.host, statement, timeout)
+            self.lost_since.pop(location.host.host, None)
+            return SessionStatementResult.from_json(message, asked)
+        except RefusalError as refusal:
+            self.rate_limits.record_refusal(location.host.host, statement, refusal)
             raise
         except WireError as error:
-            return await self.broken(place, work, str(error), True, sent_at)
+            return await self.resolve_lost_answer(
+                location, statement, str(error), True, sent_at
+            )
         except PeerError as error:
-            return await self.broken(place, work, str(error), error.sent, sent_at)
+            return await self.resolve_lost_answer(
+                location, statement, str(error), error.sent, sent_at
+            )
 
-    async def answer_of(self, host: HostRef, work: Work, timeout: float) -> Json:
+    async def call_host(
+        self, host: HostRef, statement: SessionStatement, timeout: float
+    ) -> Json:
         """Send a statement to a host; give it up once the host is found silent.
 
         What may be in doubt afterwards is waited for to its end.
@@ -152,35 +165,35 @@
         :raises PeerError: without an answer.
         :raises Refusal: if the host refuses.
         """
-        call = self.peers.call(host, WORK, work.to_json(), timeout)
-        if work.may_be_in_doubt():
+        call = self.peers.call(host, WORK, statement.to_json(), timeout)
+        if statement.may_be_in_doubt():
             return await call
         sent_at = self.clock.monotonic()
         answer = asyncio.ensure_future(call)
         try:
-            await asyncio.wait({answer}, timeout=DOUBT_AFTER)
-            if not answer.done() and not await self.lives(host, sent_at, answer):
+            await asyncio.wait({answer}, timeout=LIVENESS_PROBE_DELAY_SECONDS)
+            if not answer.done() and not await self.is_alive(host, sent_at, answer):
                 raise PeerError(f"{host.host} is silent", sent=True)
             return await answer
         finally:
             answer.cancel()
 
-    async def lives(
-        self, host: HostRef, since: float, answer: "asyncio.Future[Json]"
+    async def is_alive(
+        self, host: HostRef, since: float, pending_answer: "asyncio.Future[Json]"
     ) -> bool:
         """Say whether a host answers, or has answered anything since then.
 
-        :param answer: an answer of it that would tell, too.
+        :param pending_answer: an answer of it that would tell, too.
         """
         if self.peers.heard_since(host.host, since):
             return True
         try:
-            await self.peers.call(host, ALIVE, {}, ALIVE_TIMEOUT)
-        except (PeerError, Refusal) as error:
+            await self.peers.call(host, ALIVE, {}, LIVENESS_PROBE_TIMEOUT_SECONDS)
+        except (PeerError, RefusalError) as error:
             # What was sent first may be answered all the same.
-            if not answer.done():
+            if not pending_answer.done():
                 self.decisions.note("host_not_alive", host=host.host, error=str(error))
-            return answer.done()
+            return pending_answer.done()
         return True
 
     def check_host(self, host: HostRef) -> None:
@@ -193,37 +206,46 @@
 
         :raises Refusal: not run.
         """
-        if self.beyond_cut(host):
+        if self.in_unreachable_zone(host):
             raise not_run(
-                Reason.HOST_UNREACHABLE, "no other zone can be reached", RETRY_MS
+                RefusalReason.HOST_UNREACHABLE,
+                "no other zone can be reached",
+                RETRY_AFTER_MS,
             )
         since = self.lost_since.get(host.host)
         if since is None:
             return
         now = self.clock.monotonic()
-        if now - self.tried_at.get(host.host, since) < TRY_SILENT_EVERY:
+        if now - self.last_attempt_at.get(host.host, since) < SILENT_HOST_RETRY_SECONDS:
             raise not_run(
-                Reason.HOST_UNREACHABLE, f"the host {host.host} is silent", RETRY_MS
+                RefusalReason.HOST_UNREACHABLE,
+                f"the host {host.host} is silent",
+                RETRY_AFTER_MS,
             )
-        self.tried_at[host.host] = now
+        self.last_attempt_at[host.host] = now
 
-    def beyond_cut(self, host: HostRef) -> bool:
+    def in_unreachable_zone(self, host: HostRef) -> bool:
         """Say whether a host is in another zone, none of which can be reached."""
-        return host.zone != self.me.zone and self.cut_off()
+        return host.zone != self.me.zone and self.is_zone_isolated()
 
-    def patient(self, host: HostRef) -> bool:
+    def expects_failover(self, host: HostRef) -> bool:
         """Say whether a silent host is likely to be replaced soon.
 
         One beyond a cut is replaced there, where this host learns nothing of it.
         """
-        if self.beyond_cut(host):
+        if self.in_unreachable_zone(host):
             return False
         since = self.lost_since.get(host.host)
-        return since is None or self.clock.monotonic() - since < SILENT_FOR
+        return since is None or self.clock.monotonic() - since < FAILOVER_SECONDS
 
-    async def broken(
-        self, place: Place, work: Work, detail: str, sent: bool, sent_at: float
-    ) -> WorkAnswer:
+    async def resolve_lost_answer(
+        self,
+        location: StatementLocation,
+        statement: SessionStatement,
+        detail: str,
+        sent: bool,
+        sent_at: float,
+    ) -> SessionStatementResult:
         """Find out what became of a statement whose hop broke.
 
         A read has no effect, and a transaction is rolled back unless its
@@ -235,51 +257,63 @@
         :param sent_at: when the statement was sent, by `Clock.monotonic`.
         :raises Refusal: unless the host still tells the outcome.
         """
-        lives = self.peers.heard_since(place.host.host, sent_at)
+        lives = self.peers.heard_since(location.host.host, sent_at)
         if not lives:
-            self.on_host_lost(place.host)
-            self.lost_since.setdefault(place.host.host, self.clock.monotonic())
+            self.on_host_lost(location.host)
+            self.lost_since.setdefault(location.host.host, self.clock.monotonic())
         self.decisions.note(
             "host_silent",
-            id=work.id,
-            host=place.host.host,
+            id=statement.id,
+            host=location.host.host,
             sent=sent,
             lives=lives,
             error=detail,
         )
-        text = f"the host {place.host.host} gave no answer"
-        if not sent or work.kind is WorkKind.READ and not work.transaction:
-            raise not_run(Reason.HOST_UNREACHABLE, text, RETRY_MS)
-        if not work.may_be_in_doubt():
-            raise not_run(Reason.TRANSACTION_LOST, text, RETRY_MS)
-        work.again = True
+        text = f"the host {location.host.host} gave no answer"
+        if (
+            not sent
+            or statement.kind is SessionStatementKind.READ
+            and not statement.transaction
+        ):
+            raise not_run(RefusalReason.HOST_UNREACHABLE, text, RETRY_AFTER_MS)
+        if not statement.may_be_in_doubt():
+            raise not_run(RefusalReason.TRANSACTION_LOST, text, RETRY_AFTER_MS)
+        statement.resent = True
         asked = self.clock.elapsed()
         try:
             message = await self.peers.call(
-                place.host, WORK, work.to_json(), AGAIN_TIMEOUT
+                location.host, WORK, statement.to_json(), OUTCOME_QUERY_TIMEOUT_SECONDS
             )
-            return WorkAnswer.from_json(message, asked)
+            return SessionStatementResult.from_json(message, asked)
         except (PeerError, WireError) as error:
-            raise may_have_run(Reason.HOST_UNREACHABLE, text) from error
+            raise may_have_run(RefusalReason.HOST_UNREACHABLE, text) from error
 
-    async def end(self, service: str, place: Place, name: str) -> None:
+    async def roll_back(
+        self, service: str, location: StatementLocation, name: str
+    ) -> None:
         """Roll a transaction back; without an answer its home does so itself."""
-        if place.host.host == self.me.host:
-            self.desk.end(service, place.target, name)
+        if location.host.host == self.me.host:
+            self.local_handler.end(service, location.target, name)
             return
-        body: Json = {"service": service, "target": place.target, "name": name}
+        body: Json = {"service": service, "target": location.target, "name": name}
         try:
-            await self.peers.call(place.host, END, body, AGAIN_TIMEOUT)
-        except (PeerError, Refusal) as error:
+            await self.peers.call(
+                location.host, END, body, OUTCOME_QUERY_TIMEOUT_SECONDS
+            )
+        except (PeerError, RefusalError) as error:
             self.decisions.note(
-                "rollback_unanswered", host=place.host.host, error=str(error)
+                "rollback_unanswered", host=location.host.host, error=str(error)
             )
 
-    def rerouted(
-        self, work: Work, target: str, cause: str, floor: Position | None = None
+    def log_reroute(
+        self,
+        statement: SessionStatement,
+        target: str,
+        cause: str,
+        min_position: Position | None = None,
     ) -> None:
         """Log that a statement goes elsewhere."""
-        position = None if floor is None else floor.to_json()
+        position = None if min_position is None else min_position.to_json()
         self.decisions.note(
-            "rerouted", id=work.id, target=target, cause=cause, floor=position
+            "rerouted", id=statement.id, target=target, cause=cause, floor=position
         )
--- a/src/reedhook/request/rate.py
+++ b/src/reedhook/request/rate.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ..version.workspace import Workspace
-from .refusal import Reason, not_run
+from .refusal import RefusalReason, not_run
 
 MIN_BURST: Final = 1.0
 
@@ -27,58 +27,58 @@
         self.level = burst if level is None else level
         self.filled_at = now
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one unit; return whether there was one."""
-        return self.take_up_to(1, now) == 1
+        return self.acquire_up_to(1, now) == 1
 
-    def take_up_to(self, count: int, now: float) -> int:
+    def acquire_up_to(self, count: int, now: float) -> int:
         """Take as many whole units as there are, `count` at most; return how many."""
-        self.fill(now)
+        self.refill(now)
         taken = min(count, max(0, math.floor(self.level)))
         self.level -= taken
         return taken
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Add what has come since the last time."""
         filled = self.level + (now - self.filled_at) * self.rate
         self.level = min(self.burst, filled)
         self.filled_at = now
 
-    def change(self, rate: float, burst: float, now: float) -> None:
+    def set_rate(self, rate: float, burst: float, now: float) -> None:
         """Go on at another rate and burst."""
-        self.fill(now)
+        self.refill(now)
         self.rate = rate
         self.burst = burst
         self.level = min(burst, self.level)
 
-    def spend(self, count: int) -> None:
+    def deduct(self, count: int) -> None:
         """Take note of units taken elsewhere, or given back if less than 0."""
         self.level = min(self.burst, max(self.level - count, min(self.level, 0.0)))
 
-    def wait(self) -> float:
+    def seconds_until_available(self) -> float:
         """Return in how many seconds the next unit is there."""
         return max(0.0, 1.0 - self.level) / self.rate
 
 
-class Budget:
+class RetryBudget:
     """Bound extra work to a share of the ordinary work, plus a small burst.
 
-    :param share: units gained by each ordinary request.
+    :param gain_per_request: units gained by each ordinary request.
     :param burst: the most units that are kept.
     """
 
-    __slots__ = ("share", "burst", "level")
+    __slots__ = ("gain_per_request", "burst", "level")
 
-    def __init__(self, share: float, burst: float) -> None:
-        self.share = share
+    def __init__(self, gain_per_request: float, burst: float) -> None:
+        self.gain_per_request = gain_per_request
         self.burst = burst
         self.level = burst
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Note one ordinary request."""
-        self.level = min(self.burst, self.level + self.share)
+        self.level = min(self.burst, self.level + self.gain_per_request)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take the unit of one extra request; return whether there was one."""
         if self.level < 1.0:
             return False
@@ -86,7 +86,7 @@
         return True
 
 
-class WorkspaceRates:
+class LocalRateLimiter:
     """Hold each workspace to its rate on this host."""
 
     __slots__ = ("buckets",)
@@ -106,11 +106,11 @@
             burst = max(MIN_BURST, workspace.burst)
             bucket = TokenBucket(workspace.rate, burst, now)
             self.buckets[workspace.name] = bucket
-        if bucket.take(now):
+        if bucket.try_acquire(now):
             return
-        retry_after_ms = int(bucket.wait() * 1000) + 1
+        retry_after_ms = int(bucket.seconds_until_available() * 1000) + 1
         raise not_run(
-            Reason.RATE_LIMITED,
+            RefusalReason.RATE_LIMITED,
             f"the workspace {workspace.name} exceeds its rate of "
             f"{workspace.rate:g} a second",
             retry_after_ms,
--- a/src/reedhook/request/ratelimits.py
+++ b/src/reedhook/request/ratelimits.py
@@ -4,46 +4,48 @@
 from typing import Final
 
 from ..clock import Clock
-from .refusal import Reason, Refusal, not_run
-from .work import Work
+from .refusal import RefusalError, RefusalReason, not_run
+from .work import SessionStatement
 
-MILLISECONDS: Final = 1000.0
+MS_PER_SECOND: Final = 1000.0
 
 
-class RateLimits:
+class RemoteRateLimits:
     """Refuse at once what another host has refused a moment ago.
 
-    :ivar until: when to ask again, by workspace and host, by `Clock.monotonic`.
+    :ivar retry_at: when to ask again, by workspace and host, by `Clock.monotonic`.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.until: dict[tuple[str, str], float] = {}
+        self.retry_at: dict[tuple[str, str], float] = {}
 
-    def check(self, host: str, work: Work) -> None:
+    def check(self, host: str, statement: SessionStatement) -> None:
         """Refuse an operation that the host would refuse.
 
         :raises Refusal: not run.
         """
-        if not work.workspace or not work.begins:
+        if not statement.workspace or not statement.starts_operation:
             return
-        key = (work.workspace, host)
-        until = self.until.get(key)
+        key = (statement.workspace, host)
+        until = self.retry_at.get(key)
         if until is None:
             return
         left = until - self.clock.monotonic()
         if left <= 0.0:
-            del self.until[key]
+            del self.retry_at[key]
             return
         raise not_run(
-            Reason.RATE_LIMITED,
-            f"the workspace {work.workspace} exceeds its rate",
-            math.ceil(left * MILLISECONDS),
+            RefusalReason.RATE_LIMITED,
+            f"the workspace {statement.workspace} exceeds its rate",
+            math.ceil(left * MS_PER_SECOND),
         )
 
-    def learn(self, host: str, work: Work, refusal: Refusal) -> None:
+    def record_refusal(
+        self, host: str, statement: SessionStatement, refusal: RefusalError
+    ) -> None:
         """Take note of a refusal of another host."""
-        if refusal.reason is not Reason.RATE_LIMITED:
+        if refusal.reason is not RefusalReason.RATE_LIMITED:
             return
-        wait = (refusal.retry_after_ms or 0) / MILLISECONDS
-        self.until[work.workspace, host] = self.clock.monotonic() + wait
+        wait = (refusal.retry_after_ms or 0) / MS_PER_SECOND
+        self.retry_at[statement.workspace, host] = self.clock.monotonic() + wait
--- a/src/reedhook/request/refusal.py
+++ b/src/reedhook/request/refusal.py
@@ -7,7 +7,7 @@
 from .verdict import Verdict
 
 
-class Reason(str, Enum):
+class RefusalReason(str, Enum):
     """Name the reason of a refusal."""
 
     BAD_REQUEST = "bad_request"
@@ -46,25 +46,25 @@
     INTERNAL = "internal"
 
 
-STATUS: Final[dict[Reason, int]] = {
-    Reason.BAD_REQUEST: 400,
-    Reason.TOKEN_INVALID: 400,
-    Reason.STATEMENT_FAILED: 422,
-    Reason.UNAUTHENTICATED: 401,
-    Reason.FORBIDDEN: 403,
-    Reason.UNKNOWN_GROUP: 404,
-    Reason.UNKNOWN_TRANSACTION: 404,
-    Reason.CONFLICT: 409,
-    Reason.REQUEST_REUSED: 409,
-    Reason.REQUEST_EXPIRED: 410,
-    Reason.TOO_LARGE: 413,
-    Reason.RATE_LIMITED: 429,
-    Reason.DEADLINE: 504,
+STATUS_BY_REASON: Final[dict[RefusalReason, int]] = {
+    RefusalReason.BAD_REQUEST: 400,
+    RefusalReason.TOKEN_INVALID: 400,
+    RefusalReason.STATEMENT_FAILED: 422,
+    RefusalReason.UNAUTHENTICATED: 401,
+    RefusalReason.FORBIDDEN: 403,
+    RefusalReason.UNKNOWN_GROUP: 404,
+    RefusalReason.UNKNOWN_TRANSACTION: 404,
+    RefusalReason.CONFLICT: 409,
+    RefusalReason.REQUEST_REUSED: 409,
+    RefusalReason.REQUEST_EXPIRED: 410,
+    RefusalReason.TOO_LARGE: 413,
+    RefusalReason.RATE_LIMITED: 429,
+    RefusalReason.DEADLINE: 504,
 }
-DEFAULT_STATUS: Final = 503
+DEFAULT_HTTP_STATUS: Final = 503
 
 
-class Refusal(Exception):
+class RefusalError(Exception):
     """Carry a refusal to the caller.
 
     :param reason: why the request was refused.
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        reason: Reason,
+        reason: RefusalReason,
         verdict: Verdict,
         detail: str,
         retry_after_ms: int | None = None,
@@ -90,7 +90,7 @@
     @property
     def status(self) -> int:
         """Return the HTTP status that goes with the reason."""
-        return STATUS.get(self.reason, DEFAULT_STATUS)
+        return STATUS_BY_REASON.get(self.reason, DEFAULT_HTTP_STATUS)
 
     def to_json(self) -> Json:
         """Return the refusal as it stands on the wire."""
@@ -102,23 +102,25 @@
         }
 
     @classmethod
-    def from_json(cls, message: Json) -> "Refusal":
+    def from_json(cls, message: Json) -> "RefusalError":
         """Read a refusal from the wire."""
         return cls(
-            Reason(message["reason"]),
+            RefusalReason(message["reason"]),
             Verdict(message["verdict"]),
             str(message["detail"]),
             message.get("retry_after_ms"),
         )
 
 
-def not_run(reason: Reason, detail: str, retry_after_ms: int | None = None) -> Refusal:
+def not_run(
+    reason: RefusalReason, detail: str, retry_after_ms: int | None = None
+) -> RefusalError:
     """Return a refusal of a request that had no effect."""
-    return Refusal(reason, Verdict.NOT_RUN, detail, retry_after_ms)
+    return RefusalError(reason, Verdict.NOT_RUN, detail, retry_after_ms)
 
 
 def may_have_run(
-    reason: Reason, detail: str, retry_after_ms: int | None = None
-) -> Refusal:
+    reason: RefusalReason, detail: str, retry_after_ms: int | None = None
+) -> RefusalError:
     """Return a refusal of a request whose effect is unknown."""
-    return Refusal(reason, Verdict.MAY_HAVE_RUN, detail, retry_after_ms)
+    return RefusalError(reason, Verdict.MAY_HAVE_RUN, detail, retry_after_ms)
--- a/src/reedhook/request/retry.py
+++ b/src/reedhook/request/retry.py
@@ -3,40 +3,42 @@
 from enum import Enum, auto
 from typing import Final
 
-from .refusal import Reason, Refusal, may_have_run
+from .refusal import RefusalError, RefusalReason, may_have_run
 from .verdict import Verdict
 
 
-class Reaction(Enum):
+class RetryDecision(Enum):
     """Name what a router does after a refusal."""
 
-    FINAL = auto()
-    ELSEWHERE = auto()
-    NEWS = auto()
+    GIVE_UP = auto()
+    TRY_OTHER_MEMBER = auto()
+    WAIT_FOR_PRIMARY = auto()
 
 
-MEMBER_FAULTS: Final = frozenset(
+MEMBER_FAULT_REASONS: Final = frozenset(
     {
-        Reason.DRAINING,
-        Reason.TARGET_LEAVING,
-        Reason.TARGET_LOST,
-        Reason.TARGET_FULL,
-        Reason.TARGET_UNREACHABLE,
-        Reason.HOST_UNREACHABLE,
-        Reason.WRONG_HOME,
+        RefusalReason.DRAINING,
+        RefusalReason.TARGET_LEAVING,
+        RefusalReason.TARGET_LOST,
+        RefusalReason.TARGET_FULL,
+        RefusalReason.TARGET_UNREACHABLE,
+        RefusalReason.HOST_UNREACHABLE,
+        RefusalReason.WRONG_HOME,
     }
 )
-LOST_PRIMARY: Final = MEMBER_FAULTS | {
-    Reason.NO_PRIMARY,
-    Reason.SUPERSEDED,
-    Reason.UNCONFIRMED,
-    Reason.AGE_UNPROVED,
-    Reason.NOT_COVERED,
+PRIMARY_RETRY_REASONS: Final = MEMBER_FAULT_REASONS | {
+    RefusalReason.NO_PRIMARY,
+    RefusalReason.SUPERSEDED,
+    RefusalReason.UNCONFIRMED,
+    RefusalReason.AGE_UNPROVED,
+    RefusalReason.NOT_COVERED,
 }
-ELSEWHERE: Final = LOST_PRIMARY | {Reason.OVERLOADED}
+REPLICA_RETRY_REASONS: Final = PRIMARY_RETRY_REASONS | {RefusalReason.OVERLOADED}
 
 
-def reaction(refusal: Refusal, repeatable: bool, at_primary: bool) -> Reaction:
+def decide_retry(
+    refusal: RefusalError, repeatable: bool, at_primary: bool
+) -> RetryDecision:
     """Say what may follow `refusal`.
 
     :param repeatable: whether a repetition after an attempt that may have run
@@ -44,20 +46,20 @@
     :param at_primary: whether the primary refused.
     """
     if refusal.verdict is not Verdict.NOT_RUN and not repeatable:
-        return Reaction.FINAL
-    if not at_primary and refusal.reason in ELSEWHERE:
-        return Reaction.ELSEWHERE
-    if at_primary and refusal.reason in LOST_PRIMARY:
-        return Reaction.NEWS
-    return Reaction.FINAL
+        return RetryDecision.GIVE_UP
+    if not at_primary and refusal.reason in REPLICA_RETRY_REASONS:
+        return RetryDecision.TRY_OTHER_MEMBER
+    if at_primary and refusal.reason in PRIMARY_RETRY_REASONS:
+        return RetryDecision.WAIT_FOR_PRIMARY
+    return RetryDecision.GIVE_UP
 
 
-def final(refusal: Refusal, doubtful: bool) -> Refusal:
+def final_refusal(refusal: RefusalError, effect_unknown: bool) -> RefusalError:
     """Return the refusal for the caller after all attempts.
 
     Once an attempt may have run, no later refusal can take that back.
     """
-    if not doubtful or refusal.verdict is Verdict.MAY_HAVE_RUN:
+    if not effect_unknown or refusal.verdict is Verdict.MAY_HAVE_RUN:
         return refusal
     detail = f"an earlier attempt may have run; then: {refusal.detail}"
     return may_have_run(refusal.reason, detail, refusal.retry_after_ms)
--- a/src/reedhook/request/share.py
+++ b/src/reedhook/request/share.py
@@ -5,23 +5,23 @@
 from collections.abc import Iterator
 from typing import Final
 
-KEPT_FLOWS: Final = 256
+MAX_IDLE_FLOWS: Final = 256
 """Callers remembered in a class before idle ones without debt are dropped."""
 
 
-class Entry:
+class QueueEntry:
     """Stand for one statement that waits for a slot or holds one.
 
-    :ivar started: monotonic time at which it got its slot; None while it waits.
+    :ivar started_at: monotonic time at which it got its slot; None while it waits.
     :ivar deadline: monotonic time at which it is dropped from the queue.
-    :ivar charged: seconds charged to its flow in advance.
+    :ivar charged_seconds: seconds charged to its flow in advance.
     """
 
     __slots__ = (
         "flow",
         "deadline",
-        "started",
-        "charged",
+        "started_at",
+        "charged_seconds",
         "granted",
         "timer",
     )
@@ -29,8 +29,8 @@
     def __init__(self, flow: "Flow", deadline: float) -> None:
         self.flow = flow
         self.deadline = deadline
-        self.started: float | None = None
-        self.charged = 0.0
+        self.started_at: float | None = None
+        self.charged_seconds = 0.0
         self.granted: asyncio.Future[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -41,23 +41,23 @@
     :ivar tag: seconds of service used, in the virtual time of the class.
     """
 
-    __slots__ = ("share", "caller", "waiting", "tag")
+    __slots__ = ("priority_class", "caller", "waiting", "tag")
 
-    def __init__(self, share: "Share", caller: str) -> None:
-        self.share = share
+    def __init__(self, priority_class: "PriorityClass", caller: str) -> None:
+        self.priority_class = priority_class
         self.caller = caller
-        self.waiting: deque[Entry] = deque()
+        self.waiting: deque[QueueEntry] = deque()
         self.tag = 0.0
 
 
-class Share:
+class PriorityClass:
     """Keep the flows of one class.
 
     :ivar tag: weighted seconds of service used, in virtual time of the queue.
-    :ivar now: virtual time of the class.
-    :ivar mean: mean service time in seconds; 0 before the first.
+    :ivar virtual_time: virtual time of the class.
+    :ivar mean_service_seconds: mean service time in seconds; 0 before the first.
     :ivar busy: slots in use.
-    :ivar arrived: monotonic time of the newest arrival.
+    :ivar last_arrival_at: monotonic time of the newest arrival.
     """
 
     __slots__ = (
@@ -67,9 +67,9 @@
         "queued",
         "busy",
         "tag",
-        "now",
-        "mean",
-        "arrived",
+        "virtual_time",
+        "mean_service_seconds",
+        "last_arrival_at",
     )
 
     def __init__(self, rank: int, weight: float) -> None:
@@ -79,34 +79,34 @@
         self.queued = 0
         self.busy = 0
         self.tag = 0.0
-        self.now = 0.0
-        self.mean = 0.0
-        self.arrived = float("-inf")
+        self.virtual_time = 0.0
+        self.mean_service_seconds = 0.0
+        self.last_arrival_at = float("-inf")
 
     def flow(self, caller: str) -> Flow:
         """Return the flow of `caller`."""
         flow = self.flows.get(caller)
         if flow is not None:
             return flow
-        if len(self.flows) >= KEPT_FLOWS:
-            self.forget_idle()
+        if len(self.flows) >= MAX_IDLE_FLOWS:
+            self.drop_idle_flows()
         flow = self.flows[caller] = Flow(self, caller)
-        flow.tag = self.now
+        flow.tag = self.virtual_time
         return flow
 
-    def forget_idle(self) -> None:
+    def drop_idle_flows(self) -> None:
         """Drop the flows that neither wait nor have used more than others."""
         self.flows = {
             caller: flow
             for caller, flow in self.flows.items()
-            if flow.waiting or flow.tag > self.now
+            if flow.waiting or flow.tag > self.virtual_time
         }
 
     def waiting_flows(self) -> Iterator[Flow]:
         """Yield the flows that wait."""
         return (flow for flow in self.flows.values() if flow.waiting)
 
-    def ahead(self, caller: str) -> int:
+    def count_ahead(self, caller: str) -> int:
         """Return how many of the class go before a new statement of `caller`."""
         own = self.flows.get(caller)
         turns = 1 if own is None else len(own.waiting) + 1
--- a/src/reedhook/request/statement.py
+++ b/src/reedhook/request/statement.py
@@ -18,7 +18,7 @@
     MAX_AGE = "max_age"
 
 
-class Kind(str, Enum):
+class StatementKind(str, Enum):
     """Name what a statement does at the target."""
 
     READ = "read"
@@ -39,7 +39,7 @@
     :param sql: the text of the statement.
     :param params: its parameters.
     :param consistency: what a read demands.
-    :param covers: the position that a session read must not miss.
+    :param min_position: the position that a session read must not miss.
     :param max_age: the age that a bounded read accepts, in seconds.
     :param request_id: the id of a request that is not idempotent.
     :param transaction: the id of the interactive transaction it belongs to.
@@ -55,7 +55,7 @@
         "sql",
         "params",
         "consistency",
-        "covers",
+        "min_position",
         "max_age",
         "request_id",
         "transaction",
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        kind: Kind,
+        kind: StatementKind,
         group: str,
         caller: str,
         sql: str,
@@ -72,7 +72,7 @@
         remaining: float,
         priority: int = 1,
         consistency: Consistency = Consistency.SESSION,
-        covers: Position | None = None,
+        min_position: Position | None = None,
         max_age: float | None = None,
         request_id: str | None = None,
         transaction: str | None = None,
@@ -84,7 +84,7 @@
         self.sql = sql
         self.params = params
         self.consistency = consistency
-        self.covers = covers
+        self.min_position = min_position
         self.max_age = max_age
         self.request_id = request_id
         self.transaction = transaction
@@ -100,7 +100,7 @@
             "sql": self.sql,
             "params": self.params,
             "consistency": self.consistency.value,
-            "covers": self.covers.to_json() if self.covers else None,
+            "covers": self.min_position.to_json() if self.min_position else None,
             "max_age": self.max_age,
             "request_id": self.request_id,
             "transaction": self.transaction,
@@ -113,14 +113,14 @@
         """Read a statement sent by another host."""
         covers = message["covers"]
         return cls(
-            kind=Kind(message["kind"]),
+            kind=StatementKind(message["kind"]),
             group=message["group"],
             caller=message["caller"],
             priority=message["priority"],
             sql=message["sql"],
             params=message["params"],
             consistency=Consistency(message["consistency"]),
-            covers=Position.from_json(covers) if covers else None,
+            min_position=Position.from_json(covers) if covers else None,
             max_age=message["max_age"],
             request_id=message["request_id"],
             transaction=message["transaction"],
@@ -128,7 +128,7 @@
         )
 
 
-class Answer(Record):
+class StatementResult(Record):
     """Carry what a target answered, with the proofs that go with it.
 
     :param columns: names of the columns of a read.
@@ -192,7 +192,7 @@
         }
 
     @classmethod
-    def from_json(cls, message: Json) -> "Answer":
+    def from_json(cls, message: Json) -> "StatementResult":
         """Read an answer sent by another host."""
         return cls(
             columns=message["columns"],
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/steering.py
@@ -12,53 +12,53 @@
 from ..process.lead.leads import RECORDS_PATH
 from ..version.registry import Route, RouteKind
 from ..wire import WireError
-from .hop import Hops, Place, Placed
+from .hop import LocatedResult, StatementForwarder, StatementLocation
 from .position import Position
-from .refusal import Reason, Refusal, not_run
-from .replicas import Replicas, Tried, wait_of
+from .refusal import RefusalError, RefusalReason, not_run
+from .replicas import ReplicaReader, ReplicaReadResult, retry_after_seconds
 from .verdict import Verdict
-from .work import Work, WorkAnswer, WorkKind
+from .work import SessionStatement, SessionStatementKind, SessionStatementResult
 
-RECORDS_TIMEOUT: Final = 0.25
+RECORDS_TIMEOUT_SECONDS: Final = 0.25
 """Seconds for another host to say who holds the leads."""
 
-LONGEST_WAIT: Final = 0.5
+MAX_PRIMARY_WAIT_SECONDS: Final = 0.5
 """Seconds for which a statement looks for a primary; half of the shortest
 timeout of a statement, rounded, so that it can run afterwards."""
 
-PAUSE: Final = 0.06
+PRIMARY_RETRY_SECONDS: Final = 0.06
 """Seconds between two tries to find the primary."""
 
-RETRY_MS: Final = 100
+RETRY_AFTER_MS: Final = 100
 """When to come back if no primary is found, in milliseconds."""
 
-ELSEWHERE: Final = frozenset(
+PRIMARY_MOVED_REASONS: Final = frozenset(
     {
-        Reason.WRONG_HOME,
-        Reason.HOST_UNREACHABLE,
-        Reason.TARGET_UNREACHABLE,
-        Reason.NO_PRIMARY,
+        RefusalReason.WRONG_HOME,
+        RefusalReason.HOST_UNREACHABLE,
+        RefusalReason.TARGET_UNREACHABLE,
+        RefusalReason.NO_PRIMARY,
     }
 )
 """Reasons for which the primary may be found at another host a little later."""
 
 
-class Steering:
+class SessionRouter:
     """Bring statements to targets by way of their homes."""
 
     def __init__(
         self,
-        hops: Hops,
-        replicas: Replicas,
-        book: LeadBook,
+        forwarder: StatementForwarder,
+        replica_reader: ReplicaReader,
+        lease_registry: LeadBook,
         directory: Directory,
         peers: Peers,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
-        self.hops = hops
-        self.replicas = replicas
-        self.book = book
+        self.forwarder = forwarder
+        self.replica_reader = replica_reader
+        self.lease_registry = lease_registry
         self.directory = directory
         self.me = directory.me
         self.peers = peers
@@ -66,26 +66,37 @@
         self.decisions = decisions
 
     async def run(
-        self, route: Route, work: Work, own: Position | None, anywhere: bool
-    ) -> Placed:
+        self,
+        route: Route,
+        statement: SessionStatement,
+        session_position: Position | None,
+        replica_allowed: bool,
+    ) -> LocatedResult:
         """Run a statement that belongs to no transaction yet.
 
-        :param own: the position of the session's last commit.
-        :param anywhere: whether a replica may serve it.
+        :param session_position: the position of the session's last commit.
+        :param replica_allowed: whether a replica may serve it.
         :raises Refusal: with a verdict that holds.
         """
-        deadline = self.clock.monotonic() + work.left
-        if not anywhere or route.kind is RouteKind.PRIMARY:
-            return await self.at_primary(work, deadline)
-        tried = await self.replicas.run(route, work, own, deadline)
-        if tried.placed is not None:
-            return tried.placed
-        if tried.crowded is not None:
-            return await self.least_crowded(work, tried, deadline)
-        work.patience = None
-        return await self.at_primary(work, deadline)
-
-    async def least_crowded(self, work: Work, tried: Tried, deadline: float) -> Placed:
+        deadline = self.clock.monotonic() + statement.remaining
+        if not replica_allowed or route.kind is RouteKind.PRIMARY:
+            return await self.run_at_primary(statement, deadline)
+        tried = await self.replica_reader.run_read(
+            route, statement, session_position, deadline
+        )
+        if tried.located_result is not None:
+            return tried.located_result
+        if tried.overloaded_replica is not None:
+            return await self.run_at_shortest_wait(statement, tried, deadline)
+        statement.wait_limit_seconds = None
+        return await self.run_at_primary(statement, deadline)
+
+    async def run_at_shortest_wait(
+        self,
+        statement: SessionStatement,
+        replica_result: ReplicaReadResult,
+        deadline: float,
+    ) -> LocatedResult:
         """Run a read at the primary if it has a slot free, else where it is soonest.
 
         All slots of a service are used so before any read waits for long. While
@@ -94,92 +105,116 @@
 
         :raises Refusal: with a verdict that holds.
         """
-        assert tried.crowded is not None
-        floor = work.after
+        assert replica_result.overloaded_replica is not None
+        floor = statement.min_position
         try:
-            return await self.at_primary(work, deadline)
-        except Refusal as refusal:
-            if refusal.verdict is not Verdict.NOT_RUN or work.left <= 0.0:
+            return await self.run_at_primary(statement, deadline)
+        except RefusalError as refusal:
+            if refusal.verdict is not Verdict.NOT_RUN or statement.remaining <= 0.0:
                 raise
-            if refusal.reason in (Reason.TRANSACTION_LOST, Reason.RATE_LIMITED):
+            if refusal.reason in (
+                RefusalReason.TRANSACTION_LOST,
+                RefusalReason.RATE_LIMITED,
+            ):
                 # Its first statement was sent, and would run on a second connection;
                 # or it may run nowhere now.
                 raise
-            soonest = refusal.reason is Reason.OVERLOADED
-            soonest = soonest and wait_of(refusal) < tried.wait
-        work.patience = None
+            soonest = refusal.reason is RefusalReason.OVERLOADED
+            soonest = (
+                soonest and retry_after_seconds(refusal) < replica_result.wait_seconds
+            )
+        statement.wait_limit_seconds = None
         if not soonest:
-            work.after = floor
-            again = await self.replicas.at_replica(tried.crowded, work, deadline)
-            if again.placed is not None:
-                return again.placed
-        return await self.at_primary(work, deadline)
-
-    async def at_primary(self, work: Work, deadline: float) -> Placed:
+            statement.min_position = floor
+            again = await self.replica_reader.run_at_replica(
+                replica_result.overloaded_replica, statement, deadline
+            )
+            if again.located_result is not None:
+                return again.located_result
+        return await self.run_at_primary(statement, deadline)
+
+    async def run_at_primary(
+        self, statement: SessionStatement, deadline: float
+    ) -> LocatedResult:
         """Run a statement at the primary, looking for it for a while.
 
         :raises Refusal: with a verdict that holds.
         """
-        work.target = ""
-        work.after = None
-        give_up = self.clock.monotonic() + min(LONGEST_WAIT, work.left / 2)
+        statement.target = ""
+        statement.min_position = None
+        give_up = self.clock.monotonic() + min(
+            MAX_PRIMARY_WAIT_SECONDS, statement.remaining / 2
+        )
         busy = 0
         refused_by_deputy = False
         while True:
-            record = self.book.get(work.service)
+            record = self.lease_registry.get(statement.service)
             revision = 0 if record is None else record.revision
-            work.spend(work.left - (deadline - self.clock.monotonic()))
+            statement.subtract_elapsed(
+                statement.remaining - (deadline - self.clock.monotonic())
+            )
             try:
                 if record is None:
-                    raise no_primary(work.service)
-                host = self.hops.leader(record, refused_by_deputy)
-                place = Place(host, "")
-                answer = await self.hops.run_at(place, work)
-            except Refusal as refusal:
+                    raise no_primary(statement.service)
+                host = self.forwarder.acting_holder(record, refused_by_deputy)
+                place = StatementLocation(host, "")
+                answer = await self.forwarder.run_at(place, statement)
+            except RefusalError as refusal:
                 if record is not None and host != record.holder.ref:
                     refused_by_deputy = True
-                    if refusal.reason is Reason.WRONG_HOME:
+                    if refusal.reason is RefusalReason.WRONG_HOME:
                         continue
-                await self.settle(work, refusal, revision, give_up)
+                await self.wait_before_retry(statement, refusal, revision, give_up)
                 continue
             fault = answer.reply.fault
             if (
                 fault is Fault.BUSY
                 and busy < MOST_BUSY
-                and work.kind is not WorkKind.COMMIT
+                and statement.kind is not SessionStatementKind.COMMIT
             ):
                 busy += 1
                 await self.clock.sleep(BUSY_PAUSE)
                 continue
             if fault is Fault.READ_ONLY and self.clock.monotonic() < give_up:
-                self.hops.rerouted(work, answer.target, fault.value)
-                await self.clock.sleep(PAUSE)
+                self.forwarder.log_reroute(statement, answer.target, fault.value)
+                await self.clock.sleep(PRIMARY_RETRY_SECONDS)
                 continue
-            self.learn(work.service, answer)
-            return Placed(answer, place)
+            self.record_proof(statement.service, answer)
+            return LocatedResult(answer, place)
 
-    async def settle(
-        self, work: Work, refusal: Refusal, revision: int, give_up: float
+    async def wait_before_retry(
+        self,
+        statement: SessionStatement,
+        refusal: RefusalError,
+        revision: int,
+        give_up_at: float,
     ) -> None:
         """Return once another try makes sense, or raise what is final."""
-        if refusal.verdict is not Verdict.NOT_RUN or refusal.reason not in ELSEWHERE:
+        if (
+            refusal.verdict is not Verdict.NOT_RUN
+            or refusal.reason not in PRIMARY_MOVED_REASONS
+        ):
             raise refusal
-        record = self.book.get(work.service)
+        record = self.lease_registry.get(statement.service)
         same = record is not None and record.revision == revision
-        if self.clock.monotonic() >= give_up:
+        if self.clock.monotonic() >= give_up_at:
             raise refusal
-        if same and record is not None and not self.hops.patient(record.holder.ref):
+        if (
+            same
+            and record is not None
+            and not self.forwarder.expects_failover(record.holder.ref)
+        ):
             raise refusal
-        self.hops.rerouted(work, "primary", refusal.reason.value)
-        if refusal.reason in (Reason.WRONG_HOME, Reason.HOST_UNREACHABLE):
-            await self.learn_records(work.service)
-        record = self.book.get(work.service)
+        self.forwarder.log_reroute(statement, "primary", refusal.reason.value)
+        if refusal.reason in (RefusalReason.WRONG_HOME, RefusalReason.HOST_UNREACHABLE):
+            await self.fetch_lease_records(statement.service)
+        record = self.lease_registry.get(statement.service)
         if record is None or record.revision == revision:
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(PRIMARY_RETRY_SECONDS)
 
-    async def learn_records(self, service: str) -> None:
+    async def fetch_lease_records(self, service: str) -> None:
         """Ask the present holder, or else somebody, who holds the leads."""
-        record = self.book.get(service)
+        record = self.lease_registry.get(service)
         others = [
             ref
             for ref in self.directory.ranked(service, self.me.zone)
@@ -190,17 +225,21 @@
             if host.host == self.me.host:
                 continue
             try:
-                answer = await self.peers.call(host, RECORDS_PATH, {}, RECORDS_TIMEOUT)
-                self.book.merge(answer["records"], host.host)
+                answer = await self.peers.call(
+                    host, RECORDS_PATH, {}, RECORDS_TIMEOUT_SECONDS
+                )
+                self.lease_registry.merge(answer["records"], host.host)
                 return
-            except (PeerError, Refusal, WireError, LookupError) as error:
+            except (PeerError, RefusalError, WireError, LookupError) as error:
                 self.decisions.note("records_unknown", host=host.host, error=str(error))
 
-    def learn(self, service: str, answer: WorkAnswer) -> None:
+    def record_proof(self, service: str, answer: SessionStatementResult) -> None:
         """Take over what an answer of the primary tells."""
-        self.replicas.sightings(service).prove(answer.proof)
+        self.replica_reader.observations(service).add_proof(answer.proof)
 
 
-def no_primary(service: str) -> Refusal:
+def no_primary(service: str) -> RefusalError:
     """Return the refusal of a statement whose service nobody leads."""
-    return not_run(Reason.NO_PRIMARY, f"nobody leads the service {service}", RETRY_MS)
+    return not_run(
+        RefusalReason.NO_PRIMARY, f"nobody leads the service {service}", RETRY_AFTER_MS
+    )
--- a/src/reedhook/request/token.py
+++ b/src/reedhook/request/token.py
@@ -15,19 +15,24 @@
 
 from ..record import Record
 from .position import Position
-from .refusal import Reason, Refusal, not_run
+from .refusal import RefusalError, RefusalReason, not_run
 
-FORMAT: Final = 1
-HEADER_SIZE: Final = 3
-MAC_SIZE: Final = 16
-ALPHABET: Final = re.compile("[A-Za-z0-9_-]*")
+FORMAT_VERSION: Final = 1
+HEADER_BYTES: Final = 3
+MAC_BYTES: Final = 16
+TOKEN_PATTERN: Final = re.compile("[A-Za-z0-9_-]*")
 PADDING: Final = ("", "", "==", "=")
 # The last character of a text may hold bits beyond the last byte. Only the
 # text in which they are zero is taken, so that no altered bit goes unnoticed.
-DIGITS: Final = ascii_uppercase + ascii_lowercase + digits + "-_"
-LAST: Final = (DIGITS, "", DIGITS[::16], DIGITS[::4])
+BASE64URL_ALPHABET: Final = ascii_uppercase + ascii_lowercase + digits + "-_"
+VALID_LAST_CHARACTERS: Final = (
+    BASE64URL_ALPHABET,
+    "",
+    BASE64URL_ALPHABET[::16],
+    BASE64URL_ALPHABET[::4],
+)
 MAX_GROUPS: Final = 256
-MAX_TEXT: Final = 24_576
+MAX_TEXT_CHARACTERS: Final = 24_576
 
 
 class SessionToken(Record):
@@ -64,7 +69,7 @@
             return self
         positions = {**self.positions, group: position}
         if len(positions) > MAX_GROUPS:
-            raise token_invalid("the token names too many groups")
+            raise invalid_token_refusal("the token names too many groups")
         return SessionToken(self.workspace, self.service, positions)
 
     def merged(self, other: "SessionToken") -> "SessionToken":
@@ -73,7 +78,7 @@
         :raises Refusal: if the scopes differ, or for too many groups.
         """
         if (self.workspace, self.service) != (other.workspace, other.service):
-            raise token_invalid("tokens of different scopes cannot be merged")
+            raise invalid_token_refusal("tokens of different scopes cannot be merged")
         merged = self
         for group, position in other.positions.items():
             merged = merged.advanced(group, position)
@@ -87,12 +92,12 @@
         replaced while tokens of the former one are in use.
     """
 
-    __slots__ = ("keyed",)
+    __slots__ = ("keyed_macs",)
 
     def __init__(self, secrets: Sequence[bytes]) -> None:
         if not secrets:
             raise ValueError("a token secret is needed")
-        self.keyed = [hmac.new(secret, digestmod="sha256") for secret in secrets]
+        self.keyed_macs = [hmac.new(secret, digestmod="sha256") for secret in secrets]
 
     def encode(self, token: SessionToken) -> str:
         """Return the text of `token`."""
@@ -101,24 +106,24 @@
             for group, position in token.positions.items()
         }
         payload = orjson.dumps([token.workspace, token.service, positions])
-        head = bytes([FORMAT]) + len(payload).to_bytes(2, "big")
+        head = bytes([FORMAT_VERSION]) + len(payload).to_bytes(2, "big")
         signed = head + payload
-        body = signed + mac(self.keyed[0], signed)
-        return packed(body)
+        body = signed + token_mac(self.keyed_macs[0], signed)
+        return encode_base64url(body)
 
     def decode(self, text: str, workspace: str, service: str) -> SessionToken:
         """Read a token of `workspace` for `service`.
 
         :raises Refusal: ``token_invalid``, with the cause as its detail.
         """
-        signed = self.verified(unpacked(text))
-        if text[-1] not in LAST[len(text) % 4]:
-            raise token_invalid("the token is malformed: not base64url")
-        owner, scope, positions = orjson.loads(signed[HEADER_SIZE:])
+        signed = self.verified(decode_base64url(text))
+        if text[-1] not in VALID_LAST_CHARACTERS[len(text) % 4]:
+            raise invalid_token_refusal("the token is malformed: not base64url")
+        owner, scope, positions = orjson.loads(signed[HEADER_BYTES:])
         if owner != workspace:
-            raise token_invalid("the token belongs to another workspace")
+            raise invalid_token_refusal("the token belongs to another workspace")
         if scope != service:
-            raise token_invalid("the token is for another service")
+            raise invalid_token_refusal("the token is for another service")
         return SessionToken(
             owner,
             scope,
@@ -128,50 +133,52 @@
     def verified(self, body: bytes) -> bytes:
         """Return the signed part of `body` once its form and code hold."""
         if not body:
-            raise token_invalid("the token is empty")
-        if body[0] > FORMAT:
-            raise token_invalid("the token is of a newer format than this host reads")
-        if body[0] != FORMAT:
-            raise token_invalid("the token is malformed")
-        size = HEADER_SIZE + int.from_bytes(body[1:HEADER_SIZE], "big") + MAC_SIZE
-        if len(body) < max(size, HEADER_SIZE + MAC_SIZE):
-            raise token_invalid("the token is cut short")
+            raise invalid_token_refusal("the token is empty")
+        if body[0] > FORMAT_VERSION:
+            raise invalid_token_refusal(
+                "the token is of a newer format than this host reads"
+            )
+        if body[0] != FORMAT_VERSION:
+            raise invalid_token_refusal("the token is malformed")
+        size = HEADER_BYTES + int.from_bytes(body[1:HEADER_BYTES], "big") + MAC_BYTES
+        if len(body) < max(size, HEADER_BYTES + MAC_BYTES):
+            raise invalid_token_refusal("the token is cut short")
         if len(body) > size:
-            raise token_invalid("the token is malformed: it is too long")
-        signed, code = body[:-MAC_SIZE], body[-MAC_SIZE:]
-        for keyed in self.keyed:
-            if hmac.compare_digest(mac(keyed, signed), code):
+            raise invalid_token_refusal("the token is malformed: it is too long")
+        signed, code = body[:-MAC_BYTES], body[-MAC_BYTES:]
+        for keyed in self.keyed_macs:
+            if hmac.compare_digest(token_mac(keyed, signed), code):
                 return signed
-        raise token_invalid("the token is forged or altered")
+        raise invalid_token_refusal("the token is forged or altered")
 
 
-def mac(keyed: hmac.HMAC, signed: bytes) -> bytes:
+def token_mac(keyed_mac: hmac.HMAC, signed: bytes) -> bytes:
     """Return the truncated authentication code of `signed`.
 
-    :param keyed: holds the secret; a copy spares setting the key up again.
+    :param keyed_mac: holds the secret; a copy spares setting the key up again.
     """
-    code = keyed.copy()
+    code = keyed_mac.copy()
     code.update(signed)
-    return code.digest()[:MAC_SIZE]
+    return code.digest()[:MAC_BYTES]
 
 
-def packed(body: bytes) -> str:
+def encode_base64url(body: bytes) -> str:
     """Return the one text of `body`."""
     return urlsafe_b64encode(body).rstrip(b"=").decode()
 
 
-def unpacked(text: str) -> bytes:
+def decode_base64url(text: str) -> bytes:
     """Return the bytes of a token's text, which may be cut short."""
-    if len(text) > MAX_TEXT:
-        raise token_invalid("the token is too long")
-    if ALPHABET.fullmatch(text) is None:
-        raise token_invalid("the token is malformed: not base64url")
+    if len(text) > MAX_TEXT_CHARACTERS:
+        raise invalid_token_refusal("the token is too long")
+    if TOKEN_PATTERN.fullmatch(text) is None:
+        raise invalid_token_refusal("the token is malformed: not base64url")
     rest = len(text) % 4
     if rest == 1:
         text = text[:-1]
     return urlsafe_b64decode(text + PADDING[rest])
 
 
-def token_invalid(detail: str) -> Refusal:
+def invalid_token_refusal(detail: str) -> RefusalError:
     """Return the refusal of a token; nothing was run."""
-    return not_run(Reason.TOKEN_INVALID, detail)
+    return not_run(RefusalReason.TOKEN_INVALID, detail)
--- a/src/reedhook/request/view.py
+++ b/src/reedhook/request/view.py
@@ -10,30 +10,38 @@
 
     :param applied: a position that its reads see at least.
     :param held: a position that it holds at least.
-    :param seen: local monotonic time at which this was true at the earliest.
-    :param wait: expected wait of a new statement at its home, in seconds.
+    :param observed_at: local monotonic time at which this was true at the earliest.
+    :param expected_wait: expected wait of a new statement at its home, in seconds.
     :param lag: proved upper bound of its age when seen, in seconds; None if
         nothing is proved.
     :param leaving: whether it takes no new work.
     """
 
-    __slots__ = ("member", "applied", "held", "seen", "wait", "lag", "leaving")
+    __slots__ = (
+        "member",
+        "applied",
+        "held",
+        "observed_at",
+        "expected_wait",
+        "lag",
+        "leaving",
+    )
 
     def __init__(
         self,
         member: str,
         applied: Position = ORIGIN,
         held: Position = ORIGIN,
-        seen: float = 0.0,
-        wait: float = 0.0,
+        observed_at: float = 0.0,
+        expected_wait: float = 0.0,
         lag: float | None = None,
         leaving: bool = False,
     ) -> None:
         self.member = member
         self.applied = applied
         self.held = held
-        self.seen = seen
-        self.wait = wait
+        self.observed_at = observed_at
+        self.expected_wait = expected_wait
         self.lag = lag
         self.leaving = leaving
 
@@ -54,7 +62,7 @@
         self.primary = primary
         self.members: dict[str, MemberView] = {}
 
-    def lead(self, term: int, primary: str | None) -> bool:
+    def record_primary(self, term: int, primary: str | None) -> bool:
         """Take note of a leader; return whether it is news."""
         if term < self.term or (term == self.term and self.primary is not None):
             return False
@@ -64,18 +72,18 @@
         self.primary = primary
         return True
 
-    def learn(self, news: MemberView) -> None:
+    def merge_member(self, update: MemberView) -> None:
         """Keep `news` of a member unless what is known is newer."""
-        known = self.members.get(news.member)
-        if known is not None and known.seen > news.seen:
+        known = self.members.get(update.member)
+        if known is not None and known.observed_at > update.observed_at:
             return
-        self.members[news.member] = news
+        self.members[update.member] = update
 
     def merge(self, other: "GroupView") -> bool:
         """Take over what `other` knows better; return whether the leader is new."""
-        changed = self.lead(other.term, other.primary)
+        changed = self.record_primary(other.term, other.primary)
         for member in other.members.values():
-            self.learn(member)
+            self.merge_member(member)
         return changed
 
     def to_json(self, now: float) -> Json:
@@ -89,8 +97,8 @@
                     one.member,
                     one.applied.to_json(),
                     one.held.to_json(),
-                    round(now - one.seen, 4),
-                    round(one.wait, 4),
+                    round(now - one.observed_at, 4),
+                    round(one.expected_wait, 4),
                     None if one.lag is None else round(one.lag, 4),
                     one.leaving,
                 ]
@@ -100,7 +108,7 @@
 
     @classmethod
     def from_json(
-        cls, message: Json, asked: float, members: bool = True
+        cls, message: Json, requested_at: float, members: bool = True
     ) -> "GroupView":
         """Read a view; `asked` is when the question was sent, local monotonic.
 
@@ -114,7 +122,7 @@
                 member,
                 Position.from_json(applied),
                 Position.from_json(held),
-                asked - age,
+                requested_at - age,
                 wait,
                 lag,
                 leaving,
@@ -122,38 +130,42 @@
         return view
 
 
-class ViewQuestion(Record):
+class GroupViewRequest(Record):
     """Ask a home for its view of a group.
 
-    :param hold: for how many seconds to wait for a leader that is news.
+    :param long_poll_seconds: for how many seconds to wait for a leader that is news.
     :param term: the highest leader term that the asker knows.
     :param primary: who leads it, as far as the asker knows.
     """
 
-    __slots__ = ("group", "hold", "term", "primary")
+    __slots__ = ("group", "long_poll_seconds", "term", "primary")
 
     def __init__(
-        self, group: str, hold: float = 0.0, term: int = 0, primary: str | None = None
+        self,
+        group: str,
+        long_poll_seconds: float = 0.0,
+        term: int = 0,
+        primary: str | None = None,
     ) -> None:
         self.group = group
-        self.hold = hold
+        self.long_poll_seconds = long_poll_seconds
         self.term = term
         self.primary = primary
 
     def to_json(self) -> Json:
         """Return the question as it stands on the wire."""
-        if self.hold <= 0.0:
+        if self.long_poll_seconds <= 0.0:
             return {"group": self.group}
         return {
             "group": self.group,
-            "hold": self.hold,
+            "hold": self.long_poll_seconds,
             "term": self.term,
             "primary": self.primary,
         }
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "ViewQuestion":
+    def from_json(cls, message: Json) -> "GroupViewRequest":
         """Read a question from the wire."""
         return cls(
             text(message, "group"),
--- a/src/reedhook/request/views.py
+++ b/src/reedhook/request/views.py
@@ -16,58 +16,58 @@
 from ..peer import HostRef, PeerError, PeerHandler, Peers
 from ..version.catalog import Group
 from ..wire import Json
-from .refusal import Reason, Refusal, not_run
-from .view import GroupView, ViewQuestion
-
-OLD_AFTER: Final = 0.5
-ASK_TIMEOUT: Final = 0.5
-FIRST_BACKOFF: Final = 0.02
-LAST_BACKOFF: Final = 0.25
-SPREAD: Final = 0.5
-HOLD: Final = 0.4
+from .refusal import RefusalError, RefusalReason, not_run
+from .view import GroupView, GroupViewRequest
+
+STALE_AFTER_SECONDS: Final = 0.5
+QUERY_TIMEOUT_SECONDS: Final = 0.5
+MIN_BACKOFF_SECONDS: Final = 0.02
+MAX_BACKOFF_SECONDS: Final = 0.25
+JITTER_FRACTION: Final = 0.5
+LONG_POLL_SECONDS: Final = 0.4
 MAX_WAITERS: Final = 256
 
-NewsCallback: TypeAlias = Callable[[], None]
+PrimaryListener: TypeAlias = Callable[[], None]
 
 
-class KnownGroup:
+class CachedGroupView:
     """Keep the view of one group and who waits for news of it.
 
-    :ivar refreshed: local monotonic time when a home's view last came in.
+    :ivar refreshed_at: local monotonic time when a home's view last came in.
     :ivar rounds_failed: rounds of asking in a row that no home answered.
-    :ivar news: done once another leader is learned.
+    :ivar primary_changed: done once another leader is learned.
     :ivar listeners: called in order when another leader is learned.
-    :ivar lookouts: how many listeners want the homes to be asked.
+    :ivar poll_requests: how many listeners want the homes to be asked.
     """
 
     __slots__ = (
         "view",
-        "refreshed",
+        "refreshed_at",
         "rounds_failed",
         "waiters",
-        "news",
+        "primary_changed",
         "listeners",
-        "lookouts",
-        "asking",
-        "watching",
+        "poll_requests",
+        "refresh_task",
+        "poll_task",
     )
 
     def __init__(self, group: str) -> None:
         self.view = GroupView(group)
-        self.refreshed = float("-inf")
+        self.refreshed_at = float("-inf")
         self.rounds_failed = 0
         self.waiters = 0
-        self.news = asyncio.Event()
-        self.listeners: dict[NewsCallback, None] = {}
-        self.lookouts = 0
-        self.asking: asyncio.Task[bool] | None = None
-        self.watching: asyncio.Task[None] | None = None
+        self.primary_changed = asyncio.Event()
+        self.listeners: dict[PrimaryListener, None] = {}
+        self.poll_requests = 0
+        self.refresh_task: asyncio.Task[bool] | None = None
+        self.poll_task: asyncio.Task[None] | None = None
 
 
-class Views:
+class GroupViewCache:
     """Keep the views of all groups that this host serves.
 
-    :param ask_here: the handler of the peer path ``view`` of this host.
+    :param query_local: the handler of the peer path ``view`` of this host.
     """
 
     __slots__ = (
@@ -75,9 +75,9 @@
         "random",
         "directory",
         "peers",
-        "ask_here",
+        "query_local",
         "known",
-        "questions",
+        "query_tasks",
     )
 
     def __init__(
@@ -86,30 +86,30 @@
         rng: random.Random,
         directory: Directory,
         peers: Peers,
-        ask_here: PeerHandler,
+        query_local: PeerHandler,
     ) -> None:
         self.clock = clock
         self.random = rng
         self.directory = directory
         self.peers = peers
-        self.ask_here = ask_here
-        self.known: dict[str, KnownGroup] = {}
-        self.questions: set[asyncio.Task[bool]] = set()
+        self.query_local = query_local
+        self.known: dict[str, CachedGroupView] = {}
+        self.query_tasks: set[asyncio.Task[bool]] = set()
 
-    def group(self, name: str) -> KnownGroup:
+    def group(self, name: str) -> CachedGroupView:
         """Return what is known of the group `name`."""
         known = self.known.get(name)
         if known is None:
-            known = self.known[name] = KnownGroup(name)
+            known = self.known[name] = CachedGroupView(name)
         return known
 
     def merge(self, view: GroupView) -> None:
         """Take over a view that came from a home."""
         known = self.group(view.group)
-        known.refreshed = self.clock.monotonic()
+        known.refreshed_at = self.clock.monotonic()
         if known.view.merge(view):
-            known.news.set()
-            known.news = asyncio.Event()
+            known.primary_changed.set()
+            known.primary_changed = asyncio.Event()
             for listener in list(known.listeners):
                 listener()
 
@@ -121,8 +121,8 @@
         known = self.group(group.name)
         if not known.view.members:
             await self.refresh(group)
-        elif self.clock.monotonic() - known.refreshed > OLD_AFTER:
-            self.start_asking(group, known)
+        elif self.clock.monotonic() - known.refreshed_at > STALE_AFTER_SECONDS:
+            self.start_refresh(group, known)
         return known.view
 
     async def refresh(self, group: Group) -> bool:
@@ -130,23 +130,30 @@
 
         Callers that refresh at once share one round.
         """
-        task = self.start_asking(group, self.group(group.name))
+        task = self.start_refresh(group, self.group(group.name))
         return await asyncio.shield(task)
 
-    def start_asking(self, group: Group, known: KnownGroup) -> asyncio.Task[bool]:
+    def start_refresh(self, group: Group, known: CachedGroupView) -> asyncio.Task[bool]:
         """Return the running round of asking, started if there is none."""
-        if known.asking is None or known.asking.done():
-            known.asking = asyncio.create_task(self.ask_all(group, known, 0.0))
-        return known.asking
+        if known.refresh_task is None or known.refresh_task.done():
+            known.refresh_task = asyncio.create_task(
+                self.query_homes(group, known, 0.0)
+            )
+        return known.refresh_task
 
-    async def ask_all(self, group: Group, known: KnownGroup, hold: float) -> bool:
+    async def query_homes(
+        self, group: Group, known: CachedGroupView, long_poll_seconds: float
+    ) -> bool:
         """Ask the homes of all members; return once the first has answered.
 
         The other answers are merged when they come.
 
-        :param hold: for how many seconds homes wait for news to tell.
+        :param long_poll_seconds: for how many seconds homes wait for news to tell.
         """
-        calls = [self.start(self.ask(home, group, hold)) for home in self.homes(group)]
+        calls = [
+            self.start_query(self.query_home(home, group, long_poll_seconds))
+            for home in self.homes(group)
+        ]
         for call in asyncio.as_completed(calls):
             if await call:
                 known.rounds_failed = 0
@@ -154,11 +161,11 @@
         known.rounds_failed += 1
         return False
 
-    def start(self, question: Coroutine[Any, Any, bool]) -> asyncio.Task[bool]:
+    def start_query(self, query: Coroutine[Any, Any, bool]) -> asyncio.Task[bool]:
         """Run a question as a task that is kept until it ends."""
-        task = asyncio.create_task(question)
-        self.questions.add(task)
-        task.add_done_callback(self.questions.discard)
+        task = asyncio.create_task(query)
+        self.query_tasks.add(task)
+        task.add_done_callback(self.query_tasks.discard)
         return task
 
     def homes(self, group: Group) -> list[HostRef]:
@@ -170,28 +177,34 @@
                 found[home.host] = home
         return list(found.values())
 
-    async def ask(self, home: HostRef, group: Group, hold: float) -> bool:
+    async def query_home(
+        self, home: HostRef, group: Group, long_poll_seconds: float
+    ) -> bool:
         """Ask one home for its view; return whether it answered.
 
         A view that was held open is dated by the question all the same.
         """
         asked = self.clock.monotonic()
         view = self.group(group.name).view
-        question = ViewQuestion(group.name, hold, view.term, view.primary)
+        question = GroupViewRequest(
+            group.name, long_poll_seconds, view.term, view.primary
+        )
         try:
-            message = await self.call(home, question.to_json(), ASK_TIMEOUT + hold)
+            message = await self.call(
+                home, question.to_json(), QUERY_TIMEOUT_SECONDS + long_poll_seconds
+            )
             self.merge(GroupView.from_json(message["view"], asked))
-        except (PeerError, Refusal, LookupError, TypeError, ValueError):
+        except (PeerError, RefusalError, LookupError, TypeError, ValueError):
             return False
         return True
 
     async def call(self, home: HostRef, body: Json, timeout: float) -> Json:
         """Send the question to `home`, which may be this host."""
         if home.host == self.directory.me.host:
-            return await self.ask_here(body)
+            return await self.query_local(body)
         return await self.peers.call(home, "view", body, timeout)
 
-    async def wait_news(self, group: Group, timeout: float) -> None:
+    async def wait_for_primary_change(self, group: Group, timeout: float) -> None:
         """Return once another leader is learned, or after `timeout` seconds.
 
         While requests wait, one task asks the homes, with a growing pause.
@@ -201,60 +214,64 @@
         known = self.group(group.name)
         if known.waiters >= MAX_WAITERS:
             raise not_run(
-                Reason.OVERLOADED, "too many requests wait for a primary", 500
+                RefusalReason.OVERLOADED, "too many requests wait for a primary", 500
             )
         known.waiters += 1
         try:
-            self.start_watching(group, known)
+            self.ensure_polling(group, known)
             async with asyncio.timeout(timeout):
-                await known.news.wait()
+                await known.primary_changed.wait()
         except TimeoutError:
             return
         finally:
             known.waiters -= 1
 
-    def start_watching(self, group: Group, known: KnownGroup) -> None:
+    def ensure_polling(self, group: Group, known: CachedGroupView) -> None:
         """Let one task ask for news as long as requests wait."""
-        if known.watching is None or known.watching.done():
-            known.watching = asyncio.create_task(self.watch(group, known))
+        if known.poll_task is None or known.poll_task.done():
+            known.poll_task = asyncio.create_task(self.poll_homes(group, known))
 
-    def listen(self, group: Group, listener: NewsCallback) -> None:
+    def add_listener(self, group: Group, listener: PrimaryListener) -> None:
         """Call `listener` whenever another leader is learned, until `unlisten`."""
         self.group(group.name).listeners[listener] = None
 
-    def unlisten(self, group: Group, listener: NewsCallback) -> None:
+    def remove_listener(self, group: Group, listener: PrimaryListener) -> None:
         """Take back a call of `listen`."""
         self.group(group.name).listeners.pop(listener, None)
 
-    def look_out(self, group: Group) -> None:
+    def start_polling(self, group: Group) -> None:
         """Have the homes asked for news until `look_away`."""
         known = self.group(group.name)
-        known.lookouts += 1
-        self.start_watching(group, known)
+        known.poll_requests += 1
+        self.ensure_polling(group, known)
 
-    def look_away(self, group: Group) -> None:
+    def stop_polling(self, group: Group) -> None:
         """Take back one call of `look_out`."""
-        self.group(group.name).lookouts -= 1
+        self.group(group.name).poll_requests -= 1
 
-    async def watch(self, group: Group, known: KnownGroup) -> None:
+    async def poll_homes(self, group: Group, known: CachedGroupView) -> None:
         """Ask the homes again and again while requests wait for news.
 
         The pause grows unless homes hold the question open.
         """
-        pause = FIRST_BACKOFF
-        while known.waiters + known.lookouts > 0:
+        pause = MIN_BACKOFF_SECONDS
+        while known.waiters + known.poll_requests > 0:
             asked = self.clock.monotonic()
-            answered = await self.ask_all(group, known, HOLD)
-            held = self.clock.monotonic() - asked >= SPREAD * HOLD
-            jitter = 1.0 + SPREAD * self.random.random()
+            answered = await self.query_homes(group, known, LONG_POLL_SECONDS)
+            held = self.clock.monotonic() - asked >= JITTER_FRACTION * LONG_POLL_SECONDS
+            jitter = 1.0 + JITTER_FRACTION * self.random.random()
             await self.clock.sleep(pause * jitter)
-            pause = FIRST_BACKOFF if answered and held else min(2 * pause, LAST_BACKOFF)
+            pause = (
+                MIN_BACKOFF_SECONDS
+                if answered and held
+                else min(2 * pause, MAX_BACKOFF_SECONDS)
+            )
 
     async def close(self) -> None:
         """Stop asking."""
-        for question in self.questions:
+        for question in self.query_tasks:
             question.cancel()
         for known in self.known.values():
-            for task in (known.asking, known.watching):
+            for task in (known.refresh_task, known.poll_task):
                 if task is not None:
                     task.cancel()
--- a/src/reedhook/request/work.py
+++ b/src/reedhook/request/work.py
@@ -9,15 +9,15 @@
 from ..wire import Json, reader
 from .position import Position
 
-USUAL_PRIORITY: Final = 1
+DEFAULT_PRIORITY: Final = 1
 """Priority of a statement whose route states none."""
 
 
-USUAL_DUE: Final = 0.25
+DEFAULT_SOFT_DEADLINE_SECONDS: Final = 0.25
 """Seconds in which an answer is expected where nothing is stated."""
 
 
-class WorkKind(str, Enum):
+class SessionStatementKind(str, Enum):
     """Name what a statement does at the target."""
 
     READ = "read"
@@ -25,7 +25,7 @@
     COMMIT = "commit"
 
 
-class Begin(str, Enum):
+class TransactionMode(str, Enum):
     """Name the transaction that a statement opens, if it is the first of one."""
 
     NONE = ""
@@ -33,7 +33,7 @@
     WRITE = "write"
 
 
-class Work(Record):
+class SessionStatement(Record):
     """Carry one statement of a session.
 
     :param target: where it runs; empty for the primary, whichever that is.
@@ -42,16 +42,16 @@
         by kind and name.
     :param transaction: names the transaction it belongs to; empty for none.
     :param begin: the transaction that is opened first.
-    :param after: the position that the target's log must hold.
+    :param min_position: the position that the target's log must hold.
     :param id: the caller's id of the statement.
-    :param left: seconds to the deadline; a duration, since clocks differ.
-    :param due: seconds until the caller expects the answer; less than 0 once that
+    :param remaining: seconds to the deadline; a duration, since clocks differ.
+    :param soft_deadline_seconds: seconds until the caller expects the answer; less than 0 once that
         is over.
     :param database: the route that it came by; statements of one take about as long.
     :param priority: of the route; 0 goes first.
-    :param patience: seconds for which it waits for its turn at this target, since
+    :param wait_limit_seconds: seconds for which it waits for its turn at this target, since
         others may serve it, too; None if it waits for as long as it can.
-    :param again: whether it was sent before; it must not run a second time.
+    :param resent: whether it was sent before; it must not run a second time.
     :param workspace: whose caller sent it; empty where callers need no key.
     """
 
@@ -62,16 +62,16 @@
         "settings",
         "transaction",
         "begin",
-        "after",
+        "min_position",
         "kind",
         "id",
         "text",
-        "left",
-        "again",
-        "due",
+        "remaining",
+        "resent",
+        "soft_deadline_seconds",
         "database",
         "priority",
-        "patience",
+        "wait_limit_seconds",
         "workspace",
     )
 
@@ -82,17 +82,17 @@
         session: str,
         settings: dict[str, str],
         transaction: str,
-        begin: Begin,
-        after: Position | None,
-        kind: WorkKind,
+        begin: TransactionMode,
+        min_position: Position | None,
+        kind: SessionStatementKind,
         id: str,
         text: str,
-        left: float,
-        again: bool = False,
-        due: float | None = None,
+        remaining: float,
+        resent: bool = False,
+        soft_deadline_seconds: float | None = None,
         database: str = "",
-        priority: int = USUAL_PRIORITY,
-        patience: float | None = None,
+        priority: int = DEFAULT_PRIORITY,
+        wait_limit_seconds: float | None = None,
         workspace: str = "",
     ) -> None:
         self.workspace = workspace
@@ -102,35 +102,39 @@
         self.settings = settings
         self.transaction = transaction
         self.begin = begin
-        self.after = after
+        self.min_position = min_position
         self.kind = kind
         self.id = id
         self.text = text
-        self.left = left
-        self.again = again
-        self.due = min(left, USUAL_DUE) if due is None else due
+        self.remaining = remaining
+        self.resent = resent
+        self.soft_deadline_seconds = (
+            min(remaining, DEFAULT_SOFT_DEADLINE_SECONDS)
+            if soft_deadline_seconds is None
+            else soft_deadline_seconds
+        )
         self.database = database
         self.priority = priority
-        self.patience = patience
+        self.wait_limit_seconds = wait_limit_seconds
 
     @property
-    def begins(self) -> bool:
+    def starts_operation(self) -> bool:
         """Say whether it is the first, or the only one, of a caller's operation."""
-        return not self.transaction or self.begin is not Begin.NONE
+        return not self.transaction or self.begin is not TransactionMode.NONE
 
-    def spend(self, seconds: float) -> None:
+    def subtract_elapsed(self, seconds: float) -> None:
         """Take note that time has passed."""
-        self.left -= seconds
-        self.due -= seconds
+        self.remaining -= seconds
+        self.soft_deadline_seconds -= seconds
 
     def may_be_in_doubt(self) -> bool:
         """Say whether it may take effect though its answer is missing.
 
         A read has none, and a transaction whose commit was not sent is rolled back.
         """
-        if self.kind is WorkKind.READ:
+        if self.kind is SessionStatementKind.READ:
             return False
-        return self.kind is not WorkKind.WRITE or not self.transaction
+        return self.kind is not SessionStatementKind.WRITE or not self.transaction
 
     def to_json(self) -> Json:
         """Return the statement as it stands on the wire between hosts."""
@@ -141,8 +145,8 @@
             "kind": self.kind.value,
             "id": self.id,
             "text": self.text,
-            "left": round(self.left, 4),
-            "due": round(self.due, 4),
+            "left": round(self.remaining, 4),
+            "due": round(self.soft_deadline_seconds, 4),
             "database": self.database,
             "priority": self.priority,
         }
@@ -150,21 +154,21 @@
             message["settings"] = self.settings
         if self.transaction:
             message["transaction"] = self.transaction
-        if self.begin is not Begin.NONE:
+        if self.begin is not TransactionMode.NONE:
             message["begin"] = self.begin.value
-        if self.after is not None:
-            message["after"] = self.after.to_json()
-        if self.again:
+        if self.min_position is not None:
+            message["after"] = self.min_position.to_json()
+        if self.resent:
             message["again"] = True
-        if self.patience is not None:
-            message["patience"] = self.patience
+        if self.wait_limit_seconds is not None:
+            message["patience"] = self.wait_limit_seconds
         if self.workspace:
             message["workspace"] = self.workspace
         return message
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "Work":
+    def from_json(cls, message: Json) -> "SessionStatement":
         """Read a statement that another host sent."""
         after = message.get("after")
         return cls(
@@ -173,48 +177,50 @@
             session=message["session"],
             settings=dict(message.get("settings", {})),
             transaction=message.get("transaction", ""),
-            begin=Begin(message.get("begin", "")),
-            after=None if after is None else Position.from_json(after),
-            kind=WorkKind(message["kind"]),
+            begin=TransactionMode(message.get("begin", "")),
+            min_position=None if after is None else Position.from_json(after),
+            kind=SessionStatementKind(message["kind"]),
             id=message["id"],
             text=message["text"],
-            left=float(message["left"]),
-            again=bool(message.get("again", False)),
-            due=message.get("due"),
+            remaining=float(message["left"]),
+            resent=bool(message.get("again", False)),
+            soft_deadline_seconds=message.get("due"),
             database=str(message.get("database", "")),
-            priority=int(message.get("priority", USUAL_PRIORITY)),
-            patience=message.get("patience"),
+            priority=int(message.get("priority", DEFAULT_PRIORITY)),
+            wait_limit_seconds=message.get("patience"),
             workspace=str(message.get("workspace", "")),
         )
 
 
-class Proof(Record):
+class PositionProof(Record):
     """State that a position covers all that was acknowledged before a moment.
 
-    :param at: that moment, on this host's clock `Clock.elapsed`.
+    :param as_of: that moment, on this host's clock `Clock.elapsed`.
     """
 
-    __slots__ = ("position", "at")
+    __slots__ = ("position", "as_of")
 
-    def __init__(self, position: Position, at: float) -> None:
+    def __init__(self, position: Position, as_of: float) -> None:
         self.position = position
-        self.at = at
+        self.as_of = as_of
 
     def to_json(self, now: float) -> Json:
         """Return the proof for the wire; the moment becomes an age."""
-        return {"position": self.position.to_json(), "age": round(now - self.at, 4)}
+        return {"position": self.position.to_json(), "age": round(now - self.as_of, 4)}
 
     @classmethod
     @reader
-    def from_json(cls, message: Json, asked: float) -> "Proof":
+    def from_json(cls, message: Json, requested_at: float) -> "PositionProof":
         """Read a proof that another host sent.
 
-        :param asked: when it was asked for, which makes it older, not younger.
+        :param requested_at: when it was asked for, which makes it older, not younger.
         """
-        return cls(Position.from_json(message["position"]), asked - message["age"])
+        return cls(
+            Position.from_json(message["position"]), requested_at - message["age"]
+        )
 
 
-class WorkAnswer(Record):
+class SessionStatementResult(Record):
     """Carry what a target answered, with what its home knows.
 
     :param target: the target that answered.
@@ -223,7 +229,9 @@
 
     __slots__ = ("target", "reply", "proof")
 
-    def __init__(self, target: str, reply: MemberReply, proof: Proof | None) -> None:
+    def __init__(
+        self, target: str, reply: MemberReply, proof: PositionProof | None
+    ) -> None:
         self.target = target
         self.reply = reply
         self.proof = proof
@@ -249,7 +257,7 @@
 
     @classmethod
     @reader
-    def from_json(cls, message: Json, asked: float) -> "WorkAnswer":
+    def from_json(cls, message: Json, requested_at: float) -> "SessionStatementResult":
         """Read an answer; `asked` is when the question was sent."""
         position, proof = message["position"], message.get("proof")
         reply = MemberReply(
@@ -263,5 +271,5 @@
         return cls(
             message["target"],
             reply,
-            None if proof is None else Proof.from_json(proof, asked),
+            None if proof is None else PositionProof.from_json(proof, requested_at),
         )
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -88,8 +88,8 @@
     async def view(self, group: Group) -> GroupView:
         view = GroupView(group.name, 3, "feedlog-1-a")
         at = Position(3, 40)
-        view.learn(MemberView("feedlog-1-a", at, at, 99.9, 0.002))
-        view.learn(MemberView("feedlog-1-b", at, at, 99.8, 0.001, 0.25))
+        view.merge_member(MemberView("feedlog-1-a", at, at, 99.9, 0.002))
+        view.merge_member(MemberView("feedlog-1-b", at, at, 99.8, 0.001, 0.25))
         return view
 
     def home(self, member: str, zone: str) -> HostRef | None:
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -17,10 +17,10 @@
 from reedhook.process.groups.executor import Executor
 from reedhook.process.groups.group import GroupKeeper
 from reedhook.process.groups.grouproutes import GroupRoutes
-from reedhook.request.execution import Served
+from reedhook.request.execution import HomeResponse
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal, not_run
-from reedhook.request.statement import Consistency, Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
+from reedhook.request.statement import Consistency, Statement, StatementKind
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 
@@ -108,7 +108,7 @@
     def holding(self, member: str, statement: Statement) -> FakeHome:
         home = self.local.get(member) or self.former.get(member)
         if home is None:
-            raise not_run(Reason.UNKNOWN_TRANSACTION, "no home is here")
+            raise not_run(RefusalReason.UNKNOWN_TRANSACTION, "no home is here")
         return home
 
     async def take_home(self, member: str) -> None:
@@ -215,7 +215,7 @@
 
     # Callers
 
-    def statement(self, kind: Kind, sql: str, remaining: float) -> Statement:
+    def statement(self, kind: StatementKind, sql: str, remaining: float) -> Statement:
         return Statement(kind, "g", GATE, sql, [], remaining)
 
     async def write(
@@ -226,10 +226,10 @@
         request_id: str | None = None,
     ) -> Position:
         """Write through the home of `member`; return the acknowledged position."""
-        statement = self.statement(Kind.WRITE, value, remaining)
+        statement = self.statement(StatementKind.WRITE, value, remaining)
         statement.request_id = request_id
         served = await self.home(member).executor.execute(member, statement)
-        return served.answer.position
+        return served.result.position
 
     async def read(
         self,
@@ -238,10 +238,10 @@
         covers: Position | None = None,
         max_age: float | None = None,
         remaining: float = 1.0,
-    ) -> Served:
-        statement = self.statement(Kind.READ, "", remaining)
+    ) -> HomeResponse:
+        statement = self.statement(StatementKind.READ, "", remaining)
         statement.consistency = consistency
-        statement.covers = covers
+        statement.min_position = covers
         statement.max_age = max_age
         return await self.home(member).executor.execute(member, statement)
 
@@ -284,7 +284,7 @@
 
     async def try_write(self, value: str, done: asyncio.Event) -> None:
         """Write at the member promoted last, wherever its home is."""
-        with contextlib.suppress(Refusal):
+        with contextlib.suppress(RefusalError):
             await self.write(self.leader(), value, 0.3)
             done.set()
 
@@ -301,6 +301,6 @@
     await cluster.stop()
 
 
-def values(served: Served) -> list[str]:
+def values(served: HomeResponse) -> list[str]:
     """Return the values that a read showed."""
-    return [row[0] for row in served.answer.rows]
+    return [row[0] for row in served.result.rows]
--- a/tests/fakes_group.py
+++ b/tests/fakes_group.py
@@ -19,8 +19,8 @@
     TargetUnreachable,
 )
 from reedhook.request.position import ORIGIN, Position
-from reedhook.request.refusal import Reason, Refusal, may_have_run, not_run
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run, not_run
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Group, Limits, Member
 
 TRANSPORT = 0.0003
@@ -333,20 +333,20 @@
     def holds(self, transaction: str) -> bool:
         raise NotImplementedError
 
-    def unknown(self, statement: Statement) -> Refusal:
+    def unknown(self, statement: Statement) -> RefusalError:
         raise NotImplementedError
 
     async def run(self, statement: Statement) -> TargetResult:
         await self.cross(statement)
         target = self.target
         position, repeated = target.applied, False
-        if statement.kind in (Kind.WRITE, Kind.COMMIT):
+        if statement.kind in (StatementKind.WRITE, StatementKind.COMMIT):
             try:
                 position, repeated = target.write(statement.sql, statement.request_id)
             except TargetRefused as refused:
-                raise not_run(Reason.NO_PRIMARY, refused.detail) from refused
+                raise not_run(RefusalReason.NO_PRIMARY, refused.detail) from refused
         rows: list[list[str]] = []
-        if statement.kind is Kind.READ:
+        if statement.kind is StatementKind.READ:
             rows = [[entry.value] for entry in target.log[: target.applied_count]]
         result = TargetResult(
             ["value"],
@@ -364,8 +364,8 @@
         try:
             await self.reach(statement.remaining)
         except TargetSilent as silent:
-            lost = not_run if statement.kind is Kind.READ else may_have_run
-            raise lost(Reason.TARGET_LOST, "no answer") from silent
+            lost = not_run if statement.kind is StatementKind.READ else may_have_run
+            raise lost(RefusalReason.TARGET_LOST, "no answer") from silent
 
     async def wait_change(self, revision: int, timeout: float) -> None:
         if self.state is not None and self.state.revision != revision:
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -5,7 +5,7 @@
 from reedhook.connection.home import Home, HomeLoad
 from reedhook.connection.target import MemberState, TargetResult
 from reedhook.process.groups.homes import Homes
-from reedhook.request.refusal import Reason, Refusal, not_run
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Statement
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
@@ -54,8 +54,8 @@
     def holds(self, transaction: str) -> bool:
         return transaction in self.open
 
-    def unknown(self, statement: Statement) -> Refusal:
-        return not_run(Reason.TRANSACTION_LOST, "ended here")
+    def unknown(self, statement: Statement) -> RefusalError:
+        return not_run(RefusalReason.TRANSACTION_LOST, "ended here")
 
     async def run(self, statement: Statement) -> TargetResult:
         raise NotImplementedError
--- a/tests/fakes_peers.py
+++ b/tests/fakes_peers.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 
 from reedhook.peer import HostRef, PeerError, PeerRoutes, Peers
-from reedhook.request.refusal import Reason, Refusal, may_have_run, not_run
+from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from reedhook.wire import Json, WireError, decode, encode
 
 from .fakes_clock import LoopClock
@@ -134,7 +134,7 @@
             raise PeerError(f"{peer.host} did not answer", sent=True) from None
         message = decode(answer)
         if "refusal" in message:
-            raise Refusal.from_json(message["refusal"])
+            raise RefusalError.from_json(message["refusal"])
         received: Json = message["body"]
         return received
 
@@ -157,17 +157,17 @@
         handler = self.routes.handlers.get(path)
         try:
             if handler is None:
-                raise not_run(Reason.BAD_REQUEST, f"no peer path {path}")
+                raise not_run(RefusalReason.BAD_REQUEST, f"no peer path {path}")
             return encode({"body": await handler(decode(body))})
-        except Refusal as refusal:
+        except RefusalError as refusal:
             return encode({"refusal": refusal.to_json()})
         except WireError as error:
             return encode(
-                {"refusal": not_run(Reason.BAD_REQUEST, str(error)).to_json()}
+                {"refusal": not_run(RefusalReason.BAD_REQUEST, str(error)).to_json()}
             )
         except Exception as error:
             self.network.failures.append(error)
-            failed = may_have_run(Reason.HOST_UNREACHABLE, "the handler failed")
+            failed = may_have_run(RefusalReason.HOST_UNREACHABLE, "the handler failed")
             return encode({"refusal": failed.to_json()})
 
     async def close(self) -> None:
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -15,15 +15,20 @@
 from reedhook.directory import Directory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.request.choice import Chooser
-from reedhook.request.dispatch import Dispatch
-from reedhook.request.execution import Execution, Served
+from reedhook.request.choice import ReplicaSelector
+from reedhook.request.dispatch import StatementDispatcher
+from reedhook.request.execution import HomeResponse, StatementExecutor
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, not_run
+from reedhook.request.refusal import RefusalReason, not_run
 from reedhook.request.router import Router
-from reedhook.request.statement import Answer, Consistency, Kind, Statement
+from reedhook.request.statement import (
+    Consistency,
+    Statement,
+    StatementKind,
+    StatementResult,
+)
 from reedhook.request.view import GroupView, MemberView
-from reedhook.request.views import Views
+from reedhook.request.views import GroupViewCache
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspace, Workspaces
 from reedhook.wire import Json
@@ -86,7 +91,7 @@
         pass
 
 
-class FakeGroup(Execution):
+class FakeGroup(StatementExecutor):
     """Execute statements against the model.
 
     :ivar lags: how long each replica is behind, in seconds.
@@ -120,7 +125,7 @@
         self.service_time = SERVICE_TIME
         self.proves = True
         self.frozen = False
-        self.errors: defaultdict[Kind, list[Exception]] = defaultdict(list)
+        self.errors: defaultdict[StatementKind, list[Exception]] = defaultdict(list)
 
     def now(self) -> float:
         """Return the time of the loop."""
@@ -156,7 +161,7 @@
         view = GroupView(self.group.name, self.term, self.primary)
         for one in self.group.members:
             delay = 0.0 if member in (None, one.member) else self.view_delay
-            view.learn(self.member_view(one.member, delay))
+            view.merge_member(self.member_view(one.member, delay))
         return view
 
     def member_view(self, name: str, delay: float) -> MemberView:
@@ -186,36 +191,36 @@
             behind = self.age(member) - self.lags[member]
             pause = max(0.0, self.proof_interval - behind) + PROOF_STEP
             if self.now() + pause > until:
-                raise not_run(Reason.AGE_UNPROVED, f"{member} is too old")
+                raise not_run(RefusalReason.AGE_UNPROVED, f"{member} is too old")
             await asyncio.sleep(pause)
         return self.age(member)
 
-    async def execute(self, member: str, statement: Statement) -> Served:
+    async def execute(self, member: str, statement: Statement) -> HomeResponse:
         self.executed[member] += 1
         await asyncio.sleep(self.delays.get(member, self.service_time))
         key_seen = statement.request_id in self.results
         if self.errors[statement.kind]:
             raise self.errors[statement.kind].pop(0)
         if member in self.leaving:
-            raise not_run(Reason.TARGET_LEAVING, f"{member} is leaving")
-        if statement.kind is Kind.READ:
+            raise not_run(RefusalReason.TARGET_LEAVING, f"{member} is leaving")
+        if statement.kind is StatementKind.READ:
             position, age = await self.read(member, statement)
         else:
             position, age = self.write(member, statement), 0.0
         repeated = statement.request_id is not None and key_seen
         role = "primary" if member == self.primary else "replica"
-        answer = Answer(
+        answer = StatementResult(
             ["at"], [[position.index]], 1, member, role, position, age, repeated
         )
-        return Served(answer, self.waits[member], self.view(member))
+        return HomeResponse(answer, self.waits[member], self.view(member))
 
     async def read(self, member: str, statement: Statement) -> tuple[Position, float]:
         """Serve a read, or refuse it as its home would."""
         if member == self.primary:
             return self.head(), 0.0
         if statement.consistency is Consistency.FRESH:
-            raise not_run(Reason.NO_PRIMARY, f"{member} is not the primary")
-        await self.cover(member, statement.covers)
+            raise not_run(RefusalReason.NO_PRIMARY, f"{member} is not the primary")
+        await self.cover(member, statement.min_position)
         if statement.consistency is Consistency.MAX_AGE:
             assert statement.max_age is not None
             age = await self.proved_age(member, statement.max_age)
@@ -228,13 +233,13 @@
             return
         await asyncio.sleep(COVER_WAIT)
         if self.applied(member) < covers:
-            raise not_run(Reason.NOT_COVERED, f"{member} is behind")
+            raise not_run(RefusalReason.NOT_COVERED, f"{member} is behind")
 
     def write(self, member: str, statement: Statement) -> Position:
         """Run a write once for each request id."""
         if member != self.primary or self.frozen:
-            raise not_run(Reason.SUPERSEDED, f"{member} does not lead", 50)
-        if statement.kind is not Kind.WRITE:
+            raise not_run(RefusalReason.SUPERSEDED, f"{member} does not lead", 50)
+        if statement.kind is not StatementKind.WRITE:
             return self.head()
         key = statement.request_id or statement.sql
         if statement.request_id is not None and key in self.results:
@@ -243,7 +248,7 @@
         self.results[key] = position
         return position
 
-    def refuse(self, kind: Kind, error: Exception) -> None:
+    def refuse(self, kind: StatementKind, error: Exception) -> None:
         """Let a coming statement of `kind` raise `error`, with no effect."""
         self.errors[kind].append(error)
 
@@ -291,7 +296,7 @@
         network: FakeNetwork,
         directory: FakeDirectory,
         catalog: Callable[[], Catalog | None],
-        local: Execution,
+        local: StatementExecutor,
         clock: Clock,
         seed: int = 1,
     ) -> None:
@@ -300,14 +305,14 @@
         self.clock = clock
         self.metrics = MemoryMetrics()
         self.directory = directory
-        self.views = Views(
+        self.views = GroupViewCache(
             clock, self.random, directory, peers, peers.routes.handlers["view"]
         )
-        self.dispatch = Dispatch(local, directory, peers, catalog, clock)
+        self.dispatch = StatementDispatcher(local, directory, peers, catalog, clock)
         self.router = Router(
             self.dispatch,
             self.views,
-            Chooser(directory.me.zone, self.random),
+            ReplicaSelector(directory.me.zone, self.random),
             clock,
             self.random,
             self.metrics,
@@ -338,7 +343,7 @@
             self.network, directory, lambda: self.catalog, self.model, clock, seed
         )
 
-    async def run(self, statement: Statement, entry: int = 0) -> Served:
+    async def run(self, statement: Statement, entry: int = 0) -> HomeResponse:
         """Run a statement through an entry host."""
         return await self.entries[entry].router.run(self.model.group, statement)
 
@@ -361,14 +366,14 @@
     """Return a session read, or a bounded one if `max_age` is given."""
     consistency = Consistency.SESSION if max_age is None else Consistency.MAX_AGE
     return Statement(
-        Kind.READ,
+        StatementKind.READ,
         "g1",
         "gate",
         "select 1",
         [],
         remaining,
         consistency=consistency,
-        covers=covers,
+        min_position=covers,
         max_age=max_age,
     )
 
@@ -376,5 +381,5 @@
 def write(request_id: str, remaining: float = 1.0) -> Statement:
     """Return a write that is not idempotent."""
     return Statement(
-        Kind.WRITE, "g1", "gate", "pay", [], remaining, request_id=request_id
+        StatementKind.WRITE, "g1", "gate", "pay", [], remaining, request_id=request_id
     )
--- a/tests/home_support.py
+++ b/tests/home_support.py
@@ -9,8 +9,8 @@
 from reedhook.connection.targethome import TargetHome
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.events.timeline import EventKind, Timeline
-from reedhook.request.refusal import Refusal
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalError
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Group, Limits, Member
 
 from .fakes_clock import LoopClock
@@ -23,7 +23,7 @@
 
 
 def statement(
-    kind: Kind, sql: str = "select 1", remaining: float = 2.0, **others: Any
+    kind: StatementKind, sql: str = "select 1", remaining: float = 2.0, **others: Any
 ) -> Statement:
     """Return a statement of the caller ``gate`` unless told otherwise."""
     caller = others.pop("caller", "gate")
@@ -68,20 +68,20 @@
             await asyncio.sleep(0.001)
 
 
-async def refusal_of(awaitable: Awaitable[Any]) -> Refusal:
+async def refusal_of(awaitable: Awaitable[Any]) -> RefusalError:
     """Return the refusal that `awaitable` ends in."""
     try:
         result = await awaitable
-    except Refusal as refusal:
+    except RefusalError as refusal:
         return refusal
     raise AssertionError(f"answered instead of refused: {result}")
 
 
-async def outcome_of(awaitable: Awaitable[T]) -> T | Refusal:
+async def outcome_of(awaitable: Awaitable[T]) -> T | RefusalError:
     """Return the result of `awaitable` or its refusal."""
     try:
         return await awaitable
-    except Refusal as refusal:
+    except RefusalError as refusal:
         return refusal
 
 
--- a/tests/load.py
+++ b/tests/load.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from reedhook.connection.turns import Demand, Room, Turn, Turns
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 
 from .fakes_clock import LoopClock
 
@@ -169,7 +169,7 @@
             demand = Demand(name, caller.priority, due, now() + TIMEOUT, index > 0)
             try:
                 await self.run(demand, caller.work)
-            except (Refusal, TimeoutError):
+            except (RefusalError, TimeoutError):
                 return None
         return rested
 
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -21,7 +21,7 @@
 from reedhook.process.histograms import HistogramMetrics
 from reedhook.process.hosting_settings import HostingSettings
 from reedhook.process.session_host import SessionHost
-from reedhook.request.command import Command, CommandKind
+from reedhook.request.command import SessionCommand, SessionCommandKind
 from reedhook.request.verdict import Verdict
 from reedhook.version.registry import (
     Route,
@@ -44,12 +44,12 @@
 TABLE_KEY = "op"
 TARGET_PREFIX = "t/"
 KINDS = {
-    CommandKind.READ: "READ a",
-    CommandKind.WRITE: "WRITE a b",
-    CommandKind.BEGIN: "BEGIN",
-    CommandKind.BEGIN_READ: "BEGIN READ",
-    CommandKind.COMMIT: "COMMIT",
-    CommandKind.ROLLBACK: "ROLLBACK",
+    SessionCommandKind.READ: "READ a",
+    SessionCommandKind.WRITE: "WRITE a b",
+    SessionCommandKind.BEGIN: "BEGIN",
+    SessionCommandKind.BEGIN_READ: "BEGIN READ",
+    SessionCommandKind.COMMIT: "COMMIT",
+    SessionCommandKind.ROLLBACK: "ROLLBACK",
 }
 MAX_AGE = 1.5
 KINDS_OF_ROUTES = {
@@ -305,15 +305,19 @@
         self.wrote = False
 
     async def run(
-        self, kind: CommandKind, text: str = "", name: str = "", writes: bool = False
+        self,
+        kind: SessionCommandKind,
+        text: str = "",
+        name: str = "",
+        writes: bool = False,
     ) -> SessionReply:
         """Send one statement and check its answer."""
         self.sent += 1
         id = f"{self.name}-{self.sent}"
         asked = asyncio.get_running_loop().time()
         inside = self.session.state is SessionState.OPEN
-        command = Command(kind, text or KINDS[kind], name, writes)
-        if kind is CommandKind.BEGIN or kind is CommandKind.BEGIN_READ:
+        command = SessionCommand(kind, text or KINDS[kind], name, writes)
+        if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.transaction = id
         self.world.promises.sent[id] = Sent(
             command.text,
@@ -323,14 +327,14 @@
         )
         reply = await self.session.run(id, command)
         done = reply.fault is Fault.NONE and reply.refusal is None
-        if kind is CommandKind.BEGIN or kind is CommandKind.BEGIN_READ:
+        if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.begun_at, self.wrote = asked, False
         if done and reply.rows:
             self.check_read(reply, self.begun_at if inside else asked)
-        if done and kind is CommandKind.WRITE and inside:
+        if done and kind is SessionCommandKind.WRITE and inside:
             self.wrote = True
-        commits = kind is CommandKind.COMMIT and self.wrote
-        if done and (commits or (kind is CommandKind.WRITE and not inside)):
+        commits = kind is SessionCommandKind.COMMIT and self.wrote
+        if done and (commits or (kind is SessionCommandKind.WRITE and not inside)):
             self.acknowledge(reply)
         if not done and reply.refusal is not None:
             self.check_refusal(id, kind, reply, inside)
@@ -338,15 +342,15 @@
 
     async def read(self) -> SessionReply:
         """Read outside transactions."""
-        return await self.run(CommandKind.READ)
+        return await self.run(SessionCommandKind.READ)
 
     async def write(self) -> SessionReply:
         """Write outside transactions."""
-        return await self.run(CommandKind.WRITE)
+        return await self.run(SessionCommandKind.WRITE)
 
     async def set(self, name: str, value: str) -> SessionReply:
         """Set a value of the session."""
-        reply = await self.run(CommandKind.SET, f"SET {name} {value}", name)
+        reply = await self.run(SessionCommandKind.SET, f"SET {name} {value}", name)
         if reply.refusal is None:
             self.values[name] = value
         return reply
@@ -355,7 +359,7 @@
         """Prepare a statement, or prepare it anew."""
         shape = "WRITE" if writes else "READ"
         text = f"PREPARE {name} {shape} q"
-        reply = await self.run(CommandKind.PREPARE, text, name, writes)
+        reply = await self.run(SessionCommandKind.PREPARE, text, name, writes)
         if reply.refusal is None:
             self.prepared[name] = writes
         return reply
@@ -378,13 +382,13 @@
         self.world.promises.read(viewer, reply.rows[0], asked)
 
     def check_refusal(
-        self, id: str, kind: CommandKind, reply: SessionReply, inside: bool
+        self, id: str, kind: SessionCommandKind, reply: SessionReply, inside: bool
     ) -> None:
         """A write that is said not to have run must not have run."""
         assert reply.refusal is not None
         if reply.refusal.verdict is not Verdict.NOT_RUN or inside:
             return
-        if kind is not CommandKind.WRITE:
+        if kind is not SessionCommandKind.WRITE:
             return
         if any(id in member.runs for member in self.world.group.members.values()):
             # A member that refused it did not run it either.
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -18,8 +18,8 @@
 from reedhook.request.api import Api
 from reedhook.request.endpoint import CallerEndpoint
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, may_have_run, not_run
-from reedhook.request.statement import Kind
+from reedhook.request.refusal import RefusalReason, may_have_run, not_run
+from reedhook.request.statement import StatementKind
 from reedhook.version.catalog import Catalog
 
 from .fakes_peers import FakeNetwork
@@ -272,7 +272,8 @@
     begin = {"group": "g1", "request_id": bench.request_id()}
     _, begun = await post(bench.caller, "/v1/transactions", begin)
     bench.model.refuse(
-        Kind.COMMIT, not_run(Reason.UNKNOWN_TRANSACTION, "not known here")
+        StatementKind.COMMIT,
+        not_run(RefusalReason.UNKNOWN_TRANSACTION, "not known here"),
     )
     path = f"/v1/transactions/{begun['transaction']}/commit"
     status, refusal = await post(bench.caller, path, {})
@@ -288,8 +289,8 @@
 ) -> None:
     for member in bench.group.members:
         bench.directory.fixed[member.member] = [bench.directory.me]
-    bench.model.refuse(Kind.READ, ZeroDivisionError("a fault"))
-    bench.model.refuse(Kind.WRITE, ZeroDivisionError("a fault"))
+    bench.model.refuse(StatementKind.READ, ZeroDivisionError("a fault"))
+    bench.model.refuse(StatementKind.WRITE, ZeroDivisionError("a fault"))
     body = {**READ, "idempotent": True} if path == "/v1/write" else READ
     status, refusal = await post(bench.caller, path, body)
     assert (status, refusal["reason"]) == (503, "internal")
@@ -313,7 +314,7 @@
             await asyncio.sleep(0.005)
         call.cancel()
     assert not bench.model.log
-    while bench.api.active:
+    while bench.api.active_requests:
         await asyncio.sleep(0.005)
     assert len(bench.model.log) == 1
     await server.stop()
@@ -370,10 +371,10 @@
 
 @using(serving)
 async def test_a_refusal_in_doubt_stays_in_doubt(bench: Bench) -> None:
-    lost = may_have_run(Reason.TARGET_LOST, "no answer")
-    refused = not_run(Reason.OVERLOADED, "no slot", 100)
-    bench.model.refuse(Kind.WRITE, lost)
-    bench.model.refuse(Kind.WRITE, refused)
+    lost = may_have_run(RefusalReason.TARGET_LOST, "no answer")
+    refused = not_run(RefusalReason.OVERLOADED, "no slot", 100)
+    bench.model.refuse(StatementKind.WRITE, lost)
+    bench.model.refuse(StatementKind.WRITE, refused)
     write = {"group": "g1", "sql": "pay", "request_id": bench.request_id()}
     status, refusal = await post(bench.caller, "/v1/write", write)
     assert (status, refusal["reason"]) == (503, "overloaded")
--- a/tests/test_api_fuzz.py
+++ b/tests/test_api_fuzz.py
@@ -8,7 +8,7 @@
 from aiohttp.test_utils import TestClient
 from hypothesis import given, settings, strategies as st
 
-from reedhook.request.refusal import Reason
+from reedhook.request.refusal import RefusalReason
 from reedhook.request.verdict import Verdict
 
 from .fakes_request import CREDENTIAL
@@ -16,7 +16,7 @@
 from .test_api import Bench
 
 MAX_EXAMPLES: Final = 150
-REASONS: Final = frozenset(one.value for one in Reason)
+REASONS: Final = frozenset(one.value for one in RefusalReason)
 
 scalars = (
     st.none()
@@ -117,7 +117,7 @@
         return
     assert answer["reason"] in REASONS
     assert answer["detail"]
-    assert answer["reason"] != Reason.INTERNAL.value
+    assert answer["reason"] != RefusalReason.INTERNAL.value
     if answer["verdict"] == Verdict.NOT_RUN.value:
         assert effects == 0
     else:
--- a/tests/test_config_accept.py
+++ b/tests/test_config_accept.py
@@ -18,7 +18,7 @@
 from reedhook.process.configuring.edit import EditConflict
 from reedhook.process.configuring.exchange import MAX_ANSWER, parts_answer
 from reedhook.process.worker import ThreadWorker
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 from reedhook.version import edition as edition_module
 from reedhook.version.check import check
@@ -201,7 +201,7 @@
         host.fleet.store.down = True
 
     swap_unheard(host, fail)
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.apply(7, "second")
     assert refused.value.verdict is Verdict.MAY_HAVE_RUN
     host.fleet.store.down = False
@@ -213,9 +213,9 @@
 @using(two_hosts, run_virtual)
 async def test_with_the_store_down_an_edit_has_no_effect(host: FleetHost) -> None:
     host.fleet.store.down = True
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.apply(7, "second")
-    assert refused.value.reason is Reason.STORE_UNAVAILABLE
+    assert refused.value.reason is RefusalReason.STORE_UNAVAILABLE
     assert refused.value.verdict is Verdict.NOT_RUN
     host.fleet.store.down = False
     assert await edit_ids(host) == ["first"]
@@ -237,25 +237,25 @@
     with pytest.raises(EditConflict):
         await other.apply(4, "fourth", 2)
     reads = iter([1])
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await other.editor.history()
-    assert refused.value.reason is Reason.STORE_UNAVAILABLE
+    assert refused.value.reason is RefusalReason.STORE_UNAVAILABLE
 
 
 @using(two_hosts, run_virtual)
 async def test_a_version_that_nobody_knows_cannot_be_edited(host: FleetHost) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.apply(5, "second", 99)
-    assert refused.value.reason is Reason.CONFLICT
+    assert refused.value.reason is RefusalReason.CONFLICT
     assert refused.value.verdict is Verdict.NOT_RUN
     assert host.keeper.version == 1
 
 
 @using(two_hosts, run_virtual)
 async def test_a_repeated_id_with_other_documents_is_refused(host: FleetHost) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.apply(5, "first")
-    assert refused.value.reason is Reason.REQUEST_REUSED
+    assert refused.value.reason is RefusalReason.REQUEST_REUSED
     assert host.keeper.version == 1
 
 
@@ -390,10 +390,10 @@
         queue = head.version % 3 + 1
         shown = (await host.editor.show(head.version))[1]
         assert shown == documents(queue, lasting)
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.editor.show(2)
     assert "not kept" in refused.value.detail
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await host.apply(3, "very late", 2)
     assert refused.value.verdict is Verdict.MAY_HAVE_RUN
 
@@ -410,7 +410,7 @@
     await other.restart()
     other.keeper.edition = None
     await other.keeper.close()
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await other.editor.show(2)
     await other.apply(2, "again", 1)
     assert host.fleet.store.past[key][-1] != b"damaged"
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -15,7 +15,7 @@
 from reedhook.process.configuring.editor import ConfigurationEditor
 from reedhook.process.configuring.store_http import HttpStore
 from reedhook.process.events.timeline import EventKind
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook.request.verdict import Verdict
 from reedhook.version.document import Documents
 from reedhook.version.edition import Head, pack
@@ -119,7 +119,7 @@
     for host in fleet.hosts:
         await host.restart()
         assert host.versions == [2]
-        with pytest.raises(Refusal) as refused:
+        with pytest.raises(RefusalError) as refused:
             await host.apply(3, "third")
         assert refused.value.verdict is Verdict.NOT_RUN
     fleet.store.down = False
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("body", [{}, {"have": "x"}, {"want": 3}, {"offer": 2}])
 @using(fleet_of, run_virtual)
 async def test_a_malformed_question_is_refused(fleet: Fleet, body: Json) -> None:
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await fleet.hosts[0].peers.call(fleet.hosts[1].ref, "config", body, 1.0)
     assert refused.value.verdict is Verdict.NOT_RUN
 
@@ -304,7 +304,7 @@
         name = f"edit-{edit}"
         try:
             head = await fleet.hosts[at].apply(edit + 10, name)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self.told[name] = refusal.verdict
             return
         self.told[name] = Verdict.DONE
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedhook.connection.target import TargetResult
-from reedhook.request.execution import Served
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Consistency, Kind, Statement
+from reedhook.request.execution import HomeResponse
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import Consistency, Statement, StatementKind
 from reedhook.request.verdict import Verdict
 from reedhook.wire import WireError
 
@@ -20,13 +20,15 @@
 @using(cluster_of, run_virtual)
 async def test_a_commit_is_answered_once_it_is_durable(cluster: Cluster) -> None:
     executor = cluster.hosts["m1a"].executor
-    await executor.execute("m1", cluster.statement(Kind.BEGIN, "", 1.0))
-    served = await executor.execute("m1", cluster.statement(Kind.COMMIT, "both", 1.0))
-    held = [m.held >= served.answer.position for m in cluster.truth.members.values()]
+    await executor.execute("m1", cluster.statement(StatementKind.BEGIN, "", 1.0))
+    served = await executor.execute(
+        "m1", cluster.statement(StatementKind.COMMIT, "both", 1.0)
+    )
+    held = [m.held >= served.result.position for m in cluster.truth.members.values()]
     assert sum(held) >= 2
     cluster.truth.cut({"m1"})
     refusal = await refusal_of(
-        executor.execute("m1", cluster.statement(Kind.COMMIT, "one", 0.2))
+        executor.execute("m1", cluster.statement(StatementKind.COMMIT, "one", 0.2))
     )
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
 
@@ -36,49 +38,49 @@
     cluster: Cluster,
 ) -> None:
     old = cluster.hosts["m1a"]
-    await old.executor.execute("m1", cluster.statement(Kind.BEGIN, "", 1.0))
+    await old.executor.execute("m1", cluster.statement(StatementKind.BEGIN, "", 1.0))
     await cluster.take_over("m1a")
     old.former["m1"] = old.local.pop("m1")
     old.keeper.refresh()
     await asyncio.sleep(1.0)
-    await old.executor.execute("m1", cluster.statement(Kind.STEP, "", 1.0))
-    commit = cluster.statement(Kind.COMMIT, "both", 0.3)
-    position = (await old.executor.execute("m1", commit)).answer.position
+    await old.executor.execute("m1", cluster.statement(StatementKind.STEP, "", 1.0))
+    commit = cluster.statement(StatementKind.COMMIT, "both", 0.3)
+    position = (await old.executor.execute("m1", commit)).result.position
     members = cluster.truth.members.values()
     assert sum(member.held >= position for member in members) >= 2
     cluster.truth.cut({"m1"})
-    commit = cluster.statement(Kind.COMMIT, "alone", 0.3)
+    commit = cluster.statement(StatementKind.COMMIT, "alone", 0.3)
     refusal = await refusal_of(old.executor.execute("m1", commit))
-    assert refusal.reason is Reason.NOT_DURABLE
+    assert refusal.reason is RefusalReason.NOT_DURABLE
     old.former.clear()
     refusal = await refusal_of(old.executor.execute("m1", commit))
-    assert refusal.reason is Reason.UNKNOWN_TRANSACTION
+    assert refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
 
 
 @using(cluster_of, run_virtual)
 async def test_the_commit_of_reads_alone_is_confirmed(cluster: Cluster) -> None:
     executor = cluster.hosts["m1a"].executor
-    commit = cluster.statement(Kind.COMMIT, "a", 1.0)
+    commit = cluster.statement(StatementKind.COMMIT, "a", 1.0)
     commit.request_id = "r1"
     await executor.execute("m1", commit)
-    again = cluster.statement(Kind.COMMIT, "a", 1.0)
+    again = cluster.statement(StatementKind.COMMIT, "a", 1.0)
     again.request_id = "r1"
     served = await executor.execute("m1", again)
-    assert served.answer.repeated
+    assert served.result.repeated
     cluster.network.isolate({"m1a"}, {"m2a", "m3a"})
     again.remaining = 0.3
     refusal = await refusal_of(executor.execute("m1", again))
-    assert refusal.reason is Reason.UNCONFIRMED
+    assert refusal.reason is RefusalReason.UNCONFIRMED
 
 
-@pytest.mark.parametrize("kind", [Kind.WRITE, Kind.BEGIN])
+@pytest.mark.parametrize("kind", [StatementKind.WRITE, StatementKind.BEGIN])
 @using(cluster_of, run_virtual)
 async def test_work_for_the_primary_is_not_run_at_a_replica(
-    cluster: Cluster, kind: Kind
+    cluster: Cluster, kind: StatementKind
 ) -> None:
     statement = cluster.statement(kind, "w", 1.0)
     refusal = await refusal_of(cluster.hosts["m2a"].executor.execute("m2", statement))
-    assert refusal.reason is Reason.NO_PRIMARY
+    assert refusal.reason is RefusalReason.NO_PRIMARY
     assert refusal.verdict is Verdict.NOT_RUN
     assert cluster.truth.executed == []
 
@@ -121,16 +123,16 @@
     cluster: Cluster,
 ) -> None:
     cluster.truth.cut({"m1"})
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await cluster.write("m1", "unsafe", 0.1)
     refusal = await refusal_of(cluster.read("m1", Consistency.SESSION))
-    assert refusal.reason is Reason.NOT_COVERED
+    assert refusal.reason is RefusalReason.NOT_COVERED
 
 
 @using(cluster_of, run_virtual)
 async def test_a_bounded_read_without_a_bound_is_not_run(cluster: Cluster) -> None:
     refusal = await refusal_of(cluster.read("m2", Consistency.MAX_AGE))
-    assert refusal.reason is Reason.BAD_REQUEST
+    assert refusal.reason is RefusalReason.BAD_REQUEST
 
 
 @pytest.mark.parametrize("path", ["report", "confirm", "control", "probe", "view"])
@@ -142,7 +144,7 @@
     cluster: Cluster, path: str, body: dict[str, object]
 ) -> None:
     handler = cluster.hosts["m1a"].routes.handlers[path]
-    with pytest.raises((WireError, Refusal)):
+    with pytest.raises((WireError, RefusalError)):
         await handler(body)
     assert cluster.truth.members["m1"].promised == 1
 
@@ -152,13 +154,13 @@
 async def test_an_internal_fault_is_not_taken_for_a_malformed_question(
     error: Exception,
 ) -> None:
-    async def fail(member: str, statement: Statement) -> Served:
+    async def fail(member: str, statement: Statement) -> HomeResponse:
         raise error
 
     cluster = Cluster()
     host = cluster.hosts["m1a"]
     host.executor.execute = fail  # type: ignore[method-assign]
-    statement = cluster.statement(Kind.WRITE, "w", 1.0).to_json()
+    statement = cluster.statement(StatementKind.WRITE, "w", 1.0).to_json()
     with pytest.raises(type(error)) as caught:
         await host.routes.handlers["statement"](
             {"member": "m1", "statement": statement}
@@ -190,5 +192,5 @@
     handler = cluster.hosts["m3b"].routes.handlers["control"]
     order = {"member": "m1", "op": "raise", "term": 9, "owner": "x", "primary": ""}
     refusal = await refusal_of(handler(order))
-    assert refusal.reason is Reason.WRONG_HOME
+    assert refusal.reason is RefusalReason.WRONG_HOME
     assert cluster.truth.members["m1"].promised == 1
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -13,8 +13,12 @@
 from reedhook.process.announced.news import NewsDesk
 from reedhook.process.announced.proving import ALONE, Proving
 from reedhook.process.announced.watch import Source, StoreWatch
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.work import Begin, Work, WorkKind
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.work import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
 from reedhook.wire import Json, WireError, encode
 from reedhook_standins.database import DatabaseGroup
 
@@ -238,18 +242,18 @@
         lambda position, asked: None,
         3.0,
     )
-    first = step("1", "farm", Begin.WRITE)
+    first = step("1", "farm", TransactionMode.WRITE)
     await home.run(first)
-    with pytest.raises(Refusal) as caught:
-        await home.run(step("2", "mill", Begin.NONE))
-    assert caught.value.reason is Reason.TRANSACTION_LOST
+    with pytest.raises(RefusalError) as caught:
+        await home.run(step("2", "mill", TransactionMode.NONE))
+    assert caught.value.reason is RefusalReason.TRANSACTION_LOST
     assert "2" not in group.ran_as
     await home.close()
 
 
-def step(id: str, workspace: str, begin: Begin) -> Work:
+def step(id: str, workspace: str, begin: TransactionMode) -> SessionStatement:
     """Return a write of one transaction."""
-    return Work(
+    return SessionStatement(
         "db",
         "",
         "s",
@@ -257,7 +261,7 @@
         "t",
         begin,
         None,
-        WorkKind.WRITE,
+        SessionStatementKind.WRITE,
         id,
         "WRITE a b",
         0.8,
--- a/tests/test_group_basic.py
+++ b/tests/test_group_basic.py
@@ -4,8 +4,8 @@
 
 from reedhook.process.events.timeline import EventKind
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Consistency, Kind
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import Consistency, StatementKind
 from reedhook.request.verdict import Verdict
 
 from .cluster_group import Cluster, cluster_of, values
@@ -30,7 +30,7 @@
 ) -> None:
     cluster.truth.cut({"m1"})
     refusal = await refusal_of(cluster.write("m1", "ticket 1", 0.3))
-    assert refusal.reason is Reason.NOT_DURABLE
+    assert refusal.reason is RefusalReason.NOT_DURABLE
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
     assert refusal.retry_after_ms is not None
     cluster.truth.cuts.clear()
@@ -53,7 +53,7 @@
     await cluster.write("m1", "mix 7")
     served = await cluster.read("m1", Consistency.FRESH)
     assert "mix 7" in values(served)
-    assert served.answer.age is not None and served.answer.age < 0.02
+    assert served.result.age is not None and served.result.age < 0.02
 
 
 @using(cluster_of, run_virtual)
@@ -70,7 +70,7 @@
     position = await cluster.write("m1", "tug 4")
     served = await cluster.read("m2", Consistency.SESSION, covers=position)
     assert "tug 4" in values(served)
-    assert served.answer.role == "replica"
+    assert served.result.role == "replica"
 
 
 @using(cluster_of, run_virtual)
@@ -79,7 +79,7 @@
     position = await cluster.write("m1", "tug 4")
     begun = cluster.now()
     refusal = await refusal_of(cluster.read("m2", Consistency.SESSION, covers=position))
-    assert refusal.reason is Reason.NOT_COVERED
+    assert refusal.reason is RefusalReason.NOT_COVERED
     assert refusal.verdict is Verdict.NOT_RUN
     assert cluster.now() - begun < 0.1
 
@@ -91,7 +91,7 @@
     refusal = await refusal_of(
         cluster.read("m1", Consistency.SESSION, covers=Position(2, 1))
     )
-    assert refusal.reason is Reason.NOT_COVERED
+    assert refusal.reason is RefusalReason.NOT_COVERED
 
 
 @using(cluster_of, run_virtual)
@@ -105,15 +105,15 @@
         acknowledged[f"w{serial}"] = cluster.now()
         try:
             served = await cluster.read("m2", Consistency.MAX_AGE, max_age=1.0)
-        except Refusal as refusal:
-            assert refusal.reason is Reason.AGE_UNPROVED
+        except RefusalError as refusal:
+            assert refusal.reason is RefusalReason.AGE_UNPROVED
             continue
         seen = set(values(served))
         missed = [at for value, at in acknowledged.items() if value not in seen]
         truth = cluster.now() - min(missed, default=cluster.now())
-        assert served.answer.age is not None
-        assert truth <= served.answer.age <= 1.0
-        assert served.answer.role == "replica"
+        assert served.result.age is not None
+        assert truth <= served.result.age <= 1.0
+        assert served.result.role == "replica"
     assert cluster.hosts["m2a"].metrics.counters["executor.age_unproved"] < 10
 
 
@@ -122,7 +122,7 @@
     cluster.truth.members["m2"].lag = 3.0
     await cluster.write("m1", "w")
     refusal = await refusal_of(cluster.read("m2", Consistency.MAX_AGE, max_age=0.5))
-    assert refusal.reason is Reason.AGE_UNPROVED
+    assert refusal.reason is RefusalReason.AGE_UNPROVED
     assert refusal.verdict is Verdict.NOT_RUN
 
 
@@ -131,9 +131,9 @@
     cluster: Cluster,
 ) -> None:
     executor = cluster.hosts["m2a"].executor
-    statement = cluster.statement(Kind.WRITE, "w", 1.0)
+    statement = cluster.statement(StatementKind.WRITE, "w", 1.0)
     refusal = await refusal_of(executor.execute("m1", statement))
-    assert refusal.reason is Reason.WRONG_HOME
+    assert refusal.reason is RefusalReason.WRONG_HOME
     assert refusal.verdict is Verdict.NOT_RUN
 
 
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -9,8 +9,8 @@
 
 from reedhook.connection.target import Role
 from reedhook.request.position import Position
-from reedhook.request.refusal import Refusal
-from reedhook.request.statement import Answer, Consistency, Kind
+from reedhook.request.refusal import RefusalError
+from reedhook.request.statement import Consistency, StatementKind, StatementResult
 from reedhook.request.verdict import Verdict
 
 from .cluster_group import NAMES, Cluster
@@ -86,15 +86,15 @@
     async def submit(self, write: Write, member: str) -> None:
         """Write and hold the answer against what was acknowledged before."""
         begun = self.cluster.now()
-        statement = self.cluster.statement(Kind.WRITE, write.request_id, 1.0)
+        statement = self.cluster.statement(StatementKind.WRITE, write.request_id, 1.0)
         statement.request_id = write.request_id
         try:
             served = await self.cluster.home(member).executor.execute(member, statement)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             if refusal.verdict is not Verdict.NOT_RUN:
                 write.refused = False
             return
-        position = served.answer.position
+        position = served.result.position
         later = [t for t in self.first_acknowledged if t > position.term]
         if later:
             self.failures.append(
@@ -122,10 +122,10 @@
         known = self.acknowledged_before(self.cluster.now())
         try:
             served = await self.cluster.read(member, Consistency.FRESH)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             assert refusal.verdict is Verdict.NOT_RUN
             return
-        missed = known - shown(served.answer)
+        missed = known - shown(served.result)
         assert not missed, f"a fresh read at {member} misses {missed}"
 
     @rule(member=members, index=st.integers(0))
@@ -141,10 +141,10 @@
                 served = await self.cluster.read(
                     member, Consistency.SESSION, covers=write.position, remaining=0.3
                 )
-            except Refusal as refusal:
+            except RefusalError as refusal:
                 assert refusal.verdict is Verdict.NOT_RUN
                 return
-            assert write.request_id in shown(served.answer)
+            assert write.request_id in shown(served.result)
 
         self.do(main())
 
@@ -157,13 +157,13 @@
                 served = await self.cluster.read(
                     member, Consistency.MAX_AGE, max_age=bound
                 )
-            except Refusal as refusal:
+            except RefusalError as refusal:
                 assert refusal.verdict is Verdict.NOT_RUN
                 return
             now = self.cluster.now()
-            age = served.answer.age
+            age = served.result.age
             assert age is not None and age <= bound
-            missed = self.acknowledged_before(now - age) - shown(served.answer)
+            missed = self.acknowledged_before(now - age) - shown(served.result)
             assert not missed, f"{member} misses {missed} with a stated age of {age}"
 
         self.do(main())
@@ -290,7 +290,7 @@
             assert [e.position for e in member.log] == [e.position for e in leader.log]
 
 
-def shown(answer: Answer) -> set[str]:
+def shown(answer: StatementResult) -> set[str]:
     """Return the request ids whose writes an answer shows."""
     return {row[0] for row in answer.rows}
 
--- a/tests/test_group_proofs.py
+++ b/tests/test_group_proofs.py
@@ -10,7 +10,7 @@
 from reedhook.process.groups.durability import Durability, durable_position
 from reedhook.process.groups.sample import Sample, Samples
 from reedhook.request.position import ORIGIN, Position
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Consistency
 
 from .cluster_group import Cluster, cluster_of
@@ -223,7 +223,7 @@
     assert cluster.leader() != "m1"
     await cluster.write(cluster.leader(), "b")
     refusal = await refusal_of(cluster.read("m1", Consistency.FRESH, remaining=0.6))
-    assert refusal.reason is Reason.UNCONFIRMED
+    assert refusal.reason is RefusalReason.UNCONFIRMED
 
 
 @using(cluster_of, run_virtual)
@@ -231,10 +231,10 @@
     cluster: Cluster,
 ) -> None:
     cluster.truth.cut({"m1"})
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await cluster.write("m1", "unsafe", 0.1)
     refusal = await refusal_of(cluster.read("m1", Consistency.FRESH, remaining=0.3))
-    assert refusal.reason is Reason.UNCONFIRMED
+    assert refusal.reason is RefusalReason.UNCONFIRMED
 
 
 @using(cluster_of, run_virtual)
@@ -247,7 +247,7 @@
     cluster.network.isolate({"m1a"}, {"m2a", "m3a"})
     await keeper.durable(position, 0.3)
     refusal = await refusal_of(keeper.durable(position, 0.3, since=cluster.now() - 1.0))
-    assert refusal.reason is Reason.NOT_DURABLE
+    assert refusal.reason is RefusalReason.NOT_DURABLE
 
 
 @using(cluster_of, run_virtual)
--- a/tests/test_home_health.py
+++ b/tests/test_home_health.py
@@ -6,8 +6,8 @@
 from reedhook.connection.targethome import TargetHome
 from reedhook.process.events.timeline import EventKind
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalReason
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import in_virtual_time
@@ -23,7 +23,7 @@
 
 async def warm(home: TargetHome) -> None:
     """Open connections and learn the state."""
-    await home.run(statement(Kind.READ))
+    await home.run(statement(StatementKind.READ))
     await asyncio.sleep(0.5)
 
 
@@ -33,7 +33,7 @@
     async with home_at(target) as home:
         await warm(home)
         target.silence_all()
-        result, seconds = await timed(home.run(statement(Kind.READ)))
+        result, seconds = await timed(home.run(statement(StatementKind.READ)))
         assert result.rows == [[1]]
         assert seconds < 0.3
         assert EventKind.CONNECTION_SILENT in kinds(home)
@@ -47,7 +47,7 @@
     async with home_at(target) as home:
         await warm(home)
         target.silence_all()
-        write = statement(Kind.WRITE, "ticket", request_id="r1")
+        write = statement(StatementKind.WRITE, "ticket", request_id="r1")
         result = await home.run(write)
         assert not result.repeated
         assert target.ran["ticket"] == 1
@@ -57,13 +57,13 @@
 async def test_a_write_without_an_id_is_told_that_it_may_have_run() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        write = statement(Kind.WRITE, "ticket", remaining=5.0)
+        write = statement(StatementKind.WRITE, "ticket", remaining=5.0)
         await home.run(write)
         await warm(home)
         target.silence_all()
         refusal, seconds = await timed(refusal_of(home.run(write)))
         assert refusal.verdict is Verdict.MAY_HAVE_RUN
-        assert refusal.reason is Reason.TARGET_LOST
+        assert refusal.reason is RefusalReason.TARGET_LOST
         assert seconds < 1.1
         assert home.unreachable_since is None
 
@@ -76,15 +76,17 @@
         target.dead = True
         await asyncio.sleep(DETECTION)
         assert home.unreachable_since is not None
-        refusal, seconds = await timed(refusal_of(home.run(statement(Kind.WRITE))))
+        refusal, seconds = await timed(
+            refusal_of(home.run(statement(StatementKind.WRITE)))
+        )
         assert refusal.verdict is Verdict.NOT_RUN
-        assert refusal.reason is Reason.TARGET_UNREACHABLE
+        assert refusal.reason is RefusalReason.TARGET_UNREACHABLE
         assert refusal.retry_after_ms is not None
         assert seconds == 0.0
         target.dead = False
         await asyncio.sleep(1.3)
         assert home.unreachable_since is None
-        await home.run(statement(Kind.READ))
+        await home.run(statement(StatementKind.READ))
 
 
 @in_virtual_time
@@ -119,7 +121,7 @@
     async with home_at(target) as home:
         await warm(home)
         target.silence_all()
-        await home.run(statement(Kind.READ))
+        await home.run(statement(StatementKind.READ))
         await asyncio.sleep(0.02)
         events = len(home.timeline.events)
         target.refusing = True
@@ -158,7 +160,7 @@
         target.dead = False
         await asyncio.sleep(1.5)
         assert home.unreachable_since is None
-        await home.run(statement(Kind.READ))
+        await home.run(statement(StatementKind.READ))
 
 
 @in_virtual_time
@@ -166,8 +168,10 @@
     target = FakeTarget(service=0.2)
     async with home_at(target) as home:
         await warm(home)
-        write = asyncio.create_task(refusal_of(home.run(statement(Kind.WRITE))))
-        read = asyncio.create_task(refusal_of(home.run(statement(Kind.READ))))
+        write = asyncio.create_task(
+            refusal_of(home.run(statement(StatementKind.WRITE)))
+        )
+        read = asyncio.create_task(refusal_of(home.run(statement(StatementKind.READ))))
         await asyncio.sleep(0.05)
         target.dead = True
         (written, seconds), was_read = await asyncio.gather(timed(write), read)
@@ -192,7 +196,7 @@
     target = FakeTarget(service=1.5)
     async with home_at(target) as home:
         await asyncio.sleep(0.1)
-        write = statement(Kind.WRITE, "slow", remaining=5.0, request_id="r1")
+        write = statement(StatementKind.WRITE, "slow", remaining=5.0, request_id="r1")
         await home.run(write)
         assert home.unreachable_since is None
         assert target.ran["slow"] == 1
@@ -203,7 +207,9 @@
     target = FakeTarget()
 
     def ticket(number: int) -> Statement:
-        return statement(Kind.WRITE, f"ticket {number}", 2.5, request_id=f"{number}")
+        return statement(
+            StatementKind.WRITE, f"ticket {number}", 2.5, request_id=f"{number}"
+        )
 
     async with home_at(target) as home:
         await warm(home)
@@ -228,9 +234,9 @@
 async def test_a_text_known_to_be_slow_is_run_once() -> None:
     target = FakeTarget(service=0.6)
     async with home_at(target) as home:
-        await home.run(statement(Kind.READ, "report", remaining=5.0))
+        await home.run(statement(StatementKind.READ, "report", remaining=5.0))
         texts_before = sum(target.used.values(), []).count("report")
-        await home.run(statement(Kind.READ, "report", remaining=5.0))
+        await home.run(statement(StatementKind.READ, "report", remaining=5.0))
         texts = sum(target.used.values(), []).count("report")
         assert texts - texts_before == 1
 
@@ -239,12 +245,12 @@
 async def test_the_other_connections_are_verified_after_a_silence() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        reads = [home.run(statement(Kind.READ)) for _ in range(6)]
+        reads = [home.run(statement(StatementKind.READ)) for _ in range(6)]
         await asyncio.gather(*reads)
         target.silence_all()
-        await home.run(statement(Kind.READ))
+        await home.run(statement(StatementKind.READ))
         await asyncio.sleep(0.6)
-        _, seconds = await timed(home.run(statement(Kind.READ)))
+        _, seconds = await timed(home.run(statement(StatementKind.READ)))
         assert seconds < 0.02
         assert all(not one.silent for one in target.connections)
 
--- a/tests/test_home_interleaving.py
+++ b/tests/test_home_interleaving.py
@@ -7,8 +7,8 @@
 
 from reedhook.connection.target import TargetResult
 from reedhook.connection.targethome import TargetHome
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Kind
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import in_virtual_time
@@ -21,7 +21,9 @@
         {
             "start": pauses,
             "steps": st.lists(pauses, max_size=4),
-            "ending": st.sampled_from([Kind.COMMIT, Kind.ROLLBACK, None]),
+            "ending": st.sampled_from(
+                [StatementKind.COMMIT, StatementKind.ROLLBACK, None]
+            ),
             "patience": st.one_of(st.none(), st.floats(0.01, 1.0)),
         }
     ),
@@ -41,7 +43,7 @@
         self.name = f"t{number}"
         self.values = values
         self.sent: list[str] = []
-        self.ended: TargetResult | Refusal | None = None
+        self.ended: TargetResult | RefusalError | None = None
 
     async def run(self, home: TargetHome) -> None:
         """Go through the transaction, giving up early if the test says so."""
@@ -54,14 +56,14 @@
 
     async def go_through(self, home: TargetHome) -> None:
         """Begin, send the steps, and end."""
-        begun = statement(Kind.BEGIN, transaction=self.name)
-        if isinstance(await outcome_of(home.run(begun)), Refusal):
+        begun = statement(StatementKind.BEGIN, transaction=self.name)
+        if isinstance(await outcome_of(home.run(begun)), RefusalError):
             return
         for number, pause in enumerate(self.values["steps"]):
             await asyncio.sleep(pause)
             sql = f"{self.name}:{number}"
-            step = statement(Kind.STEP, sql, transaction=self.name)
-            if isinstance(await outcome_of(home.run(step)), Refusal):
+            step = statement(StatementKind.STEP, sql, transaction=self.name)
+            if isinstance(await outcome_of(home.run(step)), RefusalError):
                 continue
             self.sent.append(sql)
         if self.values["ending"] is not None:
@@ -74,7 +76,7 @@
             texts for texts in target.commits if texts and self.sent[:1] == texts[:1]
         ]
         assert len(committed) <= 1
-        if self.values["ending"] is not Kind.COMMIT:
+        if self.values["ending"] is not StatementKind.COMMIT:
             assert committed == []
         elif isinstance(self.ended, TargetResult):
             assert committed == ([self.sent] if self.sent else [])
@@ -98,7 +100,7 @@
 
     async def read(home: TargetHome) -> None:
         for _ in range(20):
-            await outcome_of(home.run(statement(Kind.READ, "view")))
+            await outcome_of(home.run(statement(StatementKind.READ, "view")))
             await asyncio.sleep(0.05)
 
     async def go_silent() -> None:
@@ -125,7 +127,9 @@
 async def test_a_reason_is_told_when_a_transaction_is_gone() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        unknown = await outcome_of(home.run(statement(Kind.COMMIT, transaction="t9")))
-        assert isinstance(unknown, Refusal)
-        assert unknown.reason is Reason.UNKNOWN_TRANSACTION
+        unknown = await outcome_of(
+            home.run(statement(StatementKind.COMMIT, transaction="t9"))
+        )
+        assert isinstance(unknown, RefusalError)
+        assert unknown.reason is RefusalReason.UNKNOWN_TRANSACTION
         assert unknown.verdict is Verdict.NOT_RUN
--- a/tests/test_home_transactions.py
+++ b/tests/test_home_transactions.py
@@ -5,8 +5,8 @@
 import pytest
 
 from reedhook.connection.targethome import TargetHome
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Kind
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import in_virtual_time
@@ -16,20 +16,24 @@
 
 async def begin(home: TargetHome, name: str, remaining: float = 2.0) -> None:
     """Open the transaction `name`."""
-    await home.run(statement(Kind.BEGIN, remaining=remaining, transaction=name))
+    await home.run(
+        statement(StatementKind.BEGIN, remaining=remaining, transaction=name)
+    )
 
 
 async def step(home: TargetHome, name: str, sql: str = "step") -> None:
     """Run a step of the transaction `name`."""
-    await home.run(statement(Kind.STEP, f"{name}:{sql}", transaction=name))
+    await home.run(statement(StatementKind.STEP, f"{name}:{sql}", transaction=name))
 
 
 async def commit(home: TargetHome, name: str) -> None:
     """Commit the transaction `name`."""
-    await home.run(statement(Kind.COMMIT, transaction=name))
+    await home.run(statement(StatementKind.COMMIT, transaction=name))
 
 
-async def broken_commit(home: TargetHome, target: FakeTarget, point: Break) -> Refusal:
+async def broken_commit(
+    home: TargetHome, target: FakeTarget, point: Break
+) -> RefusalError:
     """Break the connection at `point` of a commit and return the refusal."""
     await begin(home, "t1")
     await step(home, "t1")
@@ -45,7 +49,7 @@
         await begin(home, name)
         for number in range(5):
             await step(home, name, f"step{number}")
-            await home.run(statement(Kind.READ, "view"))
+            await home.run(statement(StatementKind.READ, "view"))
         await commit(home, name)
 
     async with home_at(target) as home:
@@ -68,7 +72,7 @@
         await asyncio.sleep(0.01)
         refusal = await refusal_of(step(home, "t1", "second"))
         assert refusal.verdict is Verdict.NOT_RUN
-        assert refusal.reason is Reason.CONFLICT
+        assert refusal.reason is RefusalReason.CONFLICT
         await first
         await commit(home, "t1")
     assert target.commits == [["t1:first"]]
@@ -79,9 +83,9 @@
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
-        stranger = statement(Kind.COMMIT, transaction="t1", caller="report")
+        stranger = statement(StatementKind.COMMIT, transaction="t1", caller="report")
         refusal = await refusal_of(home.run(stranger))
-        assert refusal.reason is Reason.UNKNOWN_TRANSACTION
+        assert refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
         assert refusal.verdict is Verdict.NOT_RUN
         await commit(home, "t1")
 
@@ -94,7 +98,7 @@
         await step(home, "t1")
         await asyncio.sleep(0.6)
         refusal = await refusal_of(commit(home, "t1"))
-        assert refusal.reason is Reason.TRANSACTION_LOST
+        assert refusal.reason is RefusalReason.TRANSACTION_LOST
         assert refusal.verdict is Verdict.NOT_RUN
     assert target.ran == {}
     assert any(texts[-1:] == ["rollback"] for texts in target.used.values())
@@ -110,7 +114,7 @@
         lost = await refusal_of(step(home, "t1"))
         later = await refusal_of(commit(home, "t1"))
         for refusal in (lost, later):
-            assert refusal.reason is Reason.TRANSACTION_LOST
+            assert refusal.reason is RefusalReason.TRANSACTION_LOST
             assert refusal.verdict is Verdict.NOT_RUN
     assert target.ran == {}
 
@@ -147,7 +151,7 @@
             await refusal_of(commit(home, "lost")),
             await refusal_of(commit(home, "cut")),
         ):
-            assert refusal.reason is Reason.TRANSACTION_LOST
+            assert refusal.reason is RefusalReason.TRANSACTION_LOST
             assert refusal.verdict is Verdict.MAY_HAVE_RUN
         refusal = await refusal_of(step(home, "lost"))
         assert refusal.verdict is Verdict.NOT_RUN
@@ -162,7 +166,7 @@
         await step(home, "t1")
         target.hang_up_all()
         refusal = await refusal_of(commit(home, "t1"))
-        assert refusal.reason is Reason.TRANSACTION_LOST
+        assert refusal.reason is RefusalReason.TRANSACTION_LOST
         assert refusal.verdict is Verdict.NOT_RUN
         target.hang_up_all()
         await outcome_of(begin(home, "t2"))
@@ -179,7 +183,7 @@
         await begin(home, "t1")
         target.refusal = "statement_failed"
         refusal = await refusal_of(step(home, "t1", "bad"))
-        assert refusal.reason is Reason.STATEMENT_FAILED
+        assert refusal.reason is RefusalReason.STATEMENT_FAILED
         assert refusal.verdict is Verdict.NOT_RUN
         target.refusal = None
         await step(home, "t1", "good")
@@ -194,9 +198,9 @@
         await begin(home, "t1")
         target.refusal = "superseded"
         refusal = await refusal_of(commit(home, "t1"))
-        assert refusal.reason is Reason.SUPERSEDED
+        assert refusal.reason is RefusalReason.SUPERSEDED
         target.refusal = None
-        await home.run(statement(Kind.READ))
+        await home.run(statement(StatementKind.READ))
         await begin(home, "t2")
         await commit(home, "t2")
     assert target.faults == []
@@ -210,10 +214,10 @@
             outcome_of(begin(home, f"t{number}", remaining=0.5)) for number in range(20)
         ]
         outcomes = await asyncio.gather(*begins)
-        refusals = [one for one in outcomes if isinstance(one, Refusal)]
+        refusals = [one for one in outcomes if isinstance(one, RefusalError)]
         assert len(refusals) == 15
         assert all(one.verdict is Verdict.NOT_RUN for one in refusals)
-        _, seconds = await timed(home.run(statement(Kind.READ)))
+        _, seconds = await timed(home.run(statement(StatementKind.READ)))
         assert seconds < 0.03
     assert target.peak <= 9
 
@@ -240,7 +244,7 @@
         closing = asyncio.create_task(timed(home.close(grace=2.0)))
         await asyncio.sleep(0.1)
         refusal = await refusal_of(begin(home, "t2"))
-        assert refusal.reason is Reason.WRONG_HOME
+        assert refusal.reason is RefusalReason.WRONG_HOME
         assert refusal.verdict is Verdict.NOT_RUN
         await step(home, "t1")
         await commit(home, "t1")
@@ -259,7 +263,7 @@
         _, seconds = await timed(home.close(grace=1.0))
         assert 1.0 <= seconds < 1.2
         refusal = await refusal_of(commit(home, "t1"))
-        assert refusal.reason is Reason.TRANSACTION_LOST
+        assert refusal.reason is RefusalReason.TRANSACTION_LOST
         assert refusal.verdict is Verdict.NOT_RUN
     assert target.ran == {}
     assert target.connections == []
--- a/tests/test_home_verdicts.py
+++ b/tests/test_home_verdicts.py
@@ -8,8 +8,8 @@
 
 from reedhook.connection.target import TargetResult
 from reedhook.connection.targethome import TargetHome
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import in_virtual_time
@@ -34,11 +34,11 @@
         self.sql = f"write {number}"
         self.request_id = f"r{number}" if values["repeatable"] else None
         self.values = values
-        self.outcome: TargetResult | Refusal | None = None
+        self.outcome: TargetResult | RefusalError | None = None
 
     def statement(self) -> Statement:
         return statement(
-            Kind.WRITE,
+            StatementKind.WRITE,
             self.sql,
             remaining=self.values["remaining"],
             request_id=self.request_id,
@@ -145,9 +145,9 @@
     target.abrupt = True
     async with home_at(target) as home:
         target.breaks = [point]
-        refusal = await refusal_of(home.run(statement(Kind.WRITE, "w")))
+        refusal = await refusal_of(home.run(statement(StatementKind.WRITE, "w")))
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
-    assert refusal.reason is Reason.TARGET_LOST
+    assert refusal.reason is RefusalReason.TARGET_LOST
     assert target.ran["w"] == times
 
 
@@ -160,7 +160,7 @@
     target.abrupt = True
     async with home_at(target) as home:
         target.breaks = [point]
-        result = await home.run(statement(Kind.WRITE, "w", request_id="r1"))
+        result = await home.run(statement(StatementKind.WRITE, "w", request_id="r1"))
     assert result.repeated == (point is Break.AFTER_EFFECT)
     assert target.ran["w"] == 1
 
@@ -171,7 +171,7 @@
     target.abrupt = True
     async with home_at(target) as home:
         target.breaks = [Break.AFTER_EFFECT]
-        write = statement(Kind.WRITE, "w", request_id="r1")
+        write = statement(StatementKind.WRITE, "w", request_id="r1")
         running = asyncio.create_task(refusal_of(home.run(write)))
         await asyncio.sleep(0.013)
         target.refusal = "superseded"
@@ -184,9 +184,11 @@
 async def test_connections_that_the_target_closed_are_replaced() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await asyncio.gather(*(home.run(statement(Kind.READ)) for _ in range(4)))
+        await asyncio.gather(
+            *(home.run(statement(StatementKind.READ)) for _ in range(4))
+        )
         target.hang_up_all()
-        _, seconds = await timed(home.run(statement(Kind.WRITE, "w")))
+        _, seconds = await timed(home.run(statement(StatementKind.WRITE, "w")))
         assert seconds < 0.05
         target.hang_up_all()
         state = await home.ask_state(0.2)
@@ -199,23 +201,23 @@
 @pytest.mark.parametrize(
     ("code", "reason"),
     [
-        ("not_primary", Reason.NO_PRIMARY),
-        ("superseded", Reason.SUPERSEDED),
-        ("statement_failed", Reason.STATEMENT_FAILED),
-        ("request_expired", Reason.REQUEST_EXPIRED),
-        ("request_reused", Reason.REQUEST_REUSED),
-        ("leaving", Reason.TARGET_LEAVING),
-        ("bad_request", Reason.BAD_REQUEST),
+        ("not_primary", RefusalReason.NO_PRIMARY),
+        ("superseded", RefusalReason.SUPERSEDED),
+        ("statement_failed", RefusalReason.STATEMENT_FAILED),
+        ("request_expired", RefusalReason.REQUEST_EXPIRED),
+        ("request_reused", RefusalReason.REQUEST_REUSED),
+        ("leaving", RefusalReason.TARGET_LEAVING),
+        ("bad_request", RefusalReason.BAD_REQUEST),
     ],
 )
 @in_virtual_time
 async def test_refusals_of_the_target_keep_their_reason(
-    code: str, reason: Reason
+    code: str, reason: RefusalReason
 ) -> None:
     target = FakeTarget()
     target.refusal = code
     async with home_at(target) as home:
-        refusal = await refusal_of(home.run(statement(Kind.WRITE, "w")))
+        refusal = await refusal_of(home.run(statement(StatementKind.WRITE, "w")))
     assert refusal.reason is reason
     assert refusal.verdict is Verdict.NOT_RUN
     assert target.ran == {}
@@ -225,11 +227,11 @@
 async def test_a_leaving_target_gets_no_new_work_but_ends_what_it_has() -> None:
     target = FakeTarget(service=0.1)
     async with home_at(target) as home:
-        running = asyncio.create_task(home.run(statement(Kind.WRITE, "old")))
+        running = asyncio.create_task(home.run(statement(StatementKind.WRITE, "old")))
         await asyncio.sleep(0.05)
         home.leaving = True
-        refusal = await refusal_of(home.run(statement(Kind.WRITE, "new")))
-        assert refusal.reason is Reason.TARGET_LEAVING
+        refusal = await refusal_of(home.run(statement(StatementKind.WRITE, "new")))
+        assert refusal.reason is RefusalReason.TARGET_LEAVING
         assert refusal.verdict is Verdict.NOT_RUN
         await running
     assert target.ran == {"old": 1}
@@ -240,15 +242,17 @@
     target = FakeTarget(service=0.2)
     async with home_at(target) as home:
         writes = [
-            asyncio.create_task(outcome_of(home.run(statement(Kind.WRITE, f"w{n}"))))
+            asyncio.create_task(
+                outcome_of(home.run(statement(StatementKind.WRITE, f"w{n}")))
+            )
             for n in range(5)
         ]
         await asyncio.sleep(0.05)
         await home.close(grace=2.0)
         outcomes = await asyncio.gather(*writes)
-        refusals = [one for one in outcomes if isinstance(one, Refusal)]
+        refusals = [one for one in outcomes if isinstance(one, RefusalError)]
         assert len(refusals) == 3
-        assert {one.reason for one in refusals} == {Reason.WRONG_HOME}
+        assert {one.reason for one in refusals} == {RefusalReason.WRONG_HOME}
         assert {one.verdict for one in refusals} == {Verdict.NOT_RUN}
     assert sum(target.ran.values()) == 2
 
@@ -257,8 +261,10 @@
 async def test_a_full_target_refuses_what_was_not_sent() -> None:
     target = FakeTarget(limit=0)
     async with home_at(target) as home:
-        refusal, seconds = await timed(refusal_of(home.run(statement(Kind.WRITE))))
-        assert refusal.reason is Reason.TARGET_FULL
+        refusal, seconds = await timed(
+            refusal_of(home.run(statement(StatementKind.WRITE)))
+        )
+        assert refusal.reason is RefusalReason.TARGET_FULL
         assert refusal.verdict is Verdict.NOT_RUN
         assert seconds < 0.05
         assert home.unreachable_since is None
@@ -268,9 +274,11 @@
 async def test_connections_are_set_up_one_at_a_time_beside_probes() -> None:
     target = FakeTarget(service=0.05)
     async with home_at(target) as home:
-        reads = [home.run(statement(Kind.READ, remaining=5.0)) for _ in range(20)]
+        reads = [
+            home.run(statement(StatementKind.READ, remaining=5.0)) for _ in range(20)
+        ]
         begins = [
-            home.run(statement(Kind.BEGIN, transaction=f"t{number}"))
+            home.run(statement(StatementKind.BEGIN, transaction=f"t{number}"))
             for number in range(5)
         ]
         await asyncio.gather(*reads, *begins)
@@ -282,7 +290,9 @@
 async def test_unused_connections_are_closed_after_a_while() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await asyncio.gather(*(home.run(statement(Kind.READ)) for _ in range(4)))
+        await asyncio.gather(
+            *(home.run(statement(StatementKind.READ)) for _ in range(4))
+        )
         assert len(target.connections) >= 2
         await asyncio.sleep(33.0)
         assert len(target.connections) == 1
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -8,8 +8,8 @@
 
 from reedhook.process.events.timeline import EventKind
 from reedhook.process.groups.executor import Executor
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Catalog, Group, Limits
 from reedhook.version.workspace import Workspaces
 
@@ -141,7 +141,7 @@
     assert busy.closed_at is None
     commit = statement_of("t1", busy)
     assert homes.of[host].holding(members[0], commit) is busy
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         homes.of[host].holding(members[0], statement_of("t2", busy))
     assert homes.of[host].in_use(busy.group.name) == [busy]
     told = asyncio.Event()
@@ -151,9 +151,9 @@
     await drain
     assert told.is_set()
     assert homes.of[host].in_use(busy.group.name) == []
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await executor_of(homes, host).execute(members[0], commit)
-    assert caught.value.reason is Reason.TRANSACTION_LOST
+    assert caught.value.reason is RefusalReason.TRANSACTION_LOST
     assert busy.closed_at is not None
     assert homes.of[host].closing_of(members[0]) == []
     assert (members[0], "drain") in events(homes, host, EventKind.HOME_RELEASED)
@@ -251,7 +251,9 @@
 def statement_of(transaction: str, home: FakeHome) -> Statement:
     """Return the commit of a transaction at a home."""
     group = home.group.name
-    return Statement(Kind.COMMIT, group, "gate", "", [], 1.0, transaction=transaction)
+    return Statement(
+        StatementKind.COMMIT, group, "gate", "", [], 1.0, transaction=transaction
+    )
 
 
 def executor_of(homes: HomesOfHosts, host: str) -> Executor:
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -8,10 +8,18 @@
 from reedhook.peer import HostRef, PeerError, Peers
 from reedhook.process.desk import Desk
 from reedhook.process.network.heard_peers import HeardPeers
-from reedhook.request.hop import READ_PATIENCE, Hops, Place
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.hop import (
+    READ_WAIT_LIMIT_SECONDS,
+    StatementForwarder,
+    StatementLocation,
+)
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
-from reedhook.request.work import Begin, Work, WorkKind
+from reedhook.request.work import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
 from reedhook.wire import Json
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -41,26 +49,38 @@
         pass
 
 
-def hops_to(peers: HeardPeers, lost: list[str], cut_off: bool = False) -> Hops:
+def hops_to(
+    peers: HeardPeers, lost: list[str], cut_off: bool = False
+) -> StatementForwarder:
     """Return hops that note which hosts they held for lost."""
     clock = LoopClock()
     decisions = Decisions("h1", clock, out=None)
-    hops = Hops(ME, NoDesk(), peers, lambda: cut_off, clock, decisions)
+    hops = StatementForwarder(ME, NoDesk(), peers, lambda: cut_off, clock, decisions)
     hops.on_host_lost = lambda host: lost.append(host.host)
     return hops
 
 
-def a_read() -> Work:
+def a_read() -> SessionStatement:
     """Return a read outside transactions."""
-    return Work(
-        "db", "t1", "s", {}, "", Begin.NONE, None, WorkKind.READ, "i", "READ a", 0.8
+    return SessionStatement(
+        "db",
+        "t1",
+        "s",
+        {},
+        "",
+        TransactionMode.NONE,
+        None,
+        SessionStatementKind.READ,
+        "i",
+        "READ a",
+        0.8,
     )
 
 
-async def refused(hops: Hops) -> Refusal:
+async def refused(hops: StatementForwarder) -> RefusalError:
     """Return how a read was refused."""
-    with pytest.raises(Refusal) as caught:
-        await hops.run_at(Place(OTHER, "t1"), a_read())
+    with pytest.raises(RefusalError) as caught:
+        await hops.run_at(StatementLocation(OTHER, "t1"), a_read())
     return caught.value
 
 
@@ -73,7 +93,7 @@
     await peers.call(OTHER, "alive", {}, 1.0)
     refusal = await waiting
     assert refusal.verdict is Verdict.NOT_RUN
-    assert refusal.reason is Reason.HOST_UNREACHABLE
+    assert refusal.reason is RefusalReason.HOST_UNREACHABLE
     assert not lost and not hops.lost_since
     hops.check_host(OTHER)
 
@@ -107,18 +127,22 @@
     assert asyncio.get_running_loop().time() - begun < 0.25
 
 
-@pytest.mark.parametrize("kind", [WorkKind.READ, WorkKind.WRITE])
+@pytest.mark.parametrize(
+    "kind", [SessionStatementKind.READ, SessionStatementKind.WRITE]
+)
 @in_virtual_time
-async def test_a_transaction_at_a_silent_host_is_refused_soon(kind: WorkKind) -> None:
+async def test_a_transaction_at_a_silent_host_is_refused_soon(
+    kind: SessionStatementKind,
+) -> None:
     calls = Silent()
     calls.silent = True
     hops = hops_to(HeardPeers(calls, LoopClock()), [])
     work = a_read()
     work.kind, work.transaction = kind, "t"
     begun = asyncio.get_running_loop().time()
-    with pytest.raises(Refusal) as caught:
-        await hops.run_at(Place(OTHER, "t1"), work)
-    assert caught.value.reason is Reason.TRANSACTION_LOST
+    with pytest.raises(RefusalError) as caught:
+        await hops.run_at(StatementLocation(OTHER, "t1"), work)
+    assert caught.value.reason is RefusalReason.TRANSACTION_LOST
     assert caught.value.verdict is Verdict.NOT_RUN
     assert asyncio.get_running_loop().time() - begun < 0.25
 
@@ -129,12 +153,12 @@
     calls.silent = True
     hops = hops_to(HeardPeers(calls, LoopClock()), [])
     work = a_read()
-    work.kind = WorkKind.WRITE
+    work.kind = SessionStatementKind.WRITE
     begun = asyncio.get_running_loop().time()
-    with pytest.raises(Refusal) as caught:
-        await hops.run_at(Place(OTHER, "t1"), work)
+    with pytest.raises(RefusalError) as caught:
+        await hops.run_at(StatementLocation(OTHER, "t1"), work)
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
-    assert asyncio.get_running_loop().time() - begun > work.left
+    assert asyncio.get_running_loop().time() - begun > work.remaining
 
 
 @in_virtual_time
@@ -143,27 +167,29 @@
     hops = hops_to(peers, lost)
     begun = asyncio.get_running_loop().time()
     refusal = await refused(hops)
-    assert refusal.reason is Reason.HOST_UNREACHABLE
-    assert asyncio.get_running_loop().time() - begun > READ_PATIENCE - 0.01
+    assert refusal.reason is RefusalReason.HOST_UNREACHABLE
+    assert asyncio.get_running_loop().time() - begun > READ_WAIT_LIMIT_SECONDS - 0.01
     assert not lost
 
 
-@pytest.mark.parametrize("kind", [WorkKind.READ, WorkKind.WRITE])
+@pytest.mark.parametrize(
+    "kind", [SessionStatementKind.READ, SessionStatementKind.WRITE]
+)
 @in_virtual_time
 async def test_nothing_is_sent_to_a_zone_that_is_known_to_be_out_of_reach(
-    kind: WorkKind,
+    kind: SessionStatementKind,
 ) -> None:
     peers, lost = HeardPeers(SlowWork(), LoopClock()), list[str]()
     hops = hops_to(peers, lost, cut_off=True)
     work = a_read()
     work.kind = kind
     begun = asyncio.get_running_loop().time()
-    with pytest.raises(Refusal) as caught:
-        await hops.run_at(Place(OTHER, "t1"), work)
+    with pytest.raises(RefusalError) as caught:
+        await hops.run_at(StatementLocation(OTHER, "t1"), work)
     assert asyncio.get_running_loop().time() == begun
     assert caught.value.verdict is Verdict.NOT_RUN
     assert caught.value.retry_after_ms is not None
-    assert not hops.patient(OTHER)
+    assert not hops.expects_failover(OTHER)
     assert lost == []
 
 
@@ -173,7 +199,7 @@
     hops = hops_to(peers, lost, cut_off=True)
     near = HostRef("h3", ME.zone, "10.0.0.3:1")
     begun = asyncio.get_running_loop().time()
-    with pytest.raises(Refusal):
-        await hops.run_at(Place(near, "t1"), a_read())
+    with pytest.raises(RefusalError):
+        await hops.run_at(StatementLocation(near, "t1"), a_read())
     assert asyncio.get_running_loop().time() > begun
-    assert hops.patient(OTHER) is False
+    assert hops.expects_failover(OTHER) is False
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedhook.request.refusal import Reason, Refusal, may_have_run
-from reedhook.request.statement import Kind
+from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run
+from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
 
 from .cluster_group import Cluster
@@ -13,10 +13,10 @@
 from .fakes_request import World, write
 
 
-async def refused(cluster: Cluster, value: str) -> tuple[Refusal, float]:
+async def refused(cluster: Cluster, value: str) -> tuple[RefusalError, float]:
     """Return the refusal of a write at m1, and how long it took in seconds."""
     begun = cluster.now()
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await cluster.write("m1", value, 5.0)
     return caught.value, cluster.now() - begun
 
@@ -29,12 +29,12 @@
         await asyncio.sleep(1.0)
         cluster.cut_zone("m1")
         refusal, took = await refused(cluster, "b")
-        assert refusal.reason is Reason.NOT_DURABLE
+        assert refusal.reason is RefusalReason.NOT_DURABLE
         assert refusal.verdict is Verdict.MAY_HAVE_RUN
         assert refusal.retry_after_ms is not None
         assert took < 1.0
         refusal, took = await refused(cluster, "c")
-        assert refusal.reason is Reason.NOT_DURABLE
+        assert refusal.reason is RefusalReason.NOT_DURABLE
         assert refusal.verdict is Verdict.MAY_HAVE_RUN
         assert took < 0.01
         log = cluster.truth.members["m1"].log
@@ -109,12 +109,12 @@
         world = World()
         await world.warm()
         for entry in (0, 1):
-            refusal = may_have_run(Reason.NOT_DURABLE, "no majority", 100)
-            world.model.refuse(Kind.WRITE, refusal)
+            refusal = may_have_run(RefusalReason.NOT_DURABLE, "no majority", 100)
+            world.model.refuse(StatementKind.WRITE, refusal)
             begun = world.model.now()
-            with pytest.raises(Refusal) as caught:
+            with pytest.raises(RefusalError) as caught:
                 await world.run(write("1-a"), entry)
-            assert caught.value.reason is Reason.NOT_DURABLE
+            assert caught.value.reason is RefusalReason.NOT_DURABLE
             assert caught.value.verdict is Verdict.MAY_HAVE_RUN
             assert caught.value.retry_after_ms == 100
             assert world.model.now() - begun < 0.01
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -11,9 +11,9 @@
 from reedhook.connection.session import SessionReply
 from reedhook.connection.state import SessionState
 from reedhook.process.hosting_settings import HostingSettings
-from reedhook.request.authorization import REVOKE_MARGIN
-from reedhook.request.command import CommandKind
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.authorization import REVOCATION_MARGIN_SECONDS
+from reedhook.request.command import SessionCommandKind
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
@@ -75,15 +75,15 @@
     return world.group.ran_as.get(f"{caller.name}-{caller.sent}")
 
 
-def refusal_of(reply: SessionReply) -> Refusal:
+def refusal_of(reply: SessionReply) -> RefusalError:
     """Return the refusal of an answer."""
     assert reply.refusal is not None
     return reply.refusal
 
 
-async def denied(world: SessionWorld, host: str, key: str) -> Refusal:
+async def denied(world: SessionWorld, host: str, key: str) -> RefusalError:
     """Return how a caller is refused that opens a session."""
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await world.caller(host, "tickets", key)
     return caught.value
 
@@ -105,7 +105,7 @@
     async with keyed_world() as world:
         ran = len(world.group.ran_as)
         refusal = await denied(world, world.refs[0].host, key)
-        assert refusal.reason is Reason.UNAUTHENTICATED
+        assert refusal.reason is RefusalReason.UNAUTHENTICATED
         assert refusal.verdict is Verdict.NOT_RUN
         assert len(world.group.ran_as) == ran
 
@@ -130,16 +130,16 @@
         idle = await world.caller(host, "tickets", "farm-key-1")
         open_one = await world.caller(host, "tickets", "farm-key-1")
         other = await world.caller(host, "tickets", "farm-key-2")
-        await open_one.run(CommandKind.BEGIN)
+        await open_one.run(SessionCommandKind.BEGIN)
         await open_one.write()
         world.configure_keys(3, {**FARM, "keys": ["farm-key-2"]}, MILL)
         await asyncio.sleep(IN_FORCE)
         ran = len(world.group.ran_as)
         for caller in (idle, open_one):
             is_open = caller.session.state is SessionState.OPEN
-            kind = CommandKind.COMMIT if is_open else CommandKind.READ
+            kind = SessionCommandKind.COMMIT if is_open else SessionCommandKind.READ
             reply = await caller.run(kind)
-            assert refusal_of(reply).reason is Reason.UNAUTHENTICATED
+            assert refusal_of(reply).reason is RefusalReason.UNAUTHENTICATED
             assert reply.ends
         assert len(world.group.ran_as) == ran
         # The other key of the workspace, and its sessions, stay as they were.
@@ -153,7 +153,7 @@
         single = await world.caller(host, "tickets", "farm-key-1")
         inside = await world.caller(host, "tickets", "farm-key-1")
         await single.write()
-        await inside.run(CommandKind.BEGIN)
+        await inside.run(SessionCommandKind.BEGIN)
         await inside.write()
         assert run_as(world, inside) == "farm"
         moved = {**MILL, "keys": ["mill-key-1", "farm-key-1"]}
@@ -161,8 +161,8 @@
         await asyncio.sleep(IN_FORCE)
         await single.write()
         assert run_as(world, single) == "mill"
-        reply = await inside.run(CommandKind.COMMIT)
-        assert refusal_of(reply).reason is Reason.TRANSACTION_LOST
+        reply = await inside.run(SessionCommandKind.COMMIT)
+        assert refusal_of(reply).reason is RefusalReason.TRANSACTION_LOST
         assert run_as(world, inside) is None
         await inside.write()
         assert run_as(world, inside) == "mill"
@@ -180,15 +180,15 @@
         world.configure_keys(3, {**FARM, "keys": ["farm-key-2"]}, MILL)
         await asyncio.sleep(REVOKE)
         reply = await caller.read()
-        assert refusal_of(reply).reason is Reason.KEYS_UNPROVED
+        assert refusal_of(reply).reason is RefusalReason.KEYS_UNPROVED
         assert refusal_of(reply).verdict is Verdict.NOT_RUN
         assert refusal_of(reply).retry_after_ms
         # A key that is not known here may have been added: nothing denies it.
-        assert (await denied(world, host, "x")).reason is Reason.KEYS_UNPROVED
+        assert (await denied(world, host, "x")).reason is RefusalReason.KEYS_UNPROVED
         world.heal()
         await asyncio.sleep(1.5)
         reply = await caller.read()
-        assert refusal_of(reply).reason is Reason.UNAUTHENTICATED
+        assert refusal_of(reply).reason is RefusalReason.UNAUTHENTICATED
 
 
 @in_virtual_time
@@ -204,7 +204,7 @@
         await asyncio.sleep(REVOKE)
         for host in without:
             refusal = await denied(world, host, "farm-key-1")
-            assert refusal.reason is Reason.UNAUTHENTICATED
+            assert refusal.reason is RefusalReason.UNAUTHENTICATED
 
 
 @in_virtual_time
@@ -216,7 +216,7 @@
         for _ in range(100):
             await asyncio.sleep(0.2)
             ages += [host.freshness.age() for host in world.hosts.values()]
-        assert max(ages) < REVOKE - REVOKE_MARGIN
+        assert max(ages) < REVOKE - REVOCATION_MARGIN_SECONDS
         # One call a second proves the keys of all hosts; six relays hold questions.
         assert len(world.store.calls) - calls < 20 * (1 + 6)
 
@@ -297,22 +297,25 @@
             try:
                 route = self.random.choice(ROUTES)
                 caller = await self.world.caller(host, route, key)
-            except Refusal:
+            except RefusalError:
                 await asyncio.sleep(0.2)
                 continue
             await self.operate(caller, name, key)
 
     async def operate(self, caller: Caller, name: str, key: str) -> None:
         """Run some statements of one session."""
-        kinds = [CommandKind.READ] * 8 + [CommandKind.BEGIN, CommandKind.WRITE]
+        kinds = [SessionCommandKind.READ] * 8 + [
+            SessionCommandKind.BEGIN,
+            SessionCommandKind.WRITE,
+        ]
         for kind in kinds:
             await self.send(caller, kind, name, key)
             await asyncio.sleep(self.random.choice([0.05, 0.3, 2.0]))
         if caller.session.state is not SessionState.IDLE:
-            await self.send(caller, CommandKind.COMMIT, name, key)
+            await self.send(caller, SessionCommandKind.COMMIT, name, key)
 
     async def send(
-        self, caller: Caller, kind: CommandKind, name: str, key: str
+        self, caller: Caller, kind: SessionCommandKind, name: str, key: str
     ) -> None:
         """Send one statement, and look at whether and as whose work it ran."""
         sent = asyncio.get_running_loop().time()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 from reedhook.process.events.timeline import EventKind, Timeline
 from reedhook.process.fleet.leaving import LeavingTargets
 from reedhook.process.groups.group import GroupKeeper
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook.request.view import GroupView
 from reedhook.version.catalog import Group, Member
 
@@ -89,5 +89,5 @@
 @in_virtual_time
 async def test_a_host_that_is_not_home_says_so() -> None:
     leaving = part(None, FakeKeeper("db-a", 0.0))
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await leaving.answer({"member": "db-a", "leaving": True})
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -10,16 +10,20 @@
 from reedhook.connection.member import Fault, MemberReply
 from reedhook.connection.memberhome import STALLED, MemberHome
 from reedhook.decisions import Decisions
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
-from reedhook.request.work import Begin, Work, WorkKind
+from reedhook.request.work import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_members import FakeDriver, FakePhrases
 
-TEXTS = {WorkKind.READ: "READ a", WorkKind.WRITE: "WRITE a b"}
+TEXTS = {SessionStatementKind.READ: "READ a", SessionStatementKind.WRITE: "WRITE a b"}
 MANY = 100
 
 
@@ -45,14 +49,18 @@
         )
 
     async def run(
-        self, session: str, kind: WorkKind, transaction: str = "", first: bool = False
+        self,
+        session: str,
+        kind: SessionStatementKind,
+        transaction: str = "",
+        first: bool = False,
     ) -> MemberReply:
         """Run one statement."""
         self.sent += 1
         id, text = f"w{self.sent}", TEXTS.get(kind, "COMMIT")
         self.promises.sent[id] = Sent(text, transaction, {}, {})
-        begin = Begin.WRITE if first else Begin.NONE
-        work = Work(
+        begin = TransactionMode.WRITE if first else TransactionMode.NONE
+        work = SessionStatement(
             "db", "", session, {}, transaction, begin, None, kind, id, text, 0.8
         )
         return await self.home.run(work)
@@ -71,27 +79,36 @@
 async def test_a_commit_that_is_turned_away_frees_the_connection() -> None:
     """The target keeps the transaction open; nobody else may meet it."""
     async with one_connection() as one:
-        await one.run("s1", WorkKind.WRITE, "t1", first=True)
+        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
         one.group.primary.busy = MANY
-        reply = await one.run("s1", WorkKind.COMMIT, "t1")
+        reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
         assert reply.fault is Fault.BUSY
         one.group.primary.busy = 0
-        reply = await one.run("s2", WorkKind.READ)
+        reply = await one.run("s2", SessionStatementKind.READ)
         assert reply.fault is Fault.NONE
         assert not one.promises.committed
 
 
-@pytest.mark.parametrize("kind", [WorkKind.READ, WorkKind.WRITE, WorkKind.COMMIT])
+@pytest.mark.parametrize(
+    "kind",
+    [
+        SessionStatementKind.READ,
+        SessionStatementKind.WRITE,
+        SessionStatementKind.COMMIT,
+    ],
+)
 @in_virtual_time
-async def test_a_step_that_is_turned_away_is_tried_again(kind: WorkKind) -> None:
+async def test_a_step_that_is_turned_away_is_tried_again(
+    kind: SessionStatementKind,
+) -> None:
     """Else a full queue would cost the caller its whole transaction."""
     async with one_connection() as one:
-        await one.run("s1", WorkKind.WRITE, "t1", first=True)
+        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
         one.group.primary.busy = 2
         reply = await one.run("s1", kind, "t1")
         assert reply.fault is Fault.NONE
-        if kind is not WorkKind.COMMIT:
-            reply = await one.run("s1", WorkKind.COMMIT, "t1")
+        if kind is not SessionStatementKind.COMMIT:
+            reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
         assert reply.fault is Fault.NONE
         assert one.promises.committed
 
@@ -99,21 +116,21 @@
 @in_virtual_time
 async def test_a_single_statement_that_left_a_transaction_open_is_not_shared() -> None:
     async with one_connection() as one:
-        await one.run("s1", WorkKind.READ)
+        await one.run("s1", SessionStatementKind.READ)
         (lane,) = one.home.lanes.idle
         lane.connection.session.open = "write"  # type: ignore[attr-defined]
         one.promises.sent["w2"] = Sent("READ a", "t", {}, {})
         one.sent += 1
         await one.home.run(
-            Work(
+            SessionStatement(
                 "db",
                 "",
                 "s1",
                 {},
                 "",
-                Begin.NONE,
+                TransactionMode.NONE,
                 None,
-                WorkKind.READ,
+                SessionStatementKind.READ,
                 "w2",
                 "READ a",
                 0.8,
@@ -126,13 +143,13 @@
 async def test_a_statement_waits_for_a_connection_for_a_bounded_time() -> None:
     """Waiting to the end of its time would leave the caller none to try again."""
     async with one_connection() as one:
-        await one.run("s1", WorkKind.WRITE, "t1", first=True)
+        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
         begun = asyncio.get_running_loop().time()
-        with pytest.raises(Refusal) as caught:
-            await one.run("s2", WorkKind.READ)
+        with pytest.raises(RefusalError) as caught:
+            await one.run("s2", SessionStatementKind.READ)
         waited = asyncio.get_running_loop().time() - begun
         assert waited <= LONGEST_QUEUE + 0.01
-        assert caught.value.reason is Reason.OVERLOADED
+        assert caught.value.reason is RefusalReason.OVERLOADED
         assert caught.value.verdict is Verdict.NOT_RUN
         assert caught.value.retry_after_ms is not None
 
@@ -142,19 +159,19 @@
     async with one_connection() as one:
         for number in range(4):
             # Four transactions of 0.4 s each tell how long connections are lent.
-            await one.run("s1", WorkKind.WRITE, f"t{number}", first=True)
+            await one.run("s1", SessionStatementKind.WRITE, f"t{number}", first=True)
             await asyncio.sleep(0.4)
-            await one.run("s1", WorkKind.COMMIT, f"t{number}")
-        await one.run("s1", WorkKind.WRITE, "t", first=True)
-        waiting = asyncio.ensure_future(one.run("s2", WorkKind.READ))
+            await one.run("s1", SessionStatementKind.COMMIT, f"t{number}")
+        await one.run("s1", SessionStatementKind.WRITE, "t", first=True)
+        waiting = asyncio.ensure_future(one.run("s2", SessionStatementKind.READ))
         await asyncio.sleep(0.0)
         begun = asyncio.get_running_loop().time()
-        with pytest.raises(Refusal) as caught:
-            await one.run("s3", WorkKind.READ)
+        with pytest.raises(RefusalError) as caught:
+            await one.run("s3", SessionStatementKind.READ)
         assert asyncio.get_running_loop().time() - begun < 0.01
         assert caught.value.verdict is Verdict.NOT_RUN
         assert (caught.value.retry_after_ms or 0) >= 300
-        await one.run("s1", WorkKind.COMMIT, "t")
+        await one.run("s1", SessionStatementKind.COMMIT, "t")
         assert (await waiting).fault is Fault.NONE
 
 
@@ -162,28 +179,28 @@
 async def test_a_free_connection_is_lent_whatever_others_waited_for() -> None:
     async with one_connection() as one:
         for number in range(4):
-            await one.run("s1", WorkKind.WRITE, f"t{number}", first=True)
+            await one.run("s1", SessionStatementKind.WRITE, f"t{number}", first=True)
             await asyncio.sleep(1.0)
-            await one.run("s1", WorkKind.COMMIT, f"t{number}")
-        assert (await one.run("s2", WorkKind.READ)).fault is Fault.NONE
+            await one.run("s1", SessionStatementKind.COMMIT, f"t{number}")
+        assert (await one.run("s2", SessionStatementKind.READ)).fault is Fault.NONE
 
 
 @in_virtual_time
 async def test_nobody_waits_for_a_target_that_answers_nothing() -> None:
     """Its home refuses at once, and whoever waits there by then."""
     async with one_connection() as one:
-        await one.run("s1", WorkKind.READ)
+        await one.run("s1", SessionStatementKind.READ)
         one.group.primary.down = True
-        first = asyncio.ensure_future(one.run("s1", WorkKind.READ))
+        first = asyncio.ensure_future(one.run("s1", SessionStatementKind.READ))
         await asyncio.sleep(STALLED + 0.01)
         begun = asyncio.get_running_loop().time()
-        with pytest.raises(Refusal) as caught:
-            await one.run("s2", WorkKind.READ)
+        with pytest.raises(RefusalError) as caught:
+            await one.run("s2", SessionStatementKind.READ)
         assert asyncio.get_running_loop().time() == begun
-        assert caught.value.reason is Reason.TARGET_UNREACHABLE
+        assert caught.value.reason is RefusalReason.TARGET_UNREACHABLE
         assert caught.value.verdict is Verdict.NOT_RUN
-        with pytest.raises(Refusal):
+        with pytest.raises(RefusalError):
             await first
         one.group.primary.down = False
-        reply = await one.run("s1", WorkKind.READ)
+        reply = await one.run("s1", SessionStatementKind.READ)
         assert reply.fault is Fault.NONE
--- a/tests/test_peer_fakes.py
+++ b/tests/test_peer_fakes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedhook.peer import HostRef, PeerError, PeerRoutes
-from reedhook.request.refusal import Reason, Refusal, not_run
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.wire import Json
 
 from .fakes_clock import VirtualTimeStuck, in_virtual_time, run_virtual
@@ -23,7 +23,7 @@
         return {"seen": len(seen)}
 
     async def refuse(body: Json) -> Json:
-        raise not_run(Reason.WRONG_HOME, "elsewhere", 5)
+        raise not_run(RefusalReason.WRONG_HOME, "elsewhere", 5)
 
     routes = PeerRoutes()
     routes.add("note", note)
@@ -49,9 +49,9 @@
 async def test_a_refusal_travels_and_a_crash_is_not_sent() -> None:
     network = FakeNetwork()
     peers, _ = pair(network)
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await peers.call(TWO, "refuse", {}, 1.0)
-    assert refused.value.reason is Reason.WRONG_HOME
+    assert refused.value.reason is RefusalReason.WRONG_HOME
     assert refused.value.retry_after_ms == 5
     network.crash("two")
     with pytest.raises(PeerError) as failed:
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -17,7 +17,7 @@
 from reedhook.process.network.peer_http import LINK_IDLE, HttpPeers
 from reedhook.process.network.peer_server import PeerEndpoint, PeerServer
 from reedhook.process.network.peer_wire import BODY_LIMIT, CLIENT_KEEPALIVE, CREDENTIAL
-from reedhook.request.refusal import Reason, Refusal, not_run
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json, WireError
 
@@ -47,7 +47,7 @@
         return {"seen": len(self.seen)}
 
     async def refuse(self, body: Json) -> Json:
-        raise not_run(Reason.WRONG_HOME, "elsewhere", 20)
+        raise not_run(RefusalReason.WRONG_HOME, "elsewhere", 20)
 
     async def fail(self, body: Json) -> Json:
         raise RuntimeError("a fault of the handler")
@@ -118,9 +118,9 @@
     listener.timeline.observe(ahead, 3)
     assert await peers.call(listener.ref, "note", {"n": 1}, 1.0) == {"seen": 1}
     assert peers.timeline.stamp.wall_ms == ahead
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, "refuse", {}, 1.0)
-    assert refused.value.reason is Reason.WRONG_HOME
+    assert refused.value.reason is RefusalReason.WRONG_HOME
     assert refused.value.verdict is Verdict.NOT_RUN
     assert refused.value.retry_after_ms == 20
 
@@ -128,17 +128,17 @@
 @pytest.mark.parametrize(
     ("path", "reason", "verdict"),
     [
-        ("break", Reason.HOST_UNREACHABLE, Verdict.MAY_HAVE_RUN),
-        ("strict", Reason.BAD_REQUEST, Verdict.NOT_RUN),
-        ("nowhere", Reason.BAD_REQUEST, Verdict.NOT_RUN),
+        ("break", RefusalReason.HOST_UNREACHABLE, Verdict.MAY_HAVE_RUN),
+        ("strict", RefusalReason.BAD_REQUEST, Verdict.NOT_RUN),
+        ("nowhere", RefusalReason.BAD_REQUEST, Verdict.NOT_RUN),
     ],
 )
 @using(calling_a_listener)
 async def test_a_failing_handler_becomes_a_refusal(
-    both: Both, path: str, reason: Reason, verdict: Verdict
+    both: Both, path: str, reason: RefusalReason, verdict: Verdict
 ) -> None:
     peers, listener = both
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, path, {}, 1.0)
     assert refused.value.reason is reason
     assert refused.value.verdict is verdict
@@ -335,18 +335,18 @@
 ) -> None:
     peers, listener = both
     peers.headers[CREDENTIAL] = given_credential
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, "note", {}, 1.0)
-    assert refused.value.reason is Reason.UNAUTHENTICATED
+    assert refused.value.reason is RefusalReason.UNAUTHENTICATED
     assert listener.seen == []
 
 
 @using(calling_a_listener)
 async def test_a_large_body_is_refused_before_it_is_read(both: Both) -> None:
     peers, listener = both
-    with pytest.raises(Refusal) as refused:
+    with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, "note", {"x": "y" * BODY_LIMIT}, 5.0)
-    assert refused.value.reason is Reason.TOO_LARGE
+    assert refused.value.reason is RefusalReason.TOO_LARGE
     assert listener.seen == []
 
 
--- a/tests/test_permission_properties.py
+++ b/tests/test_permission_properties.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from reedhook.request.command import CommandKind
+from reedhook.request.command import SessionCommandKind
 
 from .fakes_clock import run_virtual
 from .session_world import SessionWorld
@@ -76,7 +76,7 @@
         if host in world.hosts:
             caller = await world.caller(host, "tickets")
             await caller.write()
-            await caller.run(CommandKind.READ)
+            await caller.run(SessionCommandKind.READ)
         await asyncio.sleep(WRITE_EVERY)
 
 
