--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -8,8 +8,12 @@
 from reedhook.connection.member import Fault, MemberReply
 from reedhook.connection.memberhome import MemberHome
 from reedhook.decisions import Decisions
-from reedhook.request.refusal import Refusal
-from reedhook.request.work import Begin, Work, WorkKind
+from reedhook.request.refusal import RefusalError
+from reedhook.request.work import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
 from reedhook.version.registry import RouteKind
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent, Viewer
@@ -47,22 +51,22 @@
         self.opened = False
         self.sent = 0
 
-    def work(self, kind: WorkKind, text: str) -> Work:
+    def work(self, kind: SessionStatementKind, text: str) -> SessionStatement:
         """Return the next statement."""
         self.sent += 1
         first = bool(self.transaction) and not self.opened
-        return Work(
+        return SessionStatement(
             service="db",
             target="",
             session=self.name,
             settings=dict(self.state),
             transaction=self.transaction,
-            begin=Begin.WRITE if first else Begin.NONE,
-            after=None,
+            begin=TransactionMode.WRITE if first else TransactionMode.NONE,
+            min_position=None,
             kind=kind,
             id=f"{self.name}-{self.sent}",
             text=text,
-            left=0.5,
+            remaining=0.5,
         )
 
 
@@ -108,10 +112,14 @@
         elif what == "rollback" or what == "break":
             self.end(session, what)
         elif what in ("read", "write"):
-            kind = WorkKind.READ if what == "read" else WorkKind.WRITE
+            kind = (
+                SessionStatementKind.READ
+                if what == "read"
+                else SessionStatementKind.WRITE
+            )
             await self.run(session, kind, "READ a" if what == "read" else "WRITE a b")
         elif what == "commit" and session.opened:
-            await self.run(session, WorkKind.COMMIT, "COMMIT")
+            await self.run(session, SessionStatementKind.COMMIT, "COMMIT")
             session.transaction = ""
 
     def end(self, session: SessionOfHome, what: str) -> None:
@@ -122,7 +130,9 @@
         self.home.transactions.end(session.transaction)
         session.transaction = ""
 
-    async def run(self, session: SessionOfHome, kind: WorkKind, text: str) -> None:
+    async def run(
+        self, session: SessionOfHome, kind: SessionStatementKind, text: str
+    ) -> None:
         """Run a statement and check what it met."""
         work = session.work(kind, text)
         self.promises.sent[work.id] = Sent(
@@ -130,7 +140,7 @@
         )
         try:
             reply = await self.home.run(work)
-        except Refusal:
+        except RefusalError:
             # No connection came free: nothing ran.
             assert work.id not in self.group.primary.runs
             self.home.transactions.end(session.transaction)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -16,7 +16,7 @@
     write_position,
 )
 from reedhook.process.rates.terms import DEFAULT_TERMS, RateTerms
-from reedhook.request.command import CommandKind
+from reedhook.request.command import SessionCommandKind
 from reedhook.request.position import Position
 from reedhook.version.registry import RouteKind, TargetEntry
 from reedhook.wire import WireError, encode
@@ -145,20 +145,22 @@
 @pytest.mark.parametrize(
     "text, kind, name, writes",
     [
-        ("BEGIN", CommandKind.BEGIN, "", False),
-        ("BEGIN READ", CommandKind.BEGIN_READ, "", False),
-        ("COMMIT", CommandKind.COMMIT, "", False),
-        ("ROLLBACK", CommandKind.ROLLBACK, "", False),
-        ("READ 1a4", CommandKind.READ, "", False),
-        ("WRITE 1a4 some data", CommandKind.WRITE, "", False),
-        ("SET name value", CommandKind.SET, "name", False),
-        ("PREPARE s1 WRITE q2c", CommandKind.PREPARE, "s1", True),
-        ("PREPARE s1 READ q2c", CommandKind.PREPARE, "s1", False),
-        ("EXECUTE s1 1a4 xkqp", CommandKind.EXECUTE, "s1", False),
-        ("DEALLOCATE s1", CommandKind.DEALLOCATE, "s1", False),
+        ("BEGIN", SessionCommandKind.BEGIN, "", False),
+        ("BEGIN READ", SessionCommandKind.BEGIN_READ, "", False),
+        ("COMMIT", SessionCommandKind.COMMIT, "", False),
+        ("ROLLBACK", SessionCommandKind.ROLLBACK, "", False),
+        ("READ 1a4", SessionCommandKind.READ, "", False),
+        ("WRITE 1a4 some data", SessionCommandKind.WRITE, "", False),
+        ("SET name value", SessionCommandKind.SET, "name", False),
+        ("PREPARE s1 WRITE q2c", SessionCommandKind.PREPARE, "s1", True),
+        ("PREPARE s1 READ q2c", SessionCommandKind.PREPARE, "s1", False),
+        ("EXECUTE s1 1a4 xkqp", SessionCommandKind.EXECUTE, "s1", False),
+        ("DEALLOCATE s1", SessionCommandKind.DEALLOCATE, "s1", False),
     ],
 )
-def test_texts_are_read(text: str, kind: CommandKind, name: str, writes: bool) -> None:
+def test_texts_are_read(
+    text: str, kind: SessionCommandKind, name: str, writes: bool
+) -> None:
     command = read_command(text)
     assert (command.kind, command.name, command.writes) == (kind, name, writes)
     assert command.text == text
@@ -169,7 +171,7 @@
     ["", "READ", "READ  a", "AFTER 3.1 READ a", "STATUS", "DEMOTE 4", "begin", "RESET"],
 )
 def test_texts_that_callers_may_not_send_are_malformed(text: str) -> None:
-    assert read_command(text).kind is CommandKind.MALFORMED
+    assert read_command(text).kind is SessionCommandKind.MALFORMED
 
 
 @given(st.text(max_size=40))
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -17,7 +17,7 @@
 from reedhook.platform.entry import Front, worded
 from reedhook.process.callers import Callers
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, may_have_run, not_run
+from reedhook.request.refusal import RefusalReason, may_have_run, not_run
 from reedhook.version.registry import TargetEntry
 from reedhook_standins.wiremember import WireMemberStandIn
 
@@ -229,9 +229,9 @@
 
 
 def test_refusals_carry_their_code_and_when_to_come_back() -> None:
-    refusal = not_run(Reason.NO_PRIMARY, "no primary", 150)
+    refusal = not_run(RefusalReason.NO_PRIMARY, "no primary", 150)
     assert worded(refusal) == ("BUSY", "retry_after_ms=150 no primary")
-    lost = not_run(Reason.TRANSACTION_LOST, "lost")
+    lost = not_run(RefusalReason.TRANSACTION_LOST, "lost")
     assert worded(lost) == ("ABORTED", "lost")
-    doubt = may_have_run(Reason.TARGET_UNREACHABLE, "no answer")
+    doubt = may_have_run(RefusalReason.TARGET_UNREACHABLE, "no answer")
     assert worded(doubt) == ("INDOUBT", "no answer")
--- a/tests/test_promotion.py
+++ b/tests/test_promotion.py
@@ -10,7 +10,7 @@
 from reedhook.process.events.timeline import EventKind
 from reedhook.process.groups.control import Control, Controller, Op
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal, may_have_run
+from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
 
@@ -132,7 +132,7 @@
             return
         if (order.op, order.member) == (op, member) and len(lost) < times:
             lost.append(host)
-            raise may_have_run(Reason.HOST_UNREACHABLE, "the answer was lost")
+            raise may_have_run(RefusalReason.HOST_UNREACHABLE, "the answer was lost")
 
     cluster = stepped(after=lose)
     await cluster.start()
@@ -209,10 +209,10 @@
     await cluster.until_writable()
     kept += await write_some(cluster, cluster.leader(), "b")
     fresh = await refusal_of(cluster.read("m1", Consistency.FRESH, remaining=0.5))
-    assert fresh.reason is Reason.UNCONFIRMED
+    assert fresh.reason is RefusalReason.UNCONFIRMED
     assert fresh.verdict is Verdict.NOT_RUN
     session = await refusal_of(cluster.read("m1", Consistency.SESSION, covers=kept[0]))
-    assert session.reason is Reason.NOT_COVERED
+    assert session.reason is RefusalReason.NOT_COVERED
     cluster.heal()
     await check_kept(cluster, kept)
     assert cluster.truth.members["m1"].role is Role.REPLICA
@@ -228,7 +228,7 @@
     after = await cluster.write("m1", "b")
     served = await cluster.read("m2", Consistency.SESSION, covers=before)
     assert "a" in values(served)
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await cluster.read("m2", Consistency.SESSION, covers=after)
 
 
@@ -238,7 +238,7 @@
 ) -> None:
     kept = await write_some(cluster, "m1", "a")
     cluster.truth.cut({"m1"})
-    with contextlib.suppress(Refusal):
+    with contextlib.suppress(RefusalError):
         await cluster.write("m1", "lost", 0.05)
     cluster.kill_target("m1")
     await cluster.until_writable()
@@ -364,7 +364,7 @@
     cluster.network.loss = 0.05
     await cluster.start()
     for serial in range(600):
-        with contextlib.suppress(Refusal):
+        with contextlib.suppress(RefusalError):
             await cluster.write("m1", f"w{serial}", 0.5)
         await asyncio.sleep(0.1)
     assert list(cluster.truth.leaders) == [1]
@@ -376,7 +376,7 @@
     cluster: Cluster,
 ) -> None:
     kept: list[Position] = []
-    refusals: list[Refusal] = []
+    refusals: list[RefusalError] = []
     finished = asyncio.Event()
 
     async def gate(number: int) -> None:
@@ -386,7 +386,7 @@
             member = cluster.leader()
             try:
                 kept.append(await cluster.write(member, f"{number}.{serial}"))
-            except Refusal as refusal:
+            except RefusalError as refusal:
                 refusals.append(refusal)
                 await asyncio.sleep(0.005)
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -9,7 +9,7 @@
 from hypothesis import given, strategies as st
 
 from reedhook.request.queue import SlotQueue
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -27,11 +27,11 @@
     queue: SlotQueue, caller: str, priority: int, service: float, remaining: float = 1e6
 ) -> float:
     """Hold a slot for `service` seconds; return the wait for it."""
-    entry, waited = await timed(queue.enter(caller, priority, remaining))
+    entry, waited = await timed(queue.acquire(caller, priority, remaining))
     try:
         await asyncio.sleep(service)
     finally:
-        queue.leave(entry)
+        queue.release(entry)
     return waited
 
 
@@ -116,7 +116,7 @@
 @in_virtual_time
 async def test_a_full_queue_refuses_the_newest_of_the_least_important() -> None:
     queue = queue_of(capacity=1, limit=3)
-    holder = await queue.enter("gate", 0, 10.0)
+    holder = await queue.acquire("gate", 0, 10.0)
     names = [("few", 2), ("many", 2), ("many", 2), ("gate", 0)]
     waiting = []
     for caller, priority in names:
@@ -127,26 +127,26 @@
     refused = waiting[2]
     assert refused.done()
     refusal = refused.result()
-    assert isinstance(refusal, Refusal)
-    assert refusal.reason is Reason.OVERLOADED
+    assert isinstance(refusal, RefusalError)
+    assert refusal.reason is RefusalReason.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
     assert refusal.retry_after_ms is not None
-    queue.leave(holder)
+    queue.release(holder)
     answers = await asyncio.gather(*waiting[:2], waiting[3])
-    assert not any(isinstance(one, Refusal) for one in answers)
+    assert not any(isinstance(one, RefusalError) for one in answers)
 
 
 @pytest.mark.parametrize("remaining", [0.25, 0.0])
 @in_virtual_time
 async def test_a_passed_deadline_is_answered_when_it_passes(remaining: float) -> None:
     queue = queue_of(capacity=1)
-    holder = await queue.enter("gate", 0, 10.0)
-    refusal, seconds = await timed(refusal_of(queue.enter("gate", 0, remaining)))
+    holder = await queue.acquire("gate", 0, 10.0)
+    refusal, seconds = await timed(refusal_of(queue.acquire("gate", 0, remaining)))
     assert seconds == remaining
     assert refusal.retry_after_ms
-    assert refusal.reason is Reason.DEADLINE
+    assert refusal.reason is RefusalReason.DEADLINE
     assert refusal.verdict is Verdict.NOT_RUN
-    queue.leave(holder)
+    queue.release(holder)
 
 
 @in_virtual_time
@@ -155,9 +155,9 @@
     await serve(queue, "gate", 0, 0.1)
     tasks = [asyncio.create_task(serve(queue, "gate", 0, 0.1, 10.0)) for _ in range(10)]
     await asyncio.sleep(SOON)
-    refusal, seconds = await timed(refusal_of(queue.enter("gate", 0, 0.5)))
+    refusal, seconds = await timed(refusal_of(queue.acquire("gate", 0, 0.5)))
     assert seconds == 0.0
-    assert refusal.reason is Reason.OVERLOADED
+    assert refusal.reason is RefusalReason.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
     assert refusal.retry_after_ms is not None
     assert 700 <= refusal.retry_after_ms <= 1400
@@ -172,7 +172,7 @@
         await serve(queue, "gate", 0, SOON, 1.0)
     refusals = [outcome_of(serve(queue, "gate", 0, SOON, 1.0)) for _ in range(20)]
     outcomes = await asyncio.gather(*refusals)
-    assert not any(isinstance(one, Refusal) for one in outcomes)
+    assert not any(isinstance(one, RefusalError) for one in outcomes)
 
 
 actions = st.lists(
@@ -203,8 +203,8 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            entry = await queue.enter(caller, priority, left)
-        except Refusal as refusal:
+            entry = await queue.acquire(caller, priority, left)
+        except RefusalError as refusal:
             assert refusal.verdict is Verdict.NOT_RUN
             assert loop.time() - began <= left + 1e-9
             return
@@ -214,7 +214,7 @@
             await asyncio.sleep(service)
         finally:
             inside -= 1
-            queue.leave(entry)
+            queue.release(entry)
 
     async def patient(work: Awaitable[None], patience: float | None) -> None:
         try:
@@ -231,18 +231,18 @@
         tasks.append(asyncio.create_task(patient(work, patience)))
     await asyncio.gather(*tasks)
     assert (queue.busy, queue.queued) == (0, 0)
-    assert all(share.queued == 0 for share in queue.shares)
+    assert all(share.queued == 0 for share in queue.priority_classes)
 
 
 @in_virtual_time
 async def test_a_slot_granted_to_a_caller_that_is_gone_is_passed_on() -> None:
     queue = queue_of(capacity=1)
-    holder = await queue.enter("gate", 0, 10.0)
+    holder = await queue.acquire("gate", 0, 10.0)
     gone = asyncio.create_task(serve(queue, "gate", 0, SOON))
     await asyncio.sleep(SOON)
     next_one = asyncio.create_task(serve(queue, "gate", 0, SOON))
     await asyncio.sleep(SOON)
-    queue.leave(holder)
+    queue.release(holder)
     gone.cancel()
     await asyncio.wait_for(next_one, 0.1)
     assert queue.busy == 0
--- a/tests/test_queue_overload.py
+++ b/tests/test_queue_overload.py
@@ -4,8 +4,8 @@
 import random
 
 from reedhook.connection.targethome import TargetHome
-from reedhook.request.refusal import Refusal
-from reedhook.request.statement import Kind
+from reedhook.request.refusal import RefusalError
+from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import in_virtual_time
@@ -18,7 +18,9 @@
 DEADLINE = 0.5
 
 
-async def offer(home: TargetHome, rate: float, seconds: float) -> list[Refusal | None]:
+async def offer(
+    home: TargetHome, rate: float, seconds: float
+) -> list[RefusalError | None]:
     """Send reads at `rate` a second; return their refusals, None if answered."""
     loop = asyncio.get_running_loop()
     rng = random.Random(3)
@@ -30,12 +32,12 @@
     return await asyncio.gather(*tasks)
 
 
-async def send(home: TargetHome) -> Refusal | None:
+async def send(home: TargetHome) -> RefusalError | None:
     """Send one read and hold the time of its answer against the deadline."""
-    read = statement(Kind.READ, remaining=DEADLINE)
+    read = statement(StatementKind.READ, remaining=DEADLINE)
     outcome, seconds = await timed(outcome_of(home.run(read)))
     assert seconds <= DEADLINE + 1e-6
-    return outcome if isinstance(outcome, Refusal) else None
+    return outcome if isinstance(outcome, RefusalError) else None
 
 
 @in_virtual_time
@@ -60,14 +62,16 @@
     target = FakeTarget(service=SERVICE, slots=SLOTS)
     async with home_at(target) as home:
         writes = [
-            outcome_of(home.run(statement(Kind.WRITE, f"w{number}", remaining=0.2)))
+            outcome_of(
+                home.run(statement(StatementKind.WRITE, f"w{number}", remaining=0.2))
+            )
             for number in range(200)
         ]
         outcomes = await asyncio.gather(*writes)
         unsure = 0
         for number, outcome in enumerate(outcomes):
             ran = target.ran[f"w{number}"]
-            if not isinstance(outcome, Refusal):
+            if not isinstance(outcome, RefusalError):
                 assert ran == 1
             elif outcome.verdict is Verdict.NOT_RUN:
                 assert ran == 0
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -22,7 +22,7 @@
 from reedhook.process.rates.allowances import Allowances
 from reedhook.process.rates.owner import Ask, RateOwner
 from reedhook.process.rates.terms import DEFAULT_TERMS
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.version.workspace import Workspace, Workspaces
 
 from .fakes_clock import in_virtual_time, run_virtual
@@ -125,8 +125,8 @@
         loop = asyncio.get_running_loop()
         try:
             await home.allowances.admit(name)
-        except Refusal as refusal:
-            assert refusal.reason is Reason.RATE_LIMITED
+        except RefusalError as refusal:
+            assert refusal.reason is RefusalReason.RATE_LIMITED
             assert refusal.retry_after_ms
             self.refused[name] += 1
             return
@@ -411,9 +411,9 @@
 async def test_a_rate_of_nothing_admits_nothing() -> None:
     world = RateWorld([Workspace("w0", frozenset(), 1, 0.0, 5.0)], hosts=12)
     await world.start()
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await world.homes[0].allowances.admit("w0")
-    assert caught.value.reason is Reason.RATE_LIMITED
+    assert caught.value.reason is RefusalReason.RATE_LIMITED
 
 
 @in_virtual_time
--- a/tests/test_reign.py
+++ b/tests/test_reign.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from reedhook.request.execution import Served
-from reedhook.request.refusal import Reason, Refusal
-from reedhook.request.reign import Reign
-from reedhook.request.statement import Kind
+from reedhook.request.execution import HomeResponse
+from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.reign import PrimaryAttempt
+from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
 from reedhook.request.view import GroupView
 
@@ -36,7 +36,7 @@
         world.model.promote(NEAR)
         promoted = world.model.now()
         served = await task
-        assert served.answer.target == NEAR
+        assert served.result.target == NEAR
         assert world.model.now() - promoted < 0.5
         assert world.model.ran["1-a"] == 1
         assert world.model.executed[PRIMARY] == 0
@@ -54,7 +54,7 @@
         await asyncio.sleep(0.3)
         world.model.promote(NEAR)
         served = await task
-        assert served.answer.repeated
+        assert served.result.repeated
         assert world.model.ran["1-a"] == 1
         await world.close()
 
@@ -71,10 +71,10 @@
         task = asyncio.create_task(router.run(world.model.group, statement, False))
         await asyncio.sleep(0.3)
         world.model.promote(NEAR)
-        with pytest.raises(Refusal) as caught:
+        with pytest.raises(RefusalError) as caught:
             await task
         assert caught.value.verdict is Verdict.MAY_HAVE_RUN
-        assert caught.value.reason is Reason.HOST_UNREACHABLE
+        assert caught.value.reason is RefusalReason.HOST_UNREACHABLE
         assert world.model.ran["1-a"] == 0
         await world.close()
 
@@ -89,11 +89,11 @@
         task = asyncio.create_task(world.run(write("1-a", remaining=4.0)))
         await asyncio.sleep(0.3)
         known = world.entries[0].views.group("g1")
-        assert known.lookouts == 1
+        assert known.poll_requests == 1
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await task
-        assert known.lookouts == 0 and not known.listeners
+        assert known.poll_requests == 0 and not known.listeners
         asked = world.network.calls["view"]
         await asyncio.sleep(2.0)
         assert world.network.calls["view"] - asked <= 3
@@ -136,13 +136,13 @@
         served = await world.run(write("1-a"))
         views = world.entries[0].views
 
-        async def attempt() -> Served:
+        async def attempt() -> HomeResponse:
             views.merge(GroupView("g1", 2, NEAR))
             await asyncio.sleep(0.01)
             return served
 
-        reign = Reign(views, world.model.group, PRIMARY, 1)
-        assert await reign.run(attempt(), Kind.WRITE) is served
+        reign = PrimaryAttempt(views, world.model.group, PRIMARY, 1)
+        assert await reign.run(attempt(), StatementKind.WRITE) is served
         await asyncio.sleep(0.01)
         await world.close()
 
--- a/tests/test_request_dispatch.py
+++ b/tests/test_request_dispatch.py
@@ -7,9 +7,9 @@
 import pytest
 
 from reedhook.peer import HostRef
-from reedhook.request.execution import Served
-from reedhook.request.refusal import Reason, Refusal, not_run
-from reedhook.request.statement import Kind, Statement
+from reedhook.request.execution import HomeResponse
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
+from reedhook.request.statement import Statement, StatementKind
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
@@ -59,7 +59,7 @@
 
 
 def wrong_home(body: Json) -> Json:
-    raise not_run(Reason.WRONG_HOME, "not the home")
+    raise not_run(RefusalReason.WRONG_HOME, "not the home")
 
 
 def nonsense(body: Json) -> Json:
@@ -123,7 +123,7 @@
 
 
 def home_refuses(hop: Hop) -> None:
-    hop.model.refuse(Kind.WRITE, not_run(Reason.OVERLOADED, "no slot"))
+    hop.model.refuse(StatementKind.WRITE, not_run(RefusalReason.OVERLOADED, "no slot"))
 
 
 def nothing_broken(hop: Hop) -> None:
@@ -152,15 +152,15 @@
 ]
 
 
-async def outcome(hop: Hop, statement: Statement) -> Served | Refusal:
+async def outcome(hop: Hop, statement: Statement) -> HomeResponse | RefusalError:
     """Return the answer or the refusal of a statement sent over the hop."""
     try:
         return await hop.entry.dispatch.execute(WRITE_AT, statement)
-    except Refusal as refusal:
+    except RefusalError as refusal:
         return refusal
 
 
-def make(kind: Kind) -> Statement:
+def make(kind: StatementKind) -> Statement:
     """Return a statement with half a second to its deadline."""
     return Statement(kind, "g1", "gate", "pay", [], remaining=0.5)
 
@@ -172,8 +172,8 @@
 ) -> None:
     hop = Hop()
     fault(hop)
-    result = await outcome(hop, make(Kind.WRITE))
-    got = result.verdict if isinstance(result, Refusal) else Verdict.DONE
+    result = await outcome(hop, make(StatementKind.WRITE))
+    got = result.verdict if isinstance(result, RefusalError) else Verdict.DONE
     assert got is verdict
     await asyncio.sleep(SETTLE)
     assert hop.model.ran["pay"] == ran
@@ -186,21 +186,23 @@
 ) -> None:
     hop = Hop()
     fault(hop)
-    result = await outcome(hop, make(Kind.READ))
-    if isinstance(result, Refusal):
+    result = await outcome(hop, make(StatementKind.READ))
+    if isinstance(result, RefusalError):
         assert result.verdict is Verdict.NOT_RUN
     await asyncio.sleep(SETTLE)
     assert not hop.model.ran
 
 
-@pytest.mark.parametrize("kind", [Kind.STEP, Kind.COMMIT, Kind.ROLLBACK])
+@pytest.mark.parametrize(
+    "kind", [StatementKind.STEP, StatementKind.COMMIT, StatementKind.ROLLBACK]
+)
 @in_virtual_time
-async def test_a_statement_of_a_transaction_is_sent_once(kind: Kind) -> None:
+async def test_a_statement_of_a_transaction_is_sent_once(kind: StatementKind) -> None:
     hop = Hop()
     lose_answer(hop)
     statement = make(kind)
     statement.transaction = "t1"
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await hop.entry.dispatch.execute_at(hop.hosts[0], WRITE_AT, statement)
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
     assert hop.network.calls["statement"] == 1
@@ -210,7 +212,7 @@
 async def test_a_target_whose_home_is_here_takes_no_hop() -> None:
     hop = Hop()
     hop.directory.fixed[WRITE_AT] = [hop.directory.me]
-    served = await hop.entry.dispatch.execute(WRITE_AT, make(Kind.WRITE))
+    served = await hop.entry.dispatch.execute(WRITE_AT, make(StatementKind.WRITE))
     assert served.host == hop.directory.me
     assert hop.network.calls["statement"] == 0
 
@@ -219,9 +221,9 @@
 async def test_no_host_is_asked_a_third_time() -> None:
     hop = Hop()
     no_home(hop)
-    refusal = await outcome(hop, make(Kind.WRITE))
-    assert isinstance(refusal, Refusal)
-    assert refusal.reason is Reason.WRONG_HOME
+    refusal = await outcome(hop, make(StatementKind.WRITE))
+    assert isinstance(refusal, RefusalError)
+    assert refusal.reason is RefusalReason.WRONG_HOME
     assert hop.network.calls["statement"] == 2
 
 
@@ -232,11 +234,11 @@
 
     def note(body: Json) -> Json:
         seen.append(body["statement"]["remaining"])
-        raise not_run(Reason.WRONG_HOME, "not the home")
+        raise not_run(RefusalReason.WRONG_HOME, "not the home")
 
     hop.serve("h1", note)
     hop.serve("h2", note)
-    await outcome(hop, make(Kind.WRITE))
+    await outcome(hop, make(StatementKind.WRITE))
     assert seen[0] == 0.5
     assert seen[1] < seen[0]
 
@@ -253,9 +255,9 @@
     told: list[str] = []
     hop.entry.dispatch.on_host_lost = lambda host: told.append(host.host)
     fault(hop)
-    statement = Statement(Kind.READ, "g1", "gate", "select 1", [], 1.0)
+    statement = Statement(StatementKind.READ, "g1", "gate", "select 1", [], 1.0)
     try:
         await hop.entry.dispatch.execute(WRITE_AT, statement)
-    except Refusal:
+    except RefusalError:
         pass
     assert told == lost
--- a/tests/test_request_sessions.py
+++ b/tests/test_request_sessions.py
@@ -10,9 +10,9 @@
 
 from hypothesis import given, strategies as st
 
-from reedhook.request.execution import Served
+from reedhook.request.execution import HomeResponse
 from reedhook.request.position import Position
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook.request.statement import Statement
 from reedhook.request.token import SessionToken, TokenCodec
 from reedhook.request.verdict import Verdict
@@ -104,27 +104,27 @@
         """Run a statement with the token as it is now and check the answer."""
         codec = self.codecs[entry]
         before = codec.decode(self.tokens[session], WORKSPACE, SERVICE)
-        statement.covers = before.positions.get("g1")
+        statement.min_position = before.positions.get("g1")
         try:
             served = await self.world.run(statement, entry)
-        except Refusal as refusal:
+        except RefusalError as refusal:
             self.note(statement, refusal.verdict)
             return
         self.note(statement, Verdict.DONE)
         self.check(statement, served)
         now = codec.decode(self.tokens[session], WORKSPACE, SERVICE)
-        after = now.advanced("g1", served.answer.position)
+        after = now.advanced("g1", served.result.position)
         assert after.covers(before) and after.covers(now)
         self.tokens[session] = codec.encode(after)
 
-    def check(self, statement: Statement, served: Served) -> None:
+    def check(self, statement: Statement, served: HomeResponse) -> None:
         """Hold an answer against what it must cover."""
-        covers: Position | None = statement.covers
+        covers: Position | None = statement.min_position
         if covers is not None and statement.request_id is None:
-            assert served.answer.position.covers(covers)
+            assert served.result.position.covers(covers)
         if statement.max_age is not None:
-            assert served.answer.age is not None
-            assert served.answer.age <= statement.max_age
+            assert served.result.age is not None
+            assert served.result.age <= statement.max_age
 
     def note(self, statement: Statement, verdict: Verdict) -> None:
         """Keep the verdict on a write."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from reedhook.request.hedge import MIN_DELAY
+from reedhook.request.hedge import MIN_DELAY_SECONDS
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal, not_run
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.router import HEDGE_BURST, RETRY_BURST
-from reedhook.request.statement import Consistency, Kind, Statement
+from reedhook.request.statement import Consistency, Statement, StatementKind
 from reedhook.request.verdict import Verdict
 from reedhook.request.views import MAX_WAITERS
 
@@ -22,9 +22,9 @@
 FAR: Final = "g1-z3"
 
 
-async def refused(world: World, statement: object) -> Refusal:
+async def refused(world: World, statement: object) -> RefusalError:
     """Return the refusal of a statement; fail if it is answered."""
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await world.run(statement)  # type: ignore[arg-type]
     return caught.value
 
@@ -47,7 +47,7 @@
     statement = read()
     statement.consistency = Consistency.FRESH
     served = await world.run(statement)
-    assert served.answer.role == "primary"
+    assert served.result.role == "primary"
     await world.close()
 
 
@@ -59,7 +59,10 @@
     world = World()
     statement.remaining = 0.0
     refusal = await refused(world, statement)
-    assert (refusal.reason, refusal.verdict) == (Reason.DEADLINE, Verdict.NOT_RUN)
+    assert (refusal.reason, refusal.verdict) == (
+        RefusalReason.DEADLINE,
+        Verdict.NOT_RUN,
+    )
     assert refusal.retry_after_ms
     assert not world.model.executed
     await world.close()
@@ -75,12 +78,12 @@
             await world.run(read())
     wrote = await world.run(write("9-a"))
     began = world.model.now()
-    served = await world.run(read(covers=wrote.answer.position))
-    assert served.answer.role == "primary"
+    served = await world.run(read(covers=wrote.result.position))
+    assert served.result.role == "primary"
     assert world.model.now() - began < 0.02
     await asyncio.sleep(5.1)
-    served = await world.run(read(covers=wrote.answer.position))
-    assert served.answer.role == "replica"
+    served = await world.run(read(covers=wrote.result.position))
+    assert served.result.role == "replica"
     await world.close()
 
 
@@ -91,8 +94,8 @@
     times = []
     while world.model.now() < 2.0:
         began = world.model.now()
-        served = await world.run(read(covers=wrote.answer.position))
-        assert served.answer.role == "primary"
+        served = await world.run(read(covers=wrote.result.position))
+        assert served.result.role == "primary"
         times.append(world.model.now() - began)
     assert max(times) < 0.03
     tries = sum(one > 0.02 for one in times)
@@ -109,7 +112,7 @@
     await asyncio.sleep(3.0)
     for bound, targets in ((1.0, {NEAR}), (0.1, {PRIMARY}), (5.0, {NEAR, FAR})):
         served = {
-            (await world.run(read(max_age=bound))).answer.target for _ in range(20)
+            (await world.run(read(max_age=bound))).result.target for _ in range(20)
         }
         assert served <= targets
     await world.close()
@@ -121,10 +124,10 @@
     world.model.proves = False
     for at in range(5):
         wrote = await world.run(write(f"{at}-a"))
-        covers = wrote.answer.position
+        covers = wrote.result.position
         for max_age in (None, 10.0):
             served = await world.run(read(covers, max_age), entry=1)
-            assert served.answer.position >= covers
+            assert served.result.position >= covers
         await asyncio.sleep(0.2)
     await world.close()
 
@@ -135,8 +138,8 @@
     both = [world.run(write("1-a"), entry) for entry in (0, 1)]
     first, second = await asyncio.gather(*both)
     assert world.model.ran["1-a"] == 1
-    assert first.answer.position == second.answer.position
-    assert {first.answer.repeated, second.answer.repeated} == {False, True}
+    assert first.result.position == second.result.position
+    assert {first.result.repeated, second.result.repeated} == {False, True}
     await world.close()
 
 
@@ -153,7 +156,7 @@
     refusal = await refused(world, write("2-a", remaining=0.3))
     assert refusal.verdict is Verdict.MAY_HAVE_RUN
     served = await world.run(write("2-a"))
-    assert served.answer.repeated
+    assert served.result.repeated
     assert world.model.ran["2-a"] == 1
     await world.close()
 
@@ -170,7 +173,7 @@
     world.model.promote(NEAR)
     promoted = world.model.now()
     served = await task
-    assert served.answer.target == NEAR
+    assert served.result.target == NEAR
     assert world.model.now() - promoted < 0.5
     assert world.model.ran["1-a"] == 1
     await world.close()
@@ -203,7 +206,7 @@
     await asyncio.sleep(0.1)
     began = world.model.now()
     refusal = await refused(world, write("one-more"))
-    assert refusal.reason is Reason.OVERLOADED
+    assert refusal.reason is RefusalReason.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
     assert refusal.retry_after_ms is not None
     assert world.model.now() - began < 0.05
@@ -228,10 +231,12 @@
 async def test_a_final_refusal_is_not_held_back() -> None:
     world = World()
     await world.warm()
-    world.model.refuse(Kind.WRITE, not_run(Reason.OVERLOADED, "no slot", 250))
+    world.model.refuse(
+        StatementKind.WRITE, not_run(RefusalReason.OVERLOADED, "no slot", 250)
+    )
     began = world.model.now()
     refusal = await refused(world, write("1-a", remaining=30.0))
-    assert (refusal.reason, refusal.retry_after_ms) == (Reason.OVERLOADED, 250)
+    assert (refusal.reason, refusal.retry_after_ms) == (RefusalReason.OVERLOADED, 250)
     assert world.model.now() - began < 0.05
     await world.close()
 
@@ -249,7 +254,7 @@
     task = asyncio.create_task(world.run(write("1-a")))
     await asyncio.sleep(0.2)
     world.model.promote(FAR)
-    assert (await task).answer.target == FAR
+    assert (await task).result.target == FAR
     assert world.model.executed[PRIMARY] == 0
     await world.close()
 
@@ -307,8 +312,8 @@
     world.model.delays[NEAR] = 0.3
     began = world.model.now()
     served = await world.run(read(), entry=1)
-    assert served.answer.target == FAR
-    assert MIN_DELAY < world.model.now() - began < 0.1
+    assert served.result.target == FAR
+    assert MIN_DELAY_SECONDS < world.model.now() - began < 0.1
     for _ in range(200):
         await world.run(read(), entry=1)
     hedged = world.entries[1].metrics.counters["router.hedged"]
@@ -324,9 +329,9 @@
         await world.run(read(), entry=1)
     world.model.delays = {NEAR: 0.05, FAR: 5.0}
     served = await world.run(read(remaining=20.0), entry=1)
-    assert served.answer.target == NEAR
+    assert served.result.target == NEAR
     await asyncio.sleep(0.01)
-    track = world.entries[1].router.track("g1")
+    track = world.entries[1].router.observations("g1")
     assert world.model.executed[FAR] == 1
     assert track.member(FAR).inflight == track.member(NEAR).inflight == 0
     await world.close()
@@ -336,11 +341,11 @@
 async def test_retries_stay_within_their_budget_when_all_replicas_fail() -> None:
     world = World()
     await world.warm()
-    refusal = not_run(Reason.TARGET_LOST, "no answer")
+    refusal = not_run(RefusalReason.TARGET_LOST, "no answer")
     for _ in range(3000):
-        world.model.refuse(Kind.READ, refusal)
+        world.model.refuse(StatementKind.READ, refusal)
     for _ in range(500):
-        with pytest.raises(Refusal):
+        with pytest.raises(RefusalError):
             await world.run(read(remaining=0.2))
     assert world.model.executed.total() <= 500 + 50 + RETRY_BURST
     await world.close()
@@ -353,7 +358,7 @@
     world.network.crash("h2")
     world.entries[1].directory.fixed[NEAR] = [world.homes[1]]
     served = await world.run(read(), entry=1)
-    assert served.answer.target == FAR
+    assert served.result.target == FAR
     await world.close()
 
 
@@ -371,6 +376,6 @@
     await world.warm()
     position = world.model.append("elsewhere")
     served = await world.run(read(covers=position))
-    assert served.answer.position >= position
+    assert served.result.position >= position
     assert position > Position(1, 0)
     await world.close()
--- a/tests/test_self_feeding.py
+++ b/tests/test_self_feeding.py
@@ -15,7 +15,7 @@
 
 from reedhook.connection.member import Fault
 from reedhook.peer import HostRef
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 
 from .fakes_clock import run_virtual
 from .fakes_members import Slots
@@ -96,7 +96,7 @@
                     return True
                 if reply.refusal is not None:
                     retry_ms = reply.refusal.retry_after_ms
-        except (Refusal, TimeoutError, IndexError):
+        except (RefusalError, TimeoutError, IndexError):
             # No host runs, or it has no configuration yet, or it was ended.
             pass
         await asyncio.sleep((retry_ms or RETRY_MS) / 1000.0)
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -11,11 +11,11 @@
 from reedhook.connection.state import SessionState
 from reedhook.peer import HostRef
 from reedhook.process.lead.record import Holder
-from reedhook.request.command import CommandKind
-from reedhook.request.hop import Place
-from reedhook.request.refusal import Reason, not_run
+from reedhook.request.command import SessionCommandKind
+from reedhook.request.hop import StatementLocation
+from reedhook.request.refusal import RefusalReason, not_run
 from reedhook.request.verdict import Verdict
-from reedhook.request.work import Work, WorkAnswer
+from reedhook.request.work import SessionStatement, SessionStatementResult
 from reedhook.version.registry import TargetEntry
 from reedhook.wire import decode
 
@@ -77,7 +77,7 @@
 async def transact(caller: Caller, rng: random.Random) -> None:
     """Run a transaction of a few statements."""
     reads_only = rng.random() < 0.3
-    kind = CommandKind.BEGIN_READ if reads_only else CommandKind.BEGIN
+    kind = SessionCommandKind.BEGIN_READ if reads_only else SessionCommandKind.BEGIN
     await caller.run(kind)
     for _ in range(rng.randint(1, 3)):
         if rng.random() < 0.2:
@@ -87,7 +87,9 @@
         else:
             await caller.write()
         await asyncio.sleep(rng.uniform(0.0, 0.05))
-    ends = CommandKind.ROLLBACK if rng.random() < 0.2 else CommandKind.COMMIT
+    ends = (
+        SessionCommandKind.ROLLBACK if rng.random() < 0.2 else SessionCommandKind.COMMIT
+    )
     await caller.run(ends)
 
 
@@ -286,7 +288,7 @@
     """Transactions open at a primary that gives no answer cannot end any more."""
     lead = world.leader().me
     open_there = await world.caller(lead.host, "tickets")
-    await open_there.run(CommandKind.BEGIN)
+    await open_there.run(SessionCommandKind.BEGIN)
     await open_there.write()
     world.group.primary.down = True
     world.store.silent.add(lead.host)
@@ -414,15 +416,17 @@
     await caller.read()
     sent = []
 
-    async def lose(place: Place, work: Work) -> WorkAnswer:
-        sent.append(place.target)
-        raise not_run(Reason.TRANSACTION_LOST, "its connection was lost", 50)
+    async def lose(
+        location: StatementLocation, statement: SessionStatement
+    ) -> SessionStatementResult:
+        sent.append(location.target)
+        raise not_run(RefusalReason.TRANSACTION_LOST, "its connection was lost", 50)
 
     host.hops.run_at = lose  # type: ignore[method-assign]
-    await caller.run(CommandKind.BEGIN_READ)
+    await caller.run(SessionCommandKind.BEGIN_READ)
     reply = await caller.read()
     assert reply.refusal is not None
-    assert reply.refusal.reason is Reason.TRANSACTION_LOST
+    assert reply.refusal.reason is RefusalReason.TRANSACTION_LOST
     assert len(sent) == 1
 
 
@@ -444,7 +448,7 @@
     reply = await caller.read()
     assert reply.ends
     assert reply.refusal is not None
-    assert reply.refusal.reason is Reason.UNKNOWN_GROUP
+    assert reply.refusal.reason is RefusalReason.UNKNOWN_GROUP
 
 
 @using(a_world, run_virtual)
@@ -504,11 +508,11 @@
     world: SessionWorld,
 ) -> None:
     caller = await world.caller("h00", "tickets")
-    await caller.run(CommandKind.BEGIN)
+    await caller.run(SessionCommandKind.BEGIN)
     await caller.write()
     await asyncio.sleep(5.0)
     states = [caller.session.state]
-    reply = await caller.run(CommandKind.COMMIT)
+    reply = await caller.run(SessionCommandKind.COMMIT)
     states.append(caller.session.state)
     assert reply.refusal is not None
     assert reply.refusal.verdict is Verdict.NOT_RUN
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -183,12 +183,12 @@
     target = member.entry.target
     host = next(one for one in world.hosts.values() if target in one.desk.homes)
     old = host.desk.homes[target]
-    seen = host.replicas.sightings("db").target(target)
+    seen = host.replicas.observations("db").target(target)
     seen.position = Position(9, 9)
     member.deaf = True
     await start_again(world, member)
     await asyncio.sleep(0.8)
-    assert host.replicas.sightings("db").target(target).position is None
+    assert host.replicas.observations("db").target(target).position is None
     await traffic(world, 3.0, 9)
     assert old.lanes.closed
     assert host.desk.homes[target] is not old
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -4,13 +4,13 @@
 from hypothesis import given, strategies as st
 
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.token import (
-    FORMAT,
+    FORMAT_VERSION,
     MAX_GROUPS,
     SessionToken,
     TokenCodec,
-    unpacked,
+    decode_base64url,
 )
 from reedhook.request.verdict import Verdict
 
@@ -27,9 +27,9 @@
 
 def refused(text: str, workspace: str = "gate", service: str = "feedlog-db") -> str:
     """Return why `text` is refused; fail if it is not."""
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         CODEC.decode(text, workspace, service)
-    assert caught.value.reason is Reason.TOKEN_INVALID
+    assert caught.value.reason is RefusalReason.TOKEN_INVALID
     assert caught.value.verdict is Verdict.NOT_RUN
     return caught.value.detail
 
@@ -95,9 +95,9 @@
     assert "too long" in refused(text + text)
     foreign = TokenCodec([b"another secret"])
     assert "forged" in refused(foreign.encode(SessionToken("gate", "feedlog-db")))
-    assert FORMAT == 1
+    assert FORMAT_VERSION == 1
     newer = "Ag" + text[2:]
-    assert unpacked(newer)[0] == 2
+    assert decode_base64url(newer)[0] == 2
     assert "newer format" in refused(newer)
 
 
@@ -106,7 +106,7 @@
     former = TokenCodec([b"old"]).encode(token)
     both = TokenCodec([b"new", b"old"])
     assert both.decode(former, "gate", "feedlog-db") == token
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         TokenCodec([b"new"]).decode(former, "gate", "feedlog-db")
 
 
@@ -114,5 +114,5 @@
     token = SessionToken("gate", "feedlog-db")
     for at in range(MAX_GROUPS):
         token = token.advanced(f"g{at}", Position(1, 1))
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         token.advanced("one more", Position(1, 1))
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -11,7 +11,7 @@
 import pytest
 
 from reedhook.connection.turns import AHEAD, Demand, Room, Turns
-from reedhook.request.refusal import Reason, Refusal
+from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -124,11 +124,11 @@
     waiting = [asyncio.ensure_future(turns.enter(demand(0.3))) for _ in range(3)]
     await asyncio.sleep(0.0)
     begun = now()
-    with pytest.raises(Refusal) as caught:
+    with pytest.raises(RefusalError) as caught:
         await turns.enter(demand(0.11, left=0.2))
     assert now() == begun
     assert caught.value.verdict is Verdict.NOT_RUN
-    assert caught.value.reason is Reason.OVERLOADED
+    assert caught.value.reason is RefusalReason.OVERLOADED
     assert caught.value.retry_after_ms is not None
     assert 190 <= caught.value.retry_after_ms <= 400
     for one in waiting:
@@ -141,7 +141,7 @@
     turns.means[ROUTE] = 0.1
     for _ in range(SLOTS + AHEAD):
         await turns.enter(demand(0.5))
-    with pytest.raises(Refusal):
+    with pytest.raises(RefusalError):
         await turns.enter(demand(0.5, patience=0.02))
     staying = asyncio.ensure_future(turns.enter(demand(0.5)))
     await asyncio.sleep(0.01)
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -13,7 +13,7 @@
 from reedhook.connection.lane import Lane
 from reedhook.connection.lanes import Lanes
 from reedhook.process.fleet.rendezvous import kept, share
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 from reedhook_standins.database import DatabaseGroup
 
 from .fakes_clock import LoopClock, in_virtual_time, run_virtual
@@ -120,7 +120,7 @@
                 try:
                     async with asyncio.timeout(rng.choice([0.005, 0.05, 1.0])):
                         lane = await lanes.borrow("s", 0.5, workspace)
-                except (Refusal, TimeoutError):
+                except (RefusalError, TimeoutError):
                     continue
                 assert lane.workspace == workspace
                 assert getattr(lane.connection, "workspace") == workspace
--- a/tests/trace_world.py
+++ b/tests/trace_world.py
@@ -25,7 +25,7 @@
 from reedhook.process.host import Host
 from reedhook.process.settings import Settings
 from reedhook.process.worker import Worker
-from reedhook.request.api import TRANSACTION, Handler, typed
+from reedhook.request.api import TRANSACTION_HANDLE, Handler, refuse_on_error
 from reedhook.version.document import Documents
 from reedhook.wire import Json, decode, encode
 
@@ -206,7 +206,7 @@
             "rollback": api.rollback,
         }
         request = request_of(path, encode({**body}), handle)
-        response = await typed(api, handlers[path])(request)
+        response = await refuse_on_error(api, handlers[path])(request)
         await self.network.awake(host)
         assert isinstance(response.body, bytes)
         answer: Json = decode(response.body)
@@ -290,5 +290,5 @@
         client_max_size=2**20,
         loop=mock.Mock(),
     )
-    request[TRANSACTION] = handle
+    request[TRANSACTION_HANDLE] = handle
     return request
