--- a/src/reedhook/process/lead/others.py
+++ b/src/reedhook/process/lead/others.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.memberhome import MemberHome
+from ...connection.memberhome import SessionTargetHome
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, Peers
 from ...request.refusal import RefusalError
@@ -95,7 +95,7 @@
             self.spoken.add(former.life)
         return stopped
 
-    async def look_after_deputy(self, home: MemberHome) -> None:
+    async def look_after_deputy(self, home: SessionTargetHome) -> None:
         """Have a living host in a third zone stand in, should this one be lost."""
         deputy = self.claim.record.deputy
         chosen = self.ranking.deputy(self.service, home.entry)
--- a/src/reedhook/process/lead/promotion.py
+++ b/src/reedhook/process/lead/promotion.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.member import MemberStatus
+from ...connection.member import SessionTargetStatus
 from ...decisions import Decisions
 from ...record import Record
 from ...request.position import ORIGIN, Position
@@ -34,7 +34,7 @@
 
     __slots__ = ("entry", "status")
 
-    def __init__(self, entry: TargetEntry, status: MemberStatus) -> None:
+    def __init__(self, entry: TargetEntry, status: SessionTargetStatus) -> None:
         self.entry = entry
         self.status = status
 
@@ -116,7 +116,9 @@
             return status.received
         return ORIGIN if top is None else top
 
-    def fitness(self, pair: tuple[TargetEntry, MemberStatus]) -> tuple[Position, bool]:
+    def fitness(
+        self, pair: tuple[TargetEntry, SessionTargetStatus]
+    ) -> tuple[Position, bool]:
         """Return the order in which targets are preferred as primary.
 
         A primary in another availability zone than its user can be told from
@@ -149,7 +151,7 @@
         deadline = self.clock.monotonic() + LEADING_TIMEOUT
         while self.clock.monotonic() < deadline and wanted():
             status = await self.states.status(entry)
-            if status is not None and status.leads:
+            if status is not None and status.is_primary:
                 return self.promoted(entry, status)
             if outcome is OrderOutcome.UNANSWERED:
                 return None
@@ -166,7 +168,7 @@
         entry, _ = max(usable, key=self.fitness)
         await self.claim.write(record.with_successor(entry))
 
-    def promoted(self, entry: TargetEntry, status: MemberStatus) -> Promoted:
+    def promoted(self, entry: TargetEntry, status: SessionTargetStatus) -> Promoted:
         """Take note of the new primary; it is yet to be written down."""
         self.decisions.note(
             "primary_promoted",
@@ -179,6 +181,6 @@
         return Promoted(entry, status)
 
 
-def holds_something(pair: tuple[TargetEntry, MemberStatus]) -> bool:
+def holds_something(pair: tuple[TargetEntry, SessionTargetStatus]) -> bool:
     """Say whether anything was ever committed in the log of a target."""
     return pair[1].received.index > 0
--- a/src/reedhook/process/lead/states.py
+++ b/src/reedhook/process/lead/states.py
@@ -3,12 +3,12 @@
 import asyncio
 from typing import Final
 
-from ...connection.lanes import CONNECT_TIMEOUT
+from ...connection.lanes import CONNECT_TIMEOUT_SECONDS
 from ...connection.member import (
-    MemberDriver,
-    MemberSilent,
-    MemberStatus,
-    MemberUnreachable,
+    SessionTargetDriver,
+    SessionTargetNoReplyError,
+    SessionTargetStatus,
+    SessionTargetUnreachableError,
 )
 from ...version.registry import TargetEntry
 from ..announced.announcements import Announcements
@@ -21,7 +21,9 @@
 class TargetStates:
     """Ask targets for their states, each on a connection of its own."""
 
-    def __init__(self, announcements: Announcements, driver: MemberDriver) -> None:
+    def __init__(
+        self, announcements: Announcements, driver: SessionTargetDriver
+    ) -> None:
         self.announcements = announcements
         self.driver = driver
 
@@ -36,7 +38,7 @@
 
     async def all(
         self, entries: list[TargetEntry]
-    ) -> list[tuple[TargetEntry, MemberStatus]]:
+    ) -> list[tuple[TargetEntry, SessionTargetStatus]]:
         """Return the targets that answer, with their state."""
         answers = await asyncio.gather(*(self.status(entry) for entry in entries))
         return [
@@ -45,7 +47,7 @@
             if answer is not None
         ]
 
-    async def status(self, entry: TargetEntry) -> MemberStatus | None:
+    async def status(self, entry: TargetEntry) -> SessionTargetStatus | None:
         """Ask one target for its state; None if it gives no answer."""
         try:
             async with asyncio.timeout(STATUS_TIMEOUT):
@@ -54,16 +56,16 @@
                     return await connection.status(STATUS_TIMEOUT)
                 finally:
                     connection.close()
-        except (TimeoutError, MemberUnreachable, MemberSilent):
+        except (TimeoutError, SessionTargetUnreachableError, SessionTargetNoReplyError):
             return None
 
     async def reached(
-        self, entry: TargetEntry, timeout: float = CONNECT_TIMEOUT
+        self, entry: TargetEntry, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> bool:
         """Say whether a target accepts a new connection from here in time."""
         try:
             connection = await self.driver.connect(entry, timeout)
-        except MemberUnreachable:
+        except SessionTargetUnreachableError:
             return False
         connection.close()
         return True
--- a/src/reedhook/process/lead/user.py
+++ b/src/reedhook/process/lead/user.py
@@ -6,15 +6,15 @@
 
 from ...background import Background
 from ...clock import Clock
-from ...connection.lanes import Opened
+from ...connection.lanes import OnConnectionOpened
 from ...connection.member import (
-    Fault,
-    MemberReborn,
-    MemberSilent,
-    MemberStatus,
-    MemberUnreachable,
+    SessionTargetDataLossError,
+    SessionTargetNoReplyError,
+    SessionTargetStatus,
+    SessionTargetUnreachableError,
+    StatementFault,
 )
-from ...connection.memberhome import MemberHome
+from ...connection.memberhome import SessionTargetHome
 from ...decisions import Decisions
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, not_run
@@ -34,8 +34,8 @@
         entry: TargetEntry,
         permit: Callable[[], None],
         seen: Callable[[Position, float], None],
-        opened: Opened = ...,
-    ) -> MemberHome: ...
+        opened: OnConnectionOpened = ...,
+    ) -> SessionTargetHome: ...
 
 
 SIGHT_TIMEOUT: Final = 0.25
@@ -83,7 +83,7 @@
         self.clock = clock
         self.decisions = decisions
         self.ready = asyncio.Event()
-        self.home: MemberHome | None = None
+        self.home: SessionTargetHome | None = None
         self.proof: PositionProof | None = None
         self.top: Position | None = None
         self.answered: Position | None = None
@@ -116,15 +116,15 @@
         return await self.run_at(home, work)
 
     async def run_at(
-        self, home: MemberHome, work: SessionStatement
+        self, home: SessionTargetHome, work: SessionStatement
     ) -> SessionStatementResult:
         """Run a statement at a home and add what is known of the position."""
         reply = await home.run(work)
-        if reply.fault is Fault.READ_ONLY and home is self.home:
+        if reply.fault is StatementFault.READ_ONLY and home is self.home:
             self.questioned = True
         return SessionStatementResult(home.entry.target, reply, self.proof)
 
-    async def usable(self, work: SessionStatement) -> MemberHome:
+    async def usable(self, work: SessionStatement) -> SessionTargetHome:
         """Return the home of the primary, waiting a little for one.
 
         :raises Refusal: not run.
@@ -195,7 +195,7 @@
             position=None if position is None else position.to_json(),
             answered=self.answered.to_json(),
         )
-        raise MemberReborn(f"{self.record.primary} has lost what it held")
+        raise SessionTargetDataLossError(f"{self.record.primary} has lost what it held")
 
     async def prove(self, younger_than: float) -> PositionProof:
         """Return a proof of the primary's position that is young enough.
@@ -224,19 +224,24 @@
         if home is None or not self.ready.is_set() or not self.tenure.valid:
             return
         try:
-            if home.lanes.exhausted():
+            if home.connections.exhausted():
                 # The next answer to a statement tells as well.
                 self.news.clear()
                 async with asyncio.timeout(SIGHT_TIMEOUT):
                     await self.news.wait()
                 return
-            await home.sight(SIGHT_TIMEOUT)
-        except (MemberSilent, MemberUnreachable, RefusalError, TimeoutError) as error:
+            await home.probe_position(SIGHT_TIMEOUT)
+        except (
+            SessionTargetNoReplyError,
+            SessionTargetUnreachableError,
+            RefusalError,
+            TimeoutError,
+        ) as error:
             self.decisions.note(
                 "primary_unanswered", service=self.service, error=repr(error)
             )
 
-    def use(self, entry: TargetEntry, status: MemberStatus) -> None:
+    def use(self, entry: TargetEntry, status: SessionTargetStatus) -> None:
         """Make the home of a primary."""
         self.home = self.make_home(entry, self.permit, self.seen, self.opened)
         self.proof = None
@@ -251,10 +256,10 @@
         )
         self.ready.set()
 
-    async def until_quiet(self, home: MemberHome, timeout: float) -> None:
+    async def until_quiet(self, home: SessionTargetHome, timeout: float) -> None:
         """Let open transactions end for a while, then end the rest."""
         deadline = self.clock.monotonic() + timeout
-        while not home.quiet() and self.clock.monotonic() < deadline:
+        while not home.is_idle() and self.clock.monotonic() < deadline:
             await self.clock.sleep(POLL)
         home.transactions.end_all("the primary changes")
 
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -4,8 +4,8 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.channel import ChannelBroken, ChannelClosed
-from ...connection.link import Link
+from ...connection.channel import ChannelClosedError, ResponseIncompleteError
+from ...connection.link import ChannelPool
 from ...metrics import MemoryMetrics, Metrics
 from ...peer import HostRef, PeerError, Peers
 from ...request.refusal import RefusalError
@@ -53,7 +53,7 @@
         self.timeline = timeline
         self.clock = clock
         self.context = context
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, ChannelPool] = {}
         self.swept = 0.0
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
@@ -69,10 +69,10 @@
             answer = await link.exchange(
                 PATH_PREFIX + path, envelope, timeout, self.clock, BODY_LIMIT
             )
-        except ChannelClosed as error:
+        except ChannelClosedError as error:
             self.retire(link)
             raise PeerError(f"{peer.host} unreachable: {error}", sent=False) from None
-        except ChannelBroken as error:
+        except ResponseIncompleteError as error:
             self.retire(link)
             detail = f"{peer.host} did not answer: {error}"
             raise PeerError(detail, sent=True) from None
@@ -94,14 +94,14 @@
             detail = f"{peer.host} gave no usable answer, status {status}"
             raise PeerError(detail, sent=True) from None
 
-    def link(self, address: str) -> Link:
+    def link(self, address: str) -> ChannelPool:
         """Return the link to `address`; drop what nobody used for long."""
         now = self.clock.monotonic()
         if now - self.swept >= SWEEP_INTERVAL:
             self.sweep(now)
         link = self.links.get(address)
         if link is None:
-            link = Link(address, self.headers, self.context)
+            link = ChannelPool(address, self.headers, self.context)
             self.links[address] = link
         link.used = now
         return link
@@ -114,7 +114,7 @@
             if not link.in_use and now - link.used > LINK_IDLE:
                 self.retire(link)
 
-    def retire(self, link: Link) -> None:
+    def retire(self, link: ChannelPool) -> None:
         """Let no further call use `link`."""
         link.retire()
         if self.links.get(link.address) is link:
@@ -123,4 +123,4 @@
     async def close(self) -> None:
         for link in list(self.links.values()):
             self.retire(link)
-            link.cut()
+            link.abort_exchanges()
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -9,9 +9,9 @@
 
 from ..background import Background
 from ..clock import Clock
-from ..connection.lanes import Opened
-from ..connection.member import MemberDriver, Phrases
-from ..connection.memberhome import MemberHome
+from ..connection.lanes import OnConnectionOpened
+from ..connection.member import SessionTargetDriver, StatementDialect
+from ..connection.memberhome import SessionTargetHome
 from ..decisions import Decisions
 from ..peer import HostRef, PeerRoutes, Peers
 from ..request.authorization import Authorizer
@@ -97,8 +97,8 @@
         keyspace: Keyspace,
         documents: Documents,
         promoter: Promoter,
-        driver: MemberDriver,
-        phrases: Phrases,
+        driver: SessionTargetDriver,
+        phrases: StatementDialect,
         peers: Peers,
         timeline: Timeline,
         decisions: Decisions,
@@ -344,12 +344,12 @@
         entry: TargetEntry,
         permit: Callable[[], None],
         seen: Callable[[Position, float], None],
-        opened: Opened = lambda position: None,
-    ) -> MemberHome:
+        opened: OnConnectionOpened = lambda position: None,
+    ) -> SessionTargetHome:
         """Return a home of a target within this host's share of connections."""
         terms = self.announcements.table.services.get(entry.service)
         connections = DEFAULT_CONNECTIONS if terms is None else terms.connections
-        return MemberHome(
+        return SessionTargetHome(
             entry,
             self.driver,
             self.phrases,
--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replicas.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from ..clock import Clock
-from ..connection.member import Fault
+from ..connection.member import StatementFault
 from ..decisions import Decisions
 from ..directory import Directory
 from ..peer import PeerError, Peers
@@ -218,13 +218,13 @@
             seen.inflight -= 1
         now = self.clock.monotonic()
         reply = answer.reply
-        if reply.fault is Fault.LAGGING:
+        if reply.fault is StatementFault.LAGGING:
             seen.record_lag(reply.position, now)
             self.forwarder.log_reroute(
                 statement, entry.target, reply.fault.value, statement.min_position
             )
             return ReplicaReadResult()
-        if reply.fault is Fault.BUSY:
+        if reply.fault is StatementFault.BUSY:
             self.forwarder.log_reroute(statement, entry.target, reply.fault.value)
             return ReplicaReadResult()
         seen.record_answer(now - begun, reply.position, now)
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/steering.py
@@ -3,8 +3,8 @@
 from typing import Final
 
 from ..clock import Clock
-from ..connection.member import Fault
-from ..connection.memberhome import BUSY_PAUSE, MOST_BUSY
+from ..connection.member import StatementFault
+from ..connection.memberhome import BUSY_RETRY_SECONDS, MAX_BUSY_RETRIES
 from ..decisions import Decisions
 from ..directory import Directory
 from ..peer import PeerError, Peers
@@ -168,14 +168,14 @@
                 continue
             fault = answer.reply.fault
             if (
-                fault is Fault.BUSY
-                and busy < MOST_BUSY
+                fault is StatementFault.BUSY
+                and busy < MAX_BUSY_RETRIES
                 and statement.kind is not SessionStatementKind.COMMIT
             ):
                 busy += 1
-                await self.clock.sleep(BUSY_PAUSE)
+                await self.clock.sleep(BUSY_RETRY_SECONDS)
                 continue
-            if fault is Fault.READ_ONLY and self.clock.monotonic() < give_up:
+            if fault is StatementFault.READ_ONLY and self.clock.monotonic() < give_up:
                 self.forwarder.log_reroute(statement, answer.target, fault.value)
                 await self.clock.sleep(PRIMARY_RETRY_SECONDS)
                 continue
--- a/src/reedhook/request/work.py
+++ b/src/reedhook/request/work.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import Final
 
-from ..connection.member import Fault, MemberReply
+from ..connection.member import SessionTargetReply, StatementFault
 from ..connection.state import SessionState
 from ..record import Record
 from ..wire import Json, reader
@@ -230,7 +230,7 @@
     __slots__ = ("target", "reply", "proof")
 
     def __init__(
-        self, target: str, reply: MemberReply, proof: PositionProof | None
+        self, target: str, reply: SessionTargetReply, proof: PositionProof | None
     ) -> None:
         self.target = target
         self.reply = reply
@@ -246,7 +246,7 @@
             "signature": reply.signature,
             "position": None if position is None else position.to_json(),
         }
-        if reply.fault is not Fault.NONE:
+        if reply.fault is not StatementFault.NONE:
             message["fault"] = reply.fault.value
             message["detail"] = reply.detail
         if reply.state is not SessionState.IDLE:
@@ -260,10 +260,10 @@
     def from_json(cls, message: Json, requested_at: float) -> "SessionStatementResult":
         """Read an answer; `asked` is when the question was sent."""
         position, proof = message["position"], message.get("proof")
-        reply = MemberReply(
+        reply = SessionTargetReply(
             message["rows"],
             message["signature"],
-            Fault(message.get("fault", "")),
+            StatementFault(message.get("fault", "")),
             message.get("detail", ""),
             SessionState(message.get("state", SessionState.IDLE.value)),
             None if position is None else Position.from_json(position),
--- a/src/reedhook_standins/database.py
+++ b/src/reedhook_standins/database.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from reedhook.connection.member import Fault, MemberReply, Query
+from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
 from reedhook.connection.state import SessionState
 from reedhook.request.position import Position
 from reedhook.version.registry import TargetEntry
@@ -194,71 +194,73 @@
         self.closed = True
         self.on_close()
 
-    def run(self, query: Query) -> MemberReply:
+    def run(self, query: TargetQuery) -> SessionTargetReply:
         """Run one statement as the member does."""
         if query.id and self.member.busy > 0:
             # A full queue changes nothing, also not an open transaction.
             self.member.busy -= 1
-            return self.reply(Fault.BUSY)
+            return self.reply(StatementFault.BUSY)
         if query.id:
             self.member.runs.append(query.id)
             self.member.group.on_run(query.id, query.text, self)
-        if query.after is not None and query.after not in self.member.log:
-            return self.reply(Fault.LAGGING)
+        if query.min_position is not None and query.min_position not in self.member.log:
+            return self.reply(StatementFault.LAGGING)
         word, _, rest = query.text.partition(" ")
         self.id = query.id
         if self.failed and word not in ("ROLLBACK", "COMMIT"):
-            return self.reply(Fault.MALFORMED)
+            return self.reply(StatementFault.MALFORMED)
         handler = getattr(self, f"do_{word.lower()}", None)
         if handler is None:
-            return self.reply(Fault.MALFORMED)
-        reply: MemberReply = handler(rest)
+            return self.reply(StatementFault.MALFORMED)
+        reply: SessionTargetReply = handler(rest)
         return reply
 
-    def reply(self, fault: Fault = Fault.NONE, *rows: str) -> MemberReply:
+    def reply(
+        self, fault: StatementFault = StatementFault.NONE, *rows: str
+    ) -> SessionTargetReply:
         """Return an answer with the state of the session."""
-        if fault not in (Fault.NONE, Fault.BUSY) and self.open:
+        if fault not in (StatementFault.NONE, StatementFault.BUSY) and self.open:
             self.failed = True
         position = self.member.position
         state = SessionState.OPEN if self.open else SessionState.IDLE
         if self.failed:
             state = SessionState.FAILED
-        return MemberReply(list(rows), "mac", fault, "", state, position)
+        return SessionTargetReply(list(rows), "mac", fault, "", state, position)
 
-    def do_reset(self, rest: str) -> MemberReply:
+    def do_reset(self, rest: str) -> SessionTargetReply:
         """Forget what the session set and prepared."""
         self.values, self.prepared = {}, {}
         return self.reply()
 
-    def do_set(self, rest: str) -> MemberReply:
+    def do_set(self, rest: str) -> SessionTargetReply:
         """Set a value of the session."""
         name, _, value = rest.partition(" ")
         self.values[name] = value
         return self.reply()
 
-    def do_prepare(self, rest: str) -> MemberReply:
+    def do_prepare(self, rest: str) -> SessionTargetReply:
         """Prepare a statement under a name that is not in use."""
         name, kind = rest.split(" ")[:2]
         if name in self.prepared:
-            return self.reply(Fault.MALFORMED)
+            return self.reply(StatementFault.MALFORMED)
         self.prepared[name] = kind == "WRITE"
         return self.reply()
 
-    def do_deallocate(self, rest: str) -> MemberReply:
+    def do_deallocate(self, rest: str) -> SessionTargetReply:
         """Forget a prepared statement."""
         if self.prepared.pop(rest, None) is None:
-            return self.reply(Fault.UNKNOWN_NAME)
+            return self.reply(StatementFault.UNKNOWN_NAME)
         return self.reply()
 
-    def do_begin(self, rest: str) -> MemberReply:
+    def do_begin(self, rest: str) -> SessionTargetReply:
         """Open a transaction, to write only where the member leads."""
         if not rest and not self.member.leads:
-            return self.reply(Fault.READ_ONLY)
+            return self.reply(StatementFault.READ_ONLY)
         self.open = "read" if rest else "write"
         self.written = []
         return self.reply()
 
-    def do_read(self, rest: str) -> MemberReply:
+    def do_read(self, rest: str) -> SessionTargetReply:
         """Return what the session sees: the log and its own state."""
         seen = {
             "log": [one.to_json() for one in self.member.log],
@@ -266,42 +268,42 @@
             "prepared": self.prepared,
             "open": self.open,
         }
-        return self.reply(Fault.NONE, json.dumps(seen))
+        return self.reply(StatementFault.NONE, json.dumps(seen))
 
-    def do_write(self, rest: str) -> MemberReply:
+    def do_write(self, rest: str) -> SessionTargetReply:
         """Write, at once or with the commit of the open transaction."""
         if not self.member.leads or self.open == "read":
-            return self.reply(Fault.READ_ONLY)
+            return self.reply(StatementFault.READ_ONLY)
         if self.open:
             self.written.append(self.id)
         else:
             self.commit([self.id])
         return self.reply()
 
-    def do_execute(self, rest: str) -> MemberReply:
+    def do_execute(self, rest: str) -> SessionTargetReply:
         """Run a prepared statement."""
         writes = self.prepared.get(rest.split(" ")[0])
         if writes is None:
-            return self.reply(Fault.UNKNOWN_NAME)
+            return self.reply(StatementFault.UNKNOWN_NAME)
         return self.do_write(rest) if writes else self.do_read(rest)
 
-    def do_commit(self, rest: str) -> MemberReply:
+    def do_commit(self, rest: str) -> SessionTargetReply:
         """Commit the open transaction, if the member still leads."""
         if self.written and not self.member.leads:
             self.leave()
-            return self.reply(Fault.READ_ONLY)
+            return self.reply(StatementFault.READ_ONLY)
         written = self.written
         self.leave()
         if written:
             self.commit(written)
         return self.reply()
 
-    def do_rollback(self, rest: str) -> MemberReply:
+    def do_rollback(self, rest: str) -> SessionTargetReply:
         """Leave the open transaction without a commit."""
         self.leave()
         return self.reply()
 
-    def do_demote(self, rest: str) -> MemberReply:
+    def do_demote(self, rest: str) -> SessionTargetReply:
         """Lead no more if another member leads a later term."""
         if int(rest) > self.member.term and self.member.leads:
             self.member.leads = False
--- a/src/reedhook_standins/soak/proxy.py
+++ b/src/reedhook_standins/soak/proxy.py
@@ -4,7 +4,7 @@
 from typing import Final, cast
 
 from reedhook.address import split_address
-from reedhook.connection.reset import reset
+from reedhook.connection.reset import reset_transport
 
 from ..listening import Listening
 
@@ -56,7 +56,7 @@
         """Break the connections of a link, or all."""
         for writer, used in list(self.open.items()):
             if link is None or used is link:
-                reset(cast(asyncio.Transport, writer.transport))
+                reset_transport(cast(asyncio.Transport, writer.transport))
 
     async def stop(self) -> None:
         """Stop listening and break all connections."""
--- a/src/reedhook_standins/wiredatabase.py
+++ b/src/reedhook_standins/wiredatabase.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Final
 
-from reedhook.connection.member import Fault, MemberReply, Query
+from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
 from reedhook.platform.line import LineError, LineReader, encoded
 from reedhook.platform.text import CODES, LETTERS, read_position, write_position
 
@@ -81,7 +81,7 @@
             await asyncio.sleep(WORK)
         if session.closed:
             return b""
-        reply = session.run(Query("" if id == "-" else id, text, after))
+        reply = session.run(TargetQuery("" if id == "-" else id, text, after))
         return self.worded(reply)
 
     def status(self) -> bytes:
@@ -96,9 +96,9 @@
             + encoded("READY", "I", position)
         )
 
-    def worded(self, reply: MemberReply) -> bytes:
+    def worded(self, reply: SessionTargetReply) -> bytes:
         """Return the lines of an answer."""
-        if reply.fault is Fault.NONE:
+        if reply.fault is StatementFault.NONE:
             lines = b"".join(encoded("ROW", row) for row in reply.rows)
             lines += encoded("COMPLETE", reply.signature)
         else:
--- a/tests/fakes_group.py
+++ b/tests/fakes_group.py
@@ -13,10 +13,10 @@
     Target,
     TargetConnection,
     TargetFactory,
-    TargetRefused,
+    TargetNoReplyError,
+    TargetRefusedError,
     TargetResult,
-    TargetSilent,
-    TargetUnreachable,
+    TargetUnreachableError,
 )
 from reedhook.request.position import ORIGIN, Position
 from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run, not_run
@@ -101,7 +101,7 @@
     def write(self, value: str, request_id: str | None) -> tuple[Position, bool]:
         """Append a write unless its request id has run; return whether it had."""
         if self.role is not Role.PRIMARY:
-            raise TargetRefused("not_primary", "not the primary")
+            raise TargetRefusedError("not_primary", "not the primary")
         if request_id is not None:
             for entry in self.log:
                 if entry.request_id == request_id:
@@ -112,7 +112,7 @@
 
     def raise_term(self, term: int, owner: str) -> None:
         if term < self.promised or (term == self.promised and owner != self.owner):
-            raise TargetRefused("term_refused", f"{self.promised} is promised")
+            raise TargetRefusedError("term_refused", f"{self.promised} is promised")
         self.promised = term
         self.owner = owner
         if self.leader_term < term:
@@ -121,7 +121,7 @@
 
     def promote(self, term: int, owner: str) -> None:
         if term != self.promised or owner != self.owner:
-            raise TargetRefused("term_refused", f"{self.promised} is promised")
+            raise TargetRefusedError("term_refused", f"{self.promised} is promised")
         if self.role is Role.PRIMARY and self.leader_term == term:
             return
         self.role = Role.PRIMARY
@@ -132,9 +132,9 @@
 
     def follow(self, term: int, primary: str) -> None:
         if term < self.promised or term < self.leader_term:
-            raise TargetRefused("term_refused", f"{self.promised} is promised")
+            raise TargetRefusedError("term_refused", f"{self.promised} is promised")
         if primary == self.name:
-            raise TargetRefused("bad_request", "cannot follow itself")
+            raise TargetRefusedError("bad_request", "cannot follow itself")
         self.promised = term
         if self.leader_term == term and self.primary == primary:
             return
@@ -274,7 +274,7 @@
         self.member = member
         self.target = target
         self.state = target.state()
-        self.state_asked = 0.0
+        self.state_requested_at = 0.0
         self.unreachable_since: float | None = None
         self.leaving = False
         self.service = 0.001
@@ -286,7 +286,7 @@
     async def start(self) -> None:
         self.task = asyncio.create_task(self.watch())
 
-    def limit(self, limits: Limits) -> None:
+    def update_limits(self, limits: Limits) -> None:
         raise NotImplementedError
 
     async def close(self, grace: float) -> None:
@@ -311,7 +311,7 @@
                     self.announce()
                 continue
             self.unreachable_since = None
-            self.touch(self.target.state(), asked)
+            self.merge_state(self.target.state(), asked)
             await wait_for(self.target.changed, 0.05)
             await asyncio.sleep(TRANSPORT)
 
@@ -328,12 +328,12 @@
                 if self.silent:
                     await asyncio.Event().wait()
         except TimeoutError:
-            raise TargetSilent("no answer") from None
+            raise TargetNoReplyError("no answer") from None
 
-    def holds(self, transaction: str) -> bool:
+    def has_transaction(self, transaction: str) -> bool:
         raise NotImplementedError
 
-    def unknown(self, statement: Statement) -> RefusalError:
+    def unknown_transaction_refusal(self, statement: Statement) -> RefusalError:
         raise NotImplementedError
 
     async def run(self, statement: Statement) -> TargetResult:
@@ -343,7 +343,7 @@
         if statement.kind in (StatementKind.WRITE, StatementKind.COMMIT):
             try:
                 position, repeated = target.write(statement.sql, statement.request_id)
-            except TargetRefused as refused:
+            except TargetRefusedError as refused:
                 raise not_run(RefusalReason.NO_PRIMARY, refused.detail) from refused
         rows: list[list[str]] = []
         if statement.kind is StatementKind.READ:
@@ -363,46 +363,46 @@
     async def cross(self, statement: Statement) -> None:
         try:
             await self.reach(statement.remaining)
-        except TargetSilent as silent:
+        except TargetNoReplyError as silent:
             lost = not_run if statement.kind is StatementKind.READ else may_have_run
             raise lost(RefusalReason.TARGET_LOST, "no answer") from silent
 
-    async def wait_change(self, revision: int, timeout: float) -> None:
+    async def wait_for_state_change(self, revision: int, timeout: float) -> None:
         if self.state is not None and self.state.revision != revision:
             return
         await wait_for(self.news, timeout)
 
-    def touch(self, state: MemberState, asked: float) -> None:
+    def merge_state(self, state: MemberState, requested_at: float) -> None:
         if self.state is not None and state.revision < self.state.revision:
             return
         news = self.state is None or state.revision > self.state.revision
         self.state = state
-        self.state_asked = asked
+        self.state_requested_at = requested_at
         if news:
             self.announce()
 
-    async def ask_state(self, timeout: float) -> MemberState:
+    async def fetch_state(self, timeout: float) -> MemberState:
         asked = self.now()
         await self.reach(timeout)
         state = self.target.state()
         await self.reach(timeout)
-        self.touch(state, asked)
+        self.merge_state(state, asked)
         return state
 
     async def raise_term(self, term: int, owner: str, timeout: float) -> MemberState:
         await self.reach(timeout)
         self.target.raise_term(term, owner)
-        return await self.ask_state(timeout)
+        return await self.fetch_state(timeout)
 
     async def promote(self, term: int, owner: str, timeout: float) -> MemberState:
         await self.reach(timeout)
         self.target.promote(term, owner)
-        return await self.ask_state(timeout)
+        return await self.fetch_state(timeout)
 
     async def follow(self, term: int, primary: str, timeout: float) -> MemberState:
         await self.reach(timeout)
         self.target.follow(term, primary)
-        return await self.ask_state(timeout)
+        return await self.fetch_state(timeout)
 
     def load(self) -> HomeLoad:
         return HomeLoad(0.0, 0, 0)
@@ -415,7 +415,7 @@
         self.home = home
 
     async def state(self, timeout: float) -> MemberState:
-        return await self.home.ask_state(timeout)
+        return await self.home.fetch_state(timeout)
 
     async def raise_term(self, term: int, owner: str, timeout: float) -> MemberState:
         return await self.home.raise_term(term, owner, timeout)
@@ -432,29 +432,29 @@
     async def read(
         self, sql: str, params: list[object], timeout: float
     ) -> TargetResult:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def write(
         self, sql: str, params: list[object], request_id: str | None, timeout: float
     ) -> TargetResult:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def begin(self, request_id: str | None, timeout: float) -> TargetResult:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def step(
         self, sql: str, params: list[object], timeout: float
     ) -> TargetResult:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def commit(self, timeout: float) -> TargetResult:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def rollback(self, timeout: float) -> None:
-        raise TargetRefused("bad_request", "for control only")
+        raise TargetRefusedError("bad_request", "for control only")
 
     async def wait_state(self, revision: int, hold: float) -> MemberState:
-        return await self.home.ask_state(hold)
+        return await self.home.fetch_state(hold)
 
 
 class FakeTarget(Target):
@@ -470,7 +470,7 @@
                 if self.home.silent:
                     await asyncio.Event().wait()
         except TimeoutError:
-            raise TargetUnreachable("no answer") from None
+            raise TargetUnreachableError("no answer") from None
         return FakeConnection(self.home)
 
 
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -48,25 +48,25 @@
             pass
         self.closed_at = asyncio.get_running_loop().time()
 
-    def limit(self, limits: Limits) -> None:
+    def update_limits(self, limits: Limits) -> None:
         self.limits = limits
 
-    def holds(self, transaction: str) -> bool:
+    def has_transaction(self, transaction: str) -> bool:
         return transaction in self.open
 
-    def unknown(self, statement: Statement) -> RefusalError:
+    def unknown_transaction_refusal(self, statement: Statement) -> RefusalError:
         return not_run(RefusalReason.TRANSACTION_LOST, "ended here")
 
     async def run(self, statement: Statement) -> TargetResult:
         raise NotImplementedError
 
-    async def wait_change(self, revision: int, timeout: float) -> None:
+    async def wait_for_state_change(self, revision: int, timeout: float) -> None:
         raise NotImplementedError
 
-    def touch(self, state: MemberState, asked: float) -> None:
+    def merge_state(self, state: MemberState, requested_at: float) -> None:
         raise NotImplementedError
 
-    async def ask_state(self, timeout: float) -> MemberState:
+    async def fetch_state(self, timeout: float) -> MemberState:
         raise NotImplementedError
 
     async def raise_term(self, term: int, owner: str, timeout: float) -> MemberState:
--- a/tests/fakes_members.py
+++ b/tests/fakes_members.py
@@ -4,16 +4,16 @@
 import random
 
 from reedhook.connection.member import (
-    Fault,
-    MemberConnection,
-    MemberDriver,
-    MemberFull,
-    MemberReply,
-    MemberSilent,
-    MemberStatus,
-    MemberUnreachable,
-    Phrases,
-    Query,
+    SessionTargetConnection,
+    SessionTargetDriver,
+    SessionTargetFullError,
+    SessionTargetNoReplyError,
+    SessionTargetReply,
+    SessionTargetStatus,
+    SessionTargetUnreachableError,
+    StatementDialect,
+    StatementFault,
+    TargetQuery,
 )
 from reedhook.process.lead.duty import OrderOutcome, Promoter
 from reedhook.version.registry import TargetEntry
@@ -60,7 +60,7 @@
         return True
 
 
-class FakeConnection(MemberConnection):
+class FakeConnection(SessionTargetConnection):
     """One session at a member."""
 
     def __init__(
@@ -75,13 +75,15 @@
         self.member = member
         self.slots = slots
         self.lost = False
-        self.first = member.position
+        self.initial_position = member.position
         self.session = DatabaseSession(member)
         self.busy = False
 
-    async def exchange(self, queries: list[Query], timeout: float) -> list[MemberReply]:
+    async def exchange(
+        self, queries: list[TargetQuery], timeout: float
+    ) -> list[SessionTargetReply]:
         if self.lost:
-            raise MemberSilent("closed")
+            raise SessionTargetNoReplyError("closed")
         if self.busy:
             self.member.group.violations.append("two exchanges on one connection")
         self.busy = True
@@ -90,14 +92,14 @@
                 return await self.answer(queries)
         except TimeoutError:
             self.close()
-            raise MemberSilent("no answer") from None
+            raise SessionTargetNoReplyError("no answer") from None
         except asyncio.CancelledError:
             self.close()
             raise
         finally:
             self.busy = False
 
-    async def answer(self, queries: list[Query]) -> list[MemberReply]:
+    async def answer(self, queries: list[TargetQuery]) -> list[SessionTargetReply]:
         """Run the queries one by one."""
         await self.trip()
         replies = []
@@ -105,7 +107,7 @@
             if self.member.leads and query.id:
                 await asyncio.sleep(0.003)
             if query.id and self.slots is not None and not await self.slots.run():
-                replies.append(self.session.reply(Fault.BUSY))
+                replies.append(self.session.reply(StatementFault.BUSY))
                 continue
             if query.id:
                 self.member.group.ran_as[query.id] = self.workspace
@@ -115,7 +117,7 @@
             await asyncio.Event().wait()
         await self.trip()
         if self.lost:
-            raise MemberSilent("closed")
+            raise SessionTargetNoReplyError("closed")
         return replies
 
     async def trip(self) -> None:
@@ -124,10 +126,10 @@
         if self.lost or self.member.group.unreachable(self.host, self.member):
             await asyncio.Event().wait()
 
-    async def status(self, timeout: float) -> MemberStatus:
+    async def status(self, timeout: float) -> SessionTargetStatus:
         await self.exchange([], timeout)
         member = self.member
-        return MemberStatus(
+        return SessionTargetStatus(
             member.leads, member.term, member.position, len(member.connections)
         )
 
@@ -136,7 +138,7 @@
         self.member.connections.discard(self)
 
 
-class FakeDriver(MemberDriver):
+class FakeDriver(SessionTargetDriver):
     """Open connections for one host.
 
     :param slots: of members that run a bounded number of statements at a time.
@@ -154,14 +156,14 @@
 
     async def connect(
         self, entry: TargetEntry, timeout: float, workspace: str = ""
-    ) -> MemberConnection:
+    ) -> SessionTargetConnection:
         member = self.find(entry)
         if member is None or member.group.unreachable(self.host, member):
             await asyncio.sleep(timeout)
-            raise MemberUnreachable(entry.target)
+            raise SessionTargetUnreachableError(entry.target)
         await asyncio.sleep(2 * TRIP + 0.012)
         if len(member.connections) >= member.limit:
-            raise MemberFull(entry.target)
+            raise SessionTargetFullError(entry.target)
         slots = self.slots.get(entry.target)
         connection = FakeConnection(self.host, member, slots, workspace)
         member.connections.add(connection)
@@ -197,7 +199,7 @@
         return OrderOutcome.DONE
 
 
-class FakePhrases(Phrases):
+class FakePhrases(StatementDialect):
     """Word statements as the members above read them."""
 
     def begin(self, read_only: bool) -> str:
--- a/tests/fakes_target.py
+++ b/tests/fakes_target.py
@@ -12,11 +12,11 @@
     Role,
     Target,
     TargetConnection,
-    TargetFull,
-    TargetRefused,
+    TargetFullError,
+    TargetNoReplyError,
+    TargetRefusedError,
     TargetResult,
-    TargetSilent,
-    TargetUnreachable,
+    TargetUnreachableError,
 )
 from reedhook.request.position import Position
 
@@ -105,15 +105,15 @@
 
     async def accept(self, timeout: float) -> "FakeConnection":
         if self.refusing:
-            raise TargetUnreachable("connection refused")
+            raise TargetUnreachableError("connection refused")
         await asyncio.sleep(min(self.connect_delay, timeout))
         if self.dead:
             await asyncio.sleep(max(timeout - self.connect_delay, 0.0))
-            raise TargetUnreachable("no answer")
+            raise TargetUnreachableError("no answer")
         if self.connect_delay > timeout:
-            raise TargetUnreachable("no answer in time")
+            raise TargetUnreachableError("no answer in time")
         if len(self.connections) >= self.limit:
-            raise TargetFull("no connection left")
+            raise TargetFullError("no connection left")
         connection = FakeConnection(self, next(self.numbers))
         self.connections.append(connection)
         self.opened += 1
@@ -241,7 +241,7 @@
             if target.revision == revision:
                 await self.wait(target.changed.wait(), hold)
             if self.hung_up:
-                raise TargetSilent("the connection has ended")
+                raise TargetNoReplyError("the connection has ended")
             await self.stay_silent_if_unheard(None)
         finally:
             self.busy = False
@@ -253,7 +253,7 @@
         target = self.target
         granted = term > target.promised
         if not granted and (term, owner) != (target.promised, target.owner):
-            raise TargetRefused("term_refused", "a higher term was promised")
+            raise TargetRefusedError("term_refused", "a higher term was promised")
         role = Role.FENCED if term > target.leader_term else target.role
         target.change(promised=term, owner=owner, role=role)
         return target.state_now()
@@ -262,7 +262,7 @@
         await self.control(timeout)
         target = self.target
         if (term, owner) != (target.promised, target.owner):
-            raise TargetRefused("term_refused", "not promised to this owner")
+            raise TargetRefusedError("term_refused", "not promised to this owner")
         target.change(leader_term=term, role=Role.PRIMARY)
         target.append()
         return target.state_now()
@@ -271,7 +271,7 @@
         await self.control(timeout)
         target = self.target
         if term < target.promised:
-            raise TargetRefused("term_refused", "a higher term was promised")
+            raise TargetRefusedError("term_refused", "a higher term was promised")
         target.change(promised=term, leader_term=term, role=Role.REPLICA)
         return target.state_now()
 
@@ -291,7 +291,7 @@
 
     def open_transaction(self) -> list[str]:
         if self.pending is None:
-            raise TargetRefused("unknown_transaction", "none is open")
+            raise TargetRefusedError("unknown_transaction", "none is open")
         return self.pending
 
     def fault(self, text: str) -> None:
@@ -306,7 +306,7 @@
             self.fault(f"{text} in doubt")
         if self.hung_up:
             self.in_doubt = True
-            raise TargetUnreachable("the connection has ended")
+            raise TargetUnreachableError("the connection has ended")
         self.busy = True
         self.in_doubt = True
 
@@ -336,8 +336,8 @@
             async with asyncio.timeout(timeout):
                 result = await asyncio.shield(serving)
         except TimeoutError:
-            raise TargetSilent("no answer in time") from None
-        except TargetRefused:
+            raise TargetNoReplyError("no answer in time") from None
+        except TargetRefusedError:
             self.in_doubt = False
             raise
         finally:
@@ -361,7 +361,7 @@
         finally:
             target.running -= 1
         if target.refusal is not None:
-            raise TargetRefused(target.refusal, "refused by the test")
+            raise TargetRefusedError(target.refusal, "refused by the test")
         result = effect()
         if self.silent or target.dead or broken is Break.AFTER_EFFECT:
             await self.lose()
@@ -370,14 +370,14 @@
     async def lose(self) -> None:
         """Never answer; the far end is gone or has lost track."""
         if self.target.abrupt:
-            raise TargetSilent("connection reset")
+            raise TargetNoReplyError("connection reset")
         await asyncio.Event().wait()
 
     async def stay_silent_if_unheard(self, timeout: float | None) -> None:
         if not (self.silent or self.target.dead):
             return
         await self.wait(asyncio.Event().wait(), timeout)
-        raise TargetSilent("no answer in time")
+        raise TargetNoReplyError("no answer in time")
 
     async def wait(self, waiting: Any, timeout: float | None) -> None:
         try:
@@ -391,7 +391,7 @@
         if request_id is not None and request_id in target.recorded:
             return self.repeated(target.recorded[request_id])
         if target.role is not Role.PRIMARY:
-            raise TargetRefused("not_primary", "this member is no primary")
+            raise TargetRefusedError("not_primary", "this member is no primary")
         target.ran.update(texts)
         target.append()
         result = self.result()
--- a/tests/load.py
+++ b/tests/load.py
@@ -11,7 +11,12 @@
 from random import Random
 from typing import Final
 
-from reedhook.connection.turns import Demand, Room, Turn, Turns
+from reedhook.connection.turns import (
+    Admission,
+    AdmissionQueue,
+    AdmissionRequest,
+    ConnectionAvailability,
+)
 from reedhook.request.refusal import RefusalError
 
 from .fakes_clock import LoopClock
@@ -113,8 +118,8 @@
     def __init__(self, seed: int, ordered: bool = True) -> None:
         self.random = Random(seed)
         self.target = Target(self.random)
-        room = Room(lambda: True, lambda: 0.0)
-        self.turns = Turns("t", SLOTS, room, LoopClock()) if ordered else None
+        room = ConnectionAvailability(lambda: True, lambda: 0.0)
+        self.turns = AdmissionQueue("t", SLOTS, room, LoopClock()) if ordered else None
         self.connections = asyncio.Semaphore(CONNECTIONS)
         self.asked: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
@@ -166,27 +171,29 @@
                 rested += rest
                 await asyncio.sleep(rest)
             due = begun + rested + caller.objective
-            demand = Demand(name, caller.priority, due, now() + TIMEOUT, index > 0)
+            demand = AdmissionRequest(
+                name, caller.priority, due, now() + TIMEOUT, index > 0
+            )
             try:
                 await self.run(demand, caller.work)
             except (RefusalError, TimeoutError):
                 return None
         return rested
 
-    async def run(self, demand: Demand, work: float) -> None:
+    async def run(self, demand: AdmissionRequest, work: float) -> None:
         """Run one statement in its turn."""
         if self.turns is None:
             async with asyncio.timeout(demand.deadline - now()):
                 async with self.connections:
                     await self.target.run(work)
             return
-        turn: Turn = await self.turns.enter(demand)
+        turn: Admission = await self.turns.admit(demand)
         sent = now()
         try:
             await self.target.run(work)
-            self.turns.learn(demand.route, now() - sent)
+            self.turns.record_duration(demand.route, now() - sent)
         finally:
-            self.turns.leave(turn)
+            self.turns.release(turn)
 
     def share(self) -> float:
         """Return the worth of those in time, of the worth of all."""
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -11,7 +11,7 @@
 import random
 from typing import Any
 
-from reedhook.connection.member import Fault
+from reedhook.connection.member import StatementFault
 from reedhook.connection.session import Session, SessionReply
 from reedhook.connection.state import SessionState
 from reedhook.decisions import Decisions
@@ -326,7 +326,7 @@
             dict(self.prepared),
         )
         reply = await self.session.run(id, command)
-        done = reply.fault is Fault.NONE and reply.refusal is None
+        done = reply.fault is StatementFault.NONE and reply.refusal is None
         if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.begun_at, self.wrote = asked, False
         if done and reply.rows:
--- a/tests/support_group.py
+++ b/tests/support_group.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedhook.connection.target import MemberState, TargetRefused
+from reedhook.connection.target import MemberState, TargetRefusedError
 from reedhook.connection.target_http import HttpTargetConnection, HttpTargetFactory
 from reedhook.request.position import Position
 from reedhook_standins.group import GroupStandin
@@ -61,7 +61,7 @@
 
 async def refusal_code(awaitable: Awaitable[object]) -> str:
     """Return the code of the target's refusal that `awaitable` has to end in."""
-    with pytest.raises(TargetRefused) as caught:
+    with pytest.raises(TargetRefusedError) as caught:
         await awaitable
     return caught.value.code
 
--- a/tests/test_channel_arrival.py
+++ b/tests/test_channel_arrival.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedhook.connection.channel import ChannelBroken, open_channel
+from reedhook.connection.channel import ResponseIncompleteError, open_channel
 
 from .support import on_loop
 
@@ -47,9 +47,9 @@
 async def test_an_answer_that_goes_on_is_waited_for() -> None:
     async with answering(PIECES) as address:
         channel = await open_channel(address, PATIENT)
-        answer = await channel.exchange("", b"", TIMEOUT, patience=PATIENT)
+        answer = await channel.exchange("", b"", TIMEOUT, progress_timeout=PATIENT)
         assert answer.body == b"x" * PIECES
-        assert answer.arrival > 0.0
+        assert answer.transfer_seconds > 0.0
         channel.close()
 
 
@@ -58,6 +58,6 @@
 async def test_an_answer_that_stops_is_given_up(patience: float) -> None:
     async with answering(1) as address:
         channel = await open_channel(address, PATIENT)
-        with pytest.raises(ChannelBroken):
-            await channel.exchange("", b"", TIMEOUT, patience=patience)
+        with pytest.raises(ResponseIncompleteError):
+            await channel.exchange("", b"", TIMEOUT, progress_timeout=patience)
         assert channel.closed
--- a/tests/test_connection_reset.py
+++ b/tests/test_connection_reset.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedhook.connection.channel import ChannelBroken, open_channel
-from reedhook.connection.member import MemberSilent, Query
+from reedhook.connection.channel import ResponseIncompleteError, open_channel
+from reedhook.connection.member import SessionTargetNoReplyError, TargetQuery
 from reedhook.platform.driver import WireDriver
 from reedhook.version.registry import TargetEntry
 
@@ -49,7 +49,7 @@
         silent = Silent(b"")
         server = await silent.start()
         channel = await open_channel(silent.address, PATIENCE)
-        with pytest.raises(ChannelBroken):
+        with pytest.raises(ResponseIncompleteError):
             await channel.exchange("work", b"{}", SHORT)
         assert await asyncio.wait_for(silent.ending, PATIENCE) == "reset"
         server.close()
@@ -63,8 +63,8 @@
         server = await silent.start()
         entry = TargetEntry("i-1", "db", silent.address, "z", False, False)
         connection = await WireDriver("h1").connect(entry, PATIENCE)
-        with pytest.raises(MemberSilent):
-            await connection.exchange([Query("1", "READ a")], SHORT)
+        with pytest.raises(SessionTargetNoReplyError):
+            await connection.exchange([TargetQuery("1", "READ a")], SHORT)
         assert await asyncio.wait_for(silent.ending, PATIENCE) == "reset"
         server.close()
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reedhook.connection.memberhome import MemberHome
+from reedhook.connection.memberhome import SessionTargetHome
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef
 from reedhook.process.announced.announcements import Announcements
@@ -231,7 +231,7 @@
 async def test_a_home_keeps_a_transaction_to_its_workspace() -> None:
     clock = LoopClock()
     group = DatabaseGroup("db", ["z0"])
-    home = MemberHome(
+    home = SessionTargetHome(
         group.primary.entry,
         FakeDriver("h1", [group]),
         FakePhrases(),
--- a/tests/test_home_health.py
+++ b/tests/test_home_health.py
@@ -136,7 +136,7 @@
     target = FakeTarget()
     async with home_at(target) as home:
         await warm(home)
-        kept = [await home.pool.fresh(1.0) for _ in range(5)]
+        kept = [await home.pool.open_control(1.0) for _ in range(5)]
         target.dead = True
         await asyncio.sleep(1.0)
         since = home.unreachable_since
@@ -145,7 +145,7 @@
         home.pool.share = home.pool.open
         for connection in kept:
             home.pool.discard(connection)
-        assert not await home.health.answers()
+        assert not await home.health.probe_now()
         assert home.unreachable_since == since
 
 
@@ -262,7 +262,7 @@
         await warm(home)
         assert home.state is not None
         known = home.state.revision
-        waiting = asyncio.create_task(timed(home.wait_change(known, 5.0)))
+        waiting = asyncio.create_task(timed(home.wait_for_state_change(known, 5.0)))
         await asyncio.sleep(0.3)
         target.change(applied=Position(1, 7), held=Position(1, 7))
         _, seconds = await waiting
@@ -279,7 +279,7 @@
         asked = home.clock.monotonic()
         target.append()
         await asyncio.sleep(0.05)
-        home.touch(old, asked)
+        home.merge_state(old, asked)
         assert home.state is not None
         assert home.state.applied == Position(1, 1)
 
@@ -307,7 +307,7 @@
         assert state.promised == 4
         promoted = await home.promote(4, "host-1", timeout=0.5)
         assert promoted.role is Role.PRIMARY
-        assert (await home.ask_state(0.5)).leader_term == 4
+        assert (await home.fetch_state(0.5)).leader_term == 4
 
 
 @in_virtual_time
@@ -317,7 +317,7 @@
         await warm(home)
         target.dead = True
         try:
-            _, seconds = await timed(home.ask_state(0.3))
+            _, seconds = await timed(home.fetch_state(0.3))
         except TargetError:
             return
         raise AssertionError(f"answered after {seconds} s")
--- a/tests/test_home_limits.py
+++ b/tests/test_home_limits.py
@@ -14,7 +14,7 @@
 @in_virtual_time
 async def test_a_shorter_queue_holds_for_the_next_statement() -> None:
     async with home_at(FakeTarget(), queue=64) as home:
-        home.limit(Limits(queue=1))
+        home.update_limits(Limits(queue=1))
         outcomes = await asyncio.gather(
             *(outcome_of(home.run(statement(StatementKind.READ))) for _ in range(8))
         )
@@ -27,7 +27,7 @@
 @in_virtual_time
 async def test_a_shorter_idle_time_ends_the_next_transaction() -> None:
     async with home_at(FakeTarget(), transaction_idle_ms=10000) as home:
-        home.limit(Limits(transaction_idle_ms=100))
+        home.update_limits(Limits(transaction_idle_ms=100))
         await home.run(statement(StatementKind.BEGIN, transaction="t1"))
         await asyncio.sleep(0.2)
         outcome = await outcome_of(
--- a/tests/test_home_verdicts.py
+++ b/tests/test_home_verdicts.py
@@ -191,7 +191,7 @@
         _, seconds = await timed(home.run(statement(StatementKind.WRITE, "w")))
         assert seconds < 0.05
         target.hang_up_all()
-        state = await home.ask_state(0.2)
+        state = await home.fetch_state(0.2)
         assert state.member == "m1"
         assert home.unreachable_since is None
     assert target.ran == {"w": 1}
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from reedhook.connection.lanes import LONGEST_QUEUE
-from reedhook.connection.member import Fault, MemberReply
-from reedhook.connection.memberhome import STALLED, MemberHome
+from reedhook.connection.lanes import MAX_CONNECTION_WAIT_SECONDS
+from reedhook.connection.member import SessionTargetReply, StatementFault
+from reedhook.connection.memberhome import STALLED_AFTER_SECONDS, SessionTargetHome
 from reedhook.decisions import Decisions
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
@@ -36,7 +36,7 @@
         self.promises = Promises(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
         self.sent = 0
-        self.home = MemberHome(
+        self.home = SessionTargetHome(
             self.group.primary.entry,
             FakeDriver("h1", [self.group]),
             FakePhrases(),
@@ -54,7 +54,7 @@
         kind: SessionStatementKind,
         transaction: str = "",
         first: bool = False,
-    ) -> MemberReply:
+    ) -> SessionTargetReply:
         """Run one statement."""
         self.sent += 1
         id, text = f"w{self.sent}", TEXTS.get(kind, "COMMIT")
@@ -82,10 +82,10 @@
         await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
         one.group.primary.busy = MANY
         reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
-        assert reply.fault is Fault.BUSY
+        assert reply.fault is StatementFault.BUSY
         one.group.primary.busy = 0
         reply = await one.run("s2", SessionStatementKind.READ)
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
         assert not one.promises.committed
 
 
@@ -106,10 +106,10 @@
         await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
         one.group.primary.busy = 2
         reply = await one.run("s1", kind, "t1")
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
         if kind is not SessionStatementKind.COMMIT:
             reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
         assert one.promises.committed
 
 
@@ -117,7 +117,7 @@
 async def test_a_single_statement_that_left_a_transaction_open_is_not_shared() -> None:
     async with one_connection() as one:
         await one.run("s1", SessionStatementKind.READ)
-        (lane,) = one.home.lanes.idle
+        (lane,) = one.home.connections.idle
         lane.connection.session.open = "write"  # type: ignore[attr-defined]
         one.promises.sent["w2"] = Sent("READ a", "t", {}, {})
         one.sent += 1
@@ -136,7 +136,7 @@
                 0.8,
             )
         )
-        assert not one.home.lanes.idle
+        assert not one.home.connections.idle
 
 
 @in_virtual_time
@@ -148,7 +148,7 @@
         with pytest.raises(RefusalError) as caught:
             await one.run("s2", SessionStatementKind.READ)
         waited = asyncio.get_running_loop().time() - begun
-        assert waited <= LONGEST_QUEUE + 0.01
+        assert waited <= MAX_CONNECTION_WAIT_SECONDS + 0.01
         assert caught.value.reason is RefusalReason.OVERLOADED
         assert caught.value.verdict is Verdict.NOT_RUN
         assert caught.value.retry_after_ms is not None
@@ -172,7 +172,7 @@
         assert caught.value.verdict is Verdict.NOT_RUN
         assert (caught.value.retry_after_ms or 0) >= 300
         await one.run("s1", SessionStatementKind.COMMIT, "t")
-        assert (await waiting).fault is Fault.NONE
+        assert (await waiting).fault is StatementFault.NONE
 
 
 @in_virtual_time
@@ -182,7 +182,9 @@
             await one.run("s1", SessionStatementKind.WRITE, f"t{number}", first=True)
             await asyncio.sleep(1.0)
             await one.run("s1", SessionStatementKind.COMMIT, f"t{number}")
-        assert (await one.run("s2", SessionStatementKind.READ)).fault is Fault.NONE
+        assert (
+            await one.run("s2", SessionStatementKind.READ)
+        ).fault is StatementFault.NONE
 
 
 @in_virtual_time
@@ -192,7 +194,7 @@
         await one.run("s1", SessionStatementKind.READ)
         one.group.primary.down = True
         first = asyncio.ensure_future(one.run("s1", SessionStatementKind.READ))
-        await asyncio.sleep(STALLED + 0.01)
+        await asyncio.sleep(STALLED_AFTER_SECONDS + 0.01)
         begun = asyncio.get_running_loop().time()
         with pytest.raises(RefusalError) as caught:
             await one.run("s2", SessionStatementKind.READ)
@@ -203,4 +205,4 @@
             await first
         one.group.primary.down = False
         reply = await one.run("s1", SessionStatementKind.READ)
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings, strategies as st
 
 from reedhook.clock import SystemClock
-from reedhook.connection.link import MAX_IDLE
+from reedhook.connection.link import MAX_IDLE_CHANNELS
 from reedhook.peer import HostRef, PeerError, PeerRoutes
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.network.peer_http import LINK_IDLE, HttpPeers
@@ -276,11 +276,11 @@
     peers, listener = both
     together = [
         peers.call(listener.ref, "slow", {"seconds": 0.05}, 5.0)
-        for _ in range(MAX_IDLE + 4)
+        for _ in range(MAX_IDLE_CHANNELS + 4)
     ]
     await asyncio.gather(*together)
     link = peers.links[listener.ref.address]
-    assert len(link.idle) == MAX_IDLE
+    assert len(link.idle) == MAX_IDLE_CHANNELS
     now = peers.clock.monotonic()
     peers.sweep(now + CLIENT_KEEPALIVE + 1.0)
     assert link.idle == []
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -5,8 +5,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from reedhook.connection.member import Fault, MemberReply
-from reedhook.connection.memberhome import MemberHome
+from reedhook.connection.member import SessionTargetReply, StatementFault
+from reedhook.connection.memberhome import SessionTargetHome
 from reedhook.decisions import Decisions
 from reedhook.request.refusal import RefusalError
 from reedhook.request.work import (
@@ -78,7 +78,7 @@
         self.group = DatabaseGroup("db", ["z0"])
         self.promises = Promises(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
-        self.home = MemberHome(
+        self.home = SessionTargetHome(
             self.group.primary.entry,
             FakeDriver("h1", [self.group]),
             FakePhrases(),
@@ -125,7 +125,7 @@
     def end(self, session: SessionOfHome, what: str) -> None:
         """Roll a transaction back, or lose the connections that are idle."""
         if what == "break":
-            self.home.lanes.drop_idle()
+            self.home.connections.drop_idle()
             return
         self.home.transactions.end(session.transaction)
         session.transaction = ""
@@ -149,9 +149,9 @@
         session.opened = bool(session.transaction)
         self.judge(session, reply)
 
-    def judge(self, session: SessionOfHome, reply: MemberReply) -> None:
+    def judge(self, session: SessionOfHome, reply: SessionTargetReply) -> None:
         """Compare what a read saw with the session's state."""
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
         if not reply.rows:
             return
         viewer = Viewer(
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -6,12 +6,12 @@
 import pytest
 
 from reedhook.connection.member import (
-    Fault,
-    MemberFull,
-    MemberMisrouted,
-    MemberSilent,
-    MemberUnreachable,
-    Query,
+    SessionTargetFullError,
+    SessionTargetNoReplyError,
+    SessionTargetUnreachableError,
+    StatementFault,
+    TargetQuery,
+    WrongTargetError,
 )
 from reedhook.platform.driver import WireDriver
 from reedhook.platform.entry import Front, worded
@@ -50,12 +50,16 @@
     async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         queries = [
-            Query("", "RESET"),
-            Query("5c0e", "READ a", Position(3, 9)),
-            Query("5c0f", "READ b"),
+            TargetQuery("", "RESET"),
+            TargetQuery("5c0e", "READ a", Position(3, 9)),
+            TargetQuery("5c0f", "READ b"),
         ]
         replies = await connection.exchange(queries, TIMEOUT)
-        assert [one.fault for one in replies] == [Fault.NONE, Fault.LAGGING, Fault.NONE]
+        assert [one.fault for one in replies] == [
+            StatementFault.NONE,
+            StatementFault.LAGGING,
+            StatementFault.NONE,
+        ]
         assert replies[1].detail == "i-1"
         assert replies[2].rows == ["a b"]
         assert replies[2].signature == "mac"
@@ -75,7 +79,7 @@
     async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         status = await connection.status(TIMEOUT)
-        assert not status.leads
+        assert not status.is_primary
         assert (status.term, status.received) == (3, Position(3, 1209))
         assert status.connections == 17
 
@@ -85,13 +89,13 @@
 @pytest.mark.parametrize(
     "answer, error",
     [
-        (b"ERROR OVERLOADED i-1\r\n", MemberFull),
-        (b"ERROR MISROUTED i-9\r\n", MemberMisrouted),
-        (b"ERROR BUSY x\r\n", MemberUnreachable),
+        (b"ERROR OVERLOADED i-1\r\n", SessionTargetFullError),
+        (b"ERROR MISROUTED i-9\r\n", WrongTargetError),
+        (b"ERROR BUSY x\r\n", SessionTargetUnreachableError),
     ],
 )
 def test_a_start_that_is_refused_says_why(
-    answer: bytes, error: type[MemberUnreachable]
+    answer: bytes, error: type[SessionTargetUnreachableError]
 ) -> None:
     async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
         member.start_answer = answer
@@ -110,8 +114,8 @@
 ) -> None:
     async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
-        with pytest.raises(MemberSilent):
-            await connection.exchange([Query("1", "READ a")], 0.1)
+        with pytest.raises(SessionTargetNoReplyError):
+            await connection.exchange([TargetQuery("1", "READ a")], 0.1)
         assert connection.lost
 
     with_member(test, {"READ a": answer})
@@ -120,7 +124,7 @@
 def test_a_silent_target_is_given_up() -> None:
     async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
         member.silent = True
-        with pytest.raises(MemberUnreachable):
+        with pytest.raises(SessionTargetUnreachableError):
             await WireDriver("reedhook").connect(entry, 0.05)
 
     with_member(test)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedhook.connection.member import Query
+from reedhook.connection.member import TargetQuery
 from reedhook.request.position import Position
 from reedhook.version.registry import RouteKind
 from reedhook_standins.database import DatabaseGroup, DatabaseSession
@@ -24,10 +24,10 @@
         """Return a session at a target."""
         return DatabaseSession(self.group.members[target])
 
-    def sent(self, id: str, text: str, transaction: str = "") -> Query:
+    def sent(self, id: str, text: str, transaction: str = "") -> TargetQuery:
         """Remember a statement as sent; return it for a target."""
         self.promises.sent[id] = Sent(text, transaction, {}, {})
-        return Query(id, text)
+        return TargetQuery(id, text)
 
     def broken(self) -> str:
         """Return what was found."""
@@ -102,8 +102,8 @@
 def test_a_statement_that_nobody_sent() -> None:
     async def run() -> None:
         one = Case()
-        one.session().run(Query("x", "READ a"))
-        one.session().run(Query(one.sent("y", "READ a").id, "READ b"))
+        one.session().run(TargetQuery("x", "READ a"))
+        one.session().run(TargetQuery(one.sent("y", "READ a").id, "READ b"))
         assert one.broken().count("which nobody sent") == 2
 
     asyncio.run(run())
@@ -116,7 +116,7 @@
         assert "runs elsewhere" in one.broken()
         first, second = one.session(), one.session()
         for session in (first, second):
-            session.run(Query("", "BEGIN"))
+            session.run(TargetQuery("", "BEGIN"))
         first.run(one.sent("b", "READ a", "t2"))
         second.run(one.sent("c", "READ a", "t2"))
         assert "another connection" in one.broken()
@@ -128,7 +128,7 @@
     async def run() -> None:
         one = Case()
         session = one.session()
-        session.run(Query("", "SET v 1"))
+        session.run(TargetQuery("", "SET v 1"))
         session.run(one.sent("a", "READ a"))
         assert "runs with {'v': '1'}" in one.broken()
 
--- a/tests/test_self_feeding.py
+++ b/tests/test_self_feeding.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
+from reedhook.connection.member import StatementFault
 from reedhook.peer import HostRef
 from reedhook.request.refusal import RefusalError
 
@@ -92,7 +92,7 @@
                 caller = await self.world.caller(self.random.choice(names), database)
                 writes = database == "tickets"
                 reply = await (caller.write() if writes else caller.read())
-                if reply.refusal is None and reply.fault is Fault.NONE:
+                if reply.refusal is None and reply.fault is StatementFault.NONE:
                     return True
                 if reply.refusal is not None:
                     retry_ms = reply.refusal.retry_after_ms
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
+from reedhook.connection.member import StatementFault
 from reedhook.connection.state import SessionState
 from reedhook.peer import HostRef
 from reedhook.process.lead.record import Holder
@@ -98,7 +98,7 @@
     begun = asyncio.get_running_loop().time()
     while asyncio.get_running_loop().time() - begun < seconds:
         reply = await caller.write()
-        if reply.refusal is None and reply.fault is Fault.NONE:
+        if reply.refusal is None and reply.fault is StatementFault.NONE:
             return asyncio.get_running_loop().time() - begun
         await asyncio.sleep(0.05)
     raise AssertionError("no write succeeded")
@@ -605,7 +605,7 @@
     world.announce(member.entry)
     await asyncio.sleep(0.7)
     await traffic(world, 4.0, 10)
-    assert all(home.lanes.closed for home in old)
+    assert all(home.connections.closed for home in old)
 
 
 @using(a_world, run_virtual)
--- a/tests/test_standin_control.py
+++ b/tests/test_standin_control.py
@@ -6,7 +6,7 @@
 import pytest
 
 from reedhook.connection.channel import open_channel
-from reedhook.connection.target import TargetUnreachable
+from reedhook.connection.target import TargetUnreachableError
 from reedhook.process.fleet.hostlist import ListedState
 from reedhook.wire import Json, decode, encode
 from reedhook_standins.control import Control
@@ -50,7 +50,7 @@
     member = hand.platform.members()["feedlog-1-a"]
     address = member.address
     await hand.call("kill", member=member.name)
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(member)
     await hand.call("revive", member=member.name)
     await hand.call("revive", 400, member=member.name)
--- a/tests/test_standin_member.py
+++ b/tests/test_standin_member.py
@@ -6,9 +6,9 @@
 
 from reedhook.connection.target import (
     Role,
-    TargetRefused,
-    TargetSilent,
-    TargetUnreachable,
+    TargetNoReplyError,
+    TargetRefusedError,
+    TargetUnreachableError,
 )
 from reedhook_standins.group import GroupStandin
 from reedhook_standins.member import Cut
@@ -174,7 +174,7 @@
     one = await connect(group.primary)
     await one.begin(None, 1.0)
     await one.step(INSERT, ["pomace"], 1.0)
-    with pytest.raises(TargetRefused):
+    with pytest.raises(TargetRefusedError):
         await one.step(INSERT, ["pomace"], 1.0)
     committed = await one.commit(1.0)
     replica = await connect(group.members["m2"])
@@ -202,7 +202,7 @@
 ) -> None:
     old = await connect(group.primary)
     group.primary.silence_connections()
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await old.write(INSERT, ["pomace"], request_id(1), 0.2)
     new = await connect(group.primary)
     assert (await new.read(SELECT, [], 1.0)).rows == []
@@ -217,7 +217,7 @@
     old = await connect(group.primary)
     group.primary.silence_connections()
     await old.close()
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(group.primary)
     await until(lambda: group.primary.open_connections == 0)
     new = await connect(group.primary)
@@ -234,7 +234,7 @@
     writing = asyncio.create_task(old.write(INSERT, ["pomace"], request_id(1), 1.0))
     await until(lambda: group.primary.received["write"])
     group.primary.silence_connections()
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await writing
     assert group.truth.contains(request_id(1))
 
@@ -245,7 +245,7 @@
 ) -> None:
     connection = await connect(group.primary)
     group.primary.pause()
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(group.primary)
     writing = asyncio.create_task(connection.write(INSERT, ["pomace"], None, 5.0))
     await asyncio.sleep(0.1)
@@ -267,7 +267,7 @@
     )
     await until(lambda: group.primary.received["write"])
     await group.primary.kill()
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await writing
     await group.primary.revive()
     group.primary.statement_time = 0.0
@@ -286,9 +286,9 @@
     one = await connect(group.primary, "h1")
     other = await connect(group.primary, "h2")
     group.primary.cuts["h1"] = cut
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await one.write(INSERT, ["pomace"], request_id(1), 0.2)
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(group.primary, "h1")
     assert (await other.read(SELECT, [], 1.0)).rows == []
     group.primary.cuts.clear()
@@ -317,7 +317,7 @@
     group: GroupStandin,
 ) -> None:
     group.primary.setup_time = 0.3
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(group.primary, timeout=0.1)
     connection = await connect(group.primary)
     group.primary.setup_time = 30.0
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reedhook.connection.homerefusals import lost_transaction
+from reedhook.connection.homerefusals import transaction_lost_refusal
 from reedhook.request.hop import LocatedResult
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.replicas import ReplicaReader, ReplicaReadResult
@@ -94,7 +94,7 @@
 @in_virtual_time
 async def test_what_was_sent_in_a_transaction_runs_nowhere_else() -> None:
     """On a second connection it would run outside its transaction."""
-    steering = Refusing([lost_transaction()])
+    steering = Refusing([transaction_lost_refusal()])
     with pytest.raises(RefusalError) as caught:
         await steering.run_at_shortest_wait(
             read(), ReplicaReadResult(None, CROWDED, 0.08), 1.0
--- a/tests/test_target_http.py
+++ b/tests/test_target_http.py
@@ -8,10 +8,10 @@
 
 from reedhook.connection.target import (
     Role,
-    TargetFull,
-    TargetRefused,
-    TargetSilent,
-    TargetUnreachable,
+    TargetFullError,
+    TargetNoReplyError,
+    TargetRefusedError,
+    TargetUnreachableError,
 )
 from reedhook.connection.target_http import HttpTargetConnection, HttpTargetFactory
 from reedhook.request.position import Position
@@ -99,7 +99,7 @@
 @using(group_of)
 async def test_no_listener_means_that_nothing_was_sent(group: GroupStandin) -> None:
     await group.primary.kill()
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connect(group.primary)
 
 
@@ -108,7 +108,7 @@
     group: GroupStandin,
 ) -> None:
     open_ones = [await connect(group.primary) for _ in range(3)]
-    with pytest.raises(TargetFull):
+    with pytest.raises(TargetFullError):
         await connect(group.primary)
     assert group.primary.open_connections == 3
     await open_ones[0].close()
@@ -125,9 +125,9 @@
     raw: RawTarget,
 ) -> None:
     connection = await raw.connect()
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await connection.read("SELECT 1", [], 1.0)
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connection.read("SELECT 1", [], 1.0)
     assert raw.requests == 1
     assert raw.accepted == 1
@@ -141,7 +141,7 @@
     await group.primary.kill()
     await group.primary.revive()
     group.primary.received.clear()
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connection.write(INSERT, ["pomace"], None, 1.0)
     assert not group.primary.received
     assert group.primary.open_connections == 0
@@ -152,7 +152,7 @@
     cut = whole(NOTHING)[:-10]
     async with raw_target(cut, None) as raw:
         connection = await raw.connect()
-        with pytest.raises(TargetSilent):
+        with pytest.raises(TargetNoReplyError):
             await connection.read("SELECT 1", [], 0.2)
         assert connection.channel.closed
 
@@ -160,7 +160,7 @@
 @using(lambda: raw_target(whole(b'{"rows":[]}')))
 async def test_a_result_that_lacks_a_field_is_no_answer(raw: RawTarget) -> None:
     connection = await raw.connect()
-    with pytest.raises(TargetSilent):
+    with pytest.raises(TargetNoReplyError):
         await connection.write("DELETE FROM ticket", [], None, 1.0)
 
 
@@ -173,7 +173,7 @@
         connection = await raw.connect()
         first = await connection.read("SELECT 1", [], 1.0)
         assert first.rowcount == 0
-        with pytest.raises(TargetUnreachable):
+        with pytest.raises(TargetUnreachableError):
             await connection.read("SELECT 2", [], 1.0)
         assert raw.requests == 1
 
@@ -189,7 +189,7 @@
     reading.cancel()
     with pytest.raises(asyncio.CancelledError):
         await reading
-    with pytest.raises(TargetUnreachable):
+    with pytest.raises(TargetUnreachableError):
         await connection.read(SELECT, [], 1.0)
 
 
@@ -207,7 +207,7 @@
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
-    with pytest.raises(TargetRefused, match="not JSON serializable") as caught:
+    with pytest.raises(TargetRefusedError, match="not JSON serializable") as caught:
         await connection.write(INSERT, [object()], None, 1.0)
     assert caught.value.code == "bad_request"
     assert (await connection.read(SELECT, [], 1.0)).rows == []
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
+from reedhook.connection.member import StatementFault
 from reedhook.request.position import Position
 from reedhook.wire import encode
 from reedhook_standins.database import DatabaseMember
@@ -190,7 +190,7 @@
     await asyncio.sleep(0.8)
     assert host.replicas.observations("db").target(target).position is None
     await traffic(world, 3.0, 9)
-    assert old.lanes.closed
+    assert old.connections.closed
     assert host.desk.homes[target] is not old
 
 
@@ -210,4 +210,4 @@
     assert len(callers) > 100
     caller = await world.caller("h00", "tickets")
     reply = await caller.write()
-    assert reply.refusal is None and reply.fault is Fault.NONE
+    assert reply.refusal is None and reply.fault is StatementFault.NONE
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,12 @@
 
 import pytest
 
-from reedhook.connection.turns import AHEAD, Demand, Room, Turns
+from reedhook.connection.turns import (
+    EXTRA_IN_FLIGHT_LIMIT,
+    AdmissionQueue,
+    AdmissionRequest,
+    ConnectionAvailability,
+)
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 
@@ -77,14 +82,14 @@
     one = Load(4)
     assert one.turns is not None
     await one.arrive(0.5, 3.0)
-    usual = one.turns.means["middle"]
+    usual = one.turns.mean_seconds_by_route["middle"]
     one.target.slower = 4.0
     await one.arrive(0.2, 3.0)
-    assert one.turns.means["middle"] > 2.5 * usual
+    assert one.turns.mean_seconds_by_route["middle"] > 2.5 * usual
     one.target.slower = 1.0
     await one.arrive(0.5, 4.0)
     await one.ended()
-    assert one.turns.means["middle"] < 1.5 * usual
+    assert one.turns.mean_seconds_by_route["middle"] < 1.5 * usual
 
 
 @in_virtual_time
@@ -103,14 +108,21 @@
     inside: bool = False,
     patience: float | None = None,
     priority: int = 1,
-) -> Demand:
+) -> AdmissionRequest:
     """Return the demand of a statement that arrives now."""
-    return Demand(ROUTE, priority, now() + due, now() + left, inside, patience)
+    return AdmissionRequest(
+        ROUTE, priority, now() + due, now() + left, inside, patience
+    )
 
 
-def turns_of(room: Room | None = None) -> Turns:
+def turns_of(room: ConnectionAvailability | None = None) -> AdmissionQueue:
     """Return the turns of a target with three slots."""
-    return Turns("t", SLOTS, room or Room(lambda: True, lambda: 0.0), LoopClock())
+    return AdmissionQueue(
+        "t",
+        SLOTS,
+        room or ConnectionAvailability(lambda: True, lambda: 0.0),
+        LoopClock(),
+    )
 
 
 @in_virtual_time
@@ -118,14 +130,14 @@
     None
 ):
     turns = turns_of()
-    turns.means[ROUTE] = 0.1
-    for _ in range(SLOTS + AHEAD):
-        await turns.enter(demand(0.3))
-    waiting = [asyncio.ensure_future(turns.enter(demand(0.3))) for _ in range(3)]
+    turns.mean_seconds_by_route[ROUTE] = 0.1
+    for _ in range(SLOTS + EXTRA_IN_FLIGHT_LIMIT):
+        await turns.admit(demand(0.3))
+    waiting = [asyncio.ensure_future(turns.admit(demand(0.3))) for _ in range(3)]
     await asyncio.sleep(0.0)
     begun = now()
     with pytest.raises(RefusalError) as caught:
-        await turns.enter(demand(0.11, left=0.2))
+        await turns.admit(demand(0.11, left=0.2))
     assert now() == begun
     assert caught.value.verdict is Verdict.NOT_RUN
     assert caught.value.reason is RefusalReason.OVERLOADED
@@ -138,12 +150,12 @@
 @in_virtual_time
 async def test_a_read_that_others_may_serve_does_not_wait() -> None:
     turns = turns_of()
-    turns.means[ROUTE] = 0.1
-    for _ in range(SLOTS + AHEAD):
-        await turns.enter(demand(0.5))
+    turns.mean_seconds_by_route[ROUTE] = 0.1
+    for _ in range(SLOTS + EXTRA_IN_FLIGHT_LIMIT):
+        await turns.admit(demand(0.5))
     with pytest.raises(RefusalError):
-        await turns.enter(demand(0.5, patience=0.02))
-    staying = asyncio.ensure_future(turns.enter(demand(0.5)))
+        await turns.admit(demand(0.5, patience=0.02))
+    staying = asyncio.ensure_future(turns.admit(demand(0.5)))
     await asyncio.sleep(0.01)
     assert not staying.done()
     staying.cancel()
@@ -152,12 +164,12 @@
 @in_virtual_time
 async def test_open_transactions_go_first_and_past_what_waits_for_connections() -> None:
     free = False
-    turns = turns_of(Room(lambda: free, lambda: 0.1))
-    first = asyncio.ensure_future(turns.enter(demand(0.5)))
+    turns = turns_of(ConnectionAvailability(lambda: free, lambda: 0.1))
+    first = asyncio.ensure_future(turns.admit(demand(0.5)))
     await asyncio.sleep(0.0)
     assert not first.done()
-    for _ in range(SLOTS + AHEAD):
-        await turns.enter(demand(0.5, inside=True))
+    for _ in range(SLOTS + EXTRA_IN_FLIGHT_LIMIT):
+        await turns.admit(demand(0.5, inside=True))
     free = True
     turns.dispatch()
     await asyncio.sleep(0.0)
@@ -168,30 +180,32 @@
 @in_virtual_time
 async def test_a_caller_that_is_gone_leaves_no_trace() -> None:
     turns = turns_of()
-    held = [await turns.enter(demand(0.5)) for _ in range(SLOTS + AHEAD)]
-    gone = asyncio.ensure_future(turns.enter(demand(0.5)))
+    held = [
+        await turns.admit(demand(0.5)) for _ in range(SLOTS + EXTRA_IN_FLIGHT_LIMIT)
+    ]
+    gone = asyncio.ensure_future(turns.admit(demand(0.5)))
     await asyncio.sleep(0.0)
     gone.cancel()
     await asyncio.sleep(0.0)
     assert not turns.waiting
-    granted = asyncio.ensure_future(turns.enter(demand(0.5)))
+    granted = asyncio.ensure_future(turns.admit(demand(0.5)))
     await asyncio.sleep(0.0)
-    turns.leave(held.pop())
+    turns.release(held.pop())
     granted.cancel()
     await asyncio.sleep(0.0)
-    assert turns.under_way == SLOTS + AHEAD - 1
+    assert turns.in_flight == SLOTS + EXTRA_IN_FLIGHT_LIMIT - 1
     for one in held:
-        turns.leave(one)
-    assert turns.under_way == 0
+        turns.release(one)
+    assert turns.in_flight == 0
 
 
 @in_virtual_time
 async def test_one_long_statement_does_not_keep_its_route_from_being_served() -> None:
     turns = turns_of()
     for _ in range(20):
-        turns.learn(ROUTE, 0.018)
-    turns.learn(ROUTE, 2.0)
-    assert turns.means[ROUTE] < 0.03
+        turns.record_duration(ROUTE, 0.018)
+    turns.record_duration(ROUTE, 2.0)
+    assert turns.mean_seconds_by_route[ROUTE] < 0.03
     for _ in range(40):
-        turns.learn(ROUTE, 0.09)
-    assert turns.means[ROUTE] > 0.07
+        turns.record_duration(ROUTE, 0.09)
+    assert turns.mean_seconds_by_route[ROUTE] > 0.07
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -10,8 +10,8 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from reedhook.connection.lane import Lane
-from reedhook.connection.lanes import Lanes
+from reedhook.connection.lane import PooledConnection
+from reedhook.connection.lanes import SessionConnectionPool
 from reedhook.process.fleet.rendezvous import kept, share
 from reedhook.request.refusal import RefusalError
 from reedhook_standins.database import DatabaseGroup
@@ -23,19 +23,21 @@
 MOST = 6
 
 
-def lanes_of(group: DatabaseGroup, limit: int = LIMIT, most: int = MOST) -> Lanes:
+def lanes_of(
+    group: DatabaseGroup, limit: int = LIMIT, most: int = MOST
+) -> SessionConnectionPool:
     """Return the connections of one home."""
-    return Lanes(
+    return SessionConnectionPool(
         group.primary.entry,
         FakeDriver("h1", [group]),
         FakePhrases(),
         limit,
         LoopClock(),
-        most=most,
+        max_open=most,
     )
 
 
-async def use(lanes: Lanes, workspace: str) -> Lane:
+async def use(lanes: SessionConnectionPool, workspace: str) -> PooledConnection:
     """Borrow a connection of a workspace and give it back."""
     lane = await lanes.borrow("s", 1.0, workspace)
     lanes.give_back(lane)
@@ -49,7 +51,7 @@
     first = await use(lanes, "a")
     await use(lanes, "b")
     assert await use(lanes, "a") is first
-    assert lanes.count == 2
+    assert lanes.open_count == 2
 
 
 @in_virtual_time
@@ -96,7 +98,7 @@
     for name in "abc":
         await use(lanes, name)
     assert (await use(lanes, "d")).workspace == "d"
-    assert lanes.count == 3
+    assert lanes.open_count == 3
 
 
 def test_a_home_leaves_connections_for_a_successor() -> None:
@@ -124,7 +126,7 @@
                     continue
                 assert lane.workspace == workspace
                 assert getattr(lane.connection, "workspace") == workspace
-                assert lanes.in_use() <= LIMIT and lanes.count <= MOST
+                assert lanes.in_use() <= LIMIT and lanes.open_count <= MOST
                 await asyncio.sleep(rng.uniform(0.0, 0.1))
                 if rng.random() < 0.2:
                     lanes.discard(lane)
@@ -134,7 +136,7 @@
         names = [f"w{rng.randrange(9)}" for _ in range(14)]
         await asyncio.gather(*(session(name) for name in names))
         assert not lanes.waiting
-        assert lanes.count == len(lanes.idle)
+        assert lanes.open_count == len(lanes.idle)
         assert not lanes.lent
 
     run_virtual(course())
--- a/tests/trace_target.py
+++ b/tests/trace_target.py
@@ -14,11 +14,11 @@
     Target,
     TargetConnection,
     TargetFactory,
-    TargetFull,
-    TargetRefused,
+    TargetFullError,
+    TargetNoReplyError,
+    TargetRefusedError,
     TargetResult,
-    TargetSilent,
-    TargetUnreachable,
+    TargetUnreachableError,
 )
 
 from .fakes_group import FakeMember, wait_for
@@ -147,7 +147,7 @@
 
         def effect() -> TargetResult:
             if self.server.member.role is not Role.PRIMARY:
-                raise TargetRefused("not_primary", "not the primary")
+                raise TargetRefusedError("not_primary", "not the primary")
             if self.server.knows(request_id):
                 return self.server.write([], request_id)
             self.pending, self.request_id = [], request_id
@@ -219,11 +219,11 @@
     def opened(self) -> list[str]:
         """Return the rows of the open transaction, if its term still holds."""
         if self.pending is None:
-            raise TargetRefused("unknown_transaction", "none is open")
+            raise TargetRefusedError("unknown_transaction", "none is open")
         member = self.server.member
         if member.role is not Role.PRIMARY or member.leader_term != self.begun:
             self.pending = None
-            raise TargetRefused("superseded", "the primary was superseded")
+            raise TargetRefusedError("superseded", "the primary was superseded")
         return self.pending
 
     async def change(
@@ -253,7 +253,7 @@
                 result = await asyncio.shield(serving)
         except TimeoutError:
             await self.server.network.awake(self.host)
-            raise TargetSilent("no answer in time") from None
+            raise TargetNoReplyError("no answer in time") from None
         finally:
             self.busy = False
         await self.server.network.awake(self.host)
@@ -291,9 +291,9 @@
         await asyncio.sleep(min(CONNECT, timeout))
         if not self.server.reaches(self.host) or timeout < CONNECT:
             await asyncio.sleep(max(0.0, timeout - CONNECT))
-            raise TargetUnreachable("no answer")
+            raise TargetUnreachableError("no answer")
         if len(self.server.connections) >= self.server.limit:
-            raise TargetFull("no connection left")
+            raise TargetFullError("no connection left")
         connection = TraceConnection(self.server, self.host)
         self.server.connections.add(connection)
         return connection
