--- a/bench/failover.py
+++ b/bench/failover.py
@@ -22,7 +22,7 @@
 import docopt
 
 from reedhook.process.events.timeline import Event, EventKind
-from reedhook.process.groups.promotion import Promotion
+from reedhook.process.groups.promotion import GroupPromotion
 from reedhook.request.refusal import RefusalError
 from reedhook.wire import Json
 from tests.cluster_group import NAMES, Cluster
@@ -169,11 +169,11 @@
     await asyncio.sleep(BASELINE_S)
     keeper = cluster.hosts["m2a"].keeper
     absent = frozenset({"m1"})
-    promotion = Promotion(
+    promotion = GroupPromotion(
         cluster.group, keeper.controller, keeper.clock, 2, "baseline", None, absent
     )
     promoted = await promotion.run()
-    keeper.knowledge.lead(promoted.term, promoted.primary)
+    keeper.group_state.record_leader(promoted.term, promoted.primary)
     await cluster.until_writable()
     total = cluster.now() - begun
     await cluster.stop()
--- a/src/reedhook/process/administration/hostsource.py
+++ b/src/reedhook/process/administration/hostsource.py
@@ -12,7 +12,7 @@
 from ..configuring.configuration import ConfigurationKeeper
 from ..events.timeline import Timeline
 from ..fleet.membership import Membership
-from ..groups.homes import Homes
+from ..groups.homes import LocalHomes
 from .admin_source import AdminSource
 from .admin_status import HostState, HostStatus, KnownHost
 
@@ -31,7 +31,7 @@
         timeline: Timeline,
         membership: Membership,
         configuration: ConfigurationKeeper,
-        homes: Homes,
+        homes: LocalHomes,
         views: GroupViewCache,
         api: Api,
         kept_metrics: Metrics,
--- a/src/reedhook/process/fleet/leaving.py
+++ b/src/reedhook/process/fleet/leaving.py
@@ -12,13 +12,13 @@
 from ...request.refusal import RefusalReason, not_run
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
-from ..groups.group import GroupKeeper
+from ..groups.group import GroupManager
 
 PATH: Final = "leaving"
 HAND_OVER_TIMEOUT: Final = 1.5
 
 HomeSource: TypeAlias = Callable[[str], Home | None]
-KeeperSource: TypeAlias = Callable[[str], GroupKeeper | None]
+KeeperSource: TypeAlias = Callable[[str], GroupManager | None]
 
 log = logbook.Logger("leaving")
 
--- a/src/reedhook/process/groups/confirmation.py
+++ b/src/reedhook/process/groups/confirmation.py
@@ -7,16 +7,18 @@
 from ...clock import Clock
 from ...connection.target import MemberState, Role
 from ...record import Record
-from .sample import Sample
+from .sample import PrimarySample
 
-Ask: TypeAlias = Callable[[str, float], Coroutine[Any, Any, MemberState | None]]
+StateRequester: TypeAlias = Callable[
+    [str, float], Coroutine[Any, Any, MemberState | None]
+]
 
-STALL: Final = 0.02
+STALL_MARGIN_SECONDS: Final = 0.02
 """Seconds beyond the timeout after which a round tells of a stall of this process:
 each question ends at its timeout, a busy loop is late by some milliseconds."""
 
 
-class Lead(Record):
+class GroupLeader(Record):
     """Name the leader that a round is to confirm."""
 
     __slots__ = ("term", "primary")
@@ -26,17 +28,17 @@
         self.primary = primary
 
 
-class Confirmation:
+class LeaderConfirmation:
     """Run confirmation rounds, one at a time, while somebody wants one.
 
     A caller takes a ticket and later waits for the round of that number,
     which begins after the ticket was taken. Everybody who came during a
     round shares the next one.
 
-    :param ask: asks a member for a state sent after the call; gives None if
+    :param request_state: asks a member for a state sent after the call; gives None if
         no answer came within the timeout, in seconds.
-    :param lead: tells the leader to confirm; None if there is none here.
-    :param found: is called with the sample of each successful round.
+    :param current_leader: tells the leader to confirm; None if there is none here.
+    :param on_confirmed: is called with the sample of each successful round.
     :ivar stalled: whether this process stood still during the last round, so that
         a missing answer proves nothing.
     """
@@ -45,54 +47,54 @@
         self,
         members: list[str],
         majority: int,
-        ask: Ask,
-        lead: Callable[[], Lead | None],
-        found: Callable[[Sample], None],
+        request_state: StateRequester,
+        current_leader: Callable[[], GroupLeader | None],
+        on_confirmed: Callable[[PrimarySample], None],
         clock: Clock,
         timeout: float,
     ) -> None:
         self.members = members
         self.majority = majority
-        self.ask = ask
-        self.lead = lead
-        self.found = found
+        self.request_state = request_state
+        self.current_leader = current_leader
+        self.on_confirmed = on_confirmed
         self.clock = clock
         self.timeout = timeout
         self.stalled = False
         self.begun = 0
         self.ended = 0
-        self.wanted = 0
-        self.proved = 0
-        self.proved_term = 0
+        self.requested_round = 0
+        self.confirmed_round = 0
+        self.confirmed_term = 0
         self.waiters: list[tuple[int, asyncio.Future[None]]] = []
         self.running: asyncio.Task[None] | None = None
-        self.asking: set[asyncio.Task[MemberState | None]] = set()
+        self.state_requests: set[asyncio.Task[MemberState | None]] = set()
 
-    def request(self) -> int:
+    def request_round(self) -> int:
         """Take the ticket of a round that begins after this call."""
-        self.wanted = self.begun + 1
+        self.requested_round = self.begun + 1
         if self.running is None or self.running.done():
             self.running = asyncio.create_task(self.run())
-        return self.wanted
+        return self.requested_round
 
-    def confirms(self, ticket: int, term: int) -> bool:
+    def is_confirmed(self, round_number: int, term: int) -> bool:
         """Say whether a round of `ticket` or later confirmed `term`."""
-        return self.proved >= ticket and self.proved_term == term
+        return self.confirmed_round >= round_number and self.confirmed_term == term
 
-    async def wait(self, ticket: int) -> None:
+    async def wait_for_round(self, round_number: int) -> None:
         """Return once the round of `ticket` has ended, well or not."""
-        if self.ended >= ticket:
+        if self.ended >= round_number:
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiters.append((ticket, waiter))
+        self.waiters.append((round_number, waiter))
         await waiter
 
     async def run(self) -> None:
         """Run rounds until no ticket is left."""
-        while self.wanted > self.begun:
+        while self.requested_round > self.begun:
             self.begun += 1
             try:
-                await self.round()
+                await self.run_round()
             finally:
                 self.ended = self.begun
                 self.wake()
@@ -107,13 +109,13 @@
             elif not waiter.done():
                 waiter.set_result(None)
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Ask all members; succeed once a majority with the primary agrees."""
-        lead = self.lead()
+        lead = self.current_leader()
         if lead is None:
             return
         asked = self.clock.monotonic()
-        questions = [self.question(member) for member in self.members]
+        questions = [self.start_state_request(member) for member in self.members]
         agreed = 0
         leader: MemberState | None = None
         for answer in asyncio.as_completed(questions):
@@ -121,33 +123,35 @@
             if state is None or state.promised > lead.term:
                 continue
             agreed += 1
-            if leads(state, lead):
+            if is_leader_state(state, lead):
                 leader = state
             if leader is not None and agreed >= self.majority:
-                self.proved = self.begun
-                self.proved_term = lead.term
-                self.found(Sample(leader.held, asked))
+                self.confirmed_round = self.begun
+                self.confirmed_term = lead.term
+                self.on_confirmed(PrimarySample(leader.held, asked))
                 break
-        self.stalled = self.clock.monotonic() - asked > self.timeout + STALL
+        self.stalled = (
+            self.clock.monotonic() - asked > self.timeout + STALL_MARGIN_SECONDS
+        )
 
-    def question(self, member: str) -> "asyncio.Task[MemberState | None]":
+    def start_state_request(self, member: str) -> "asyncio.Task[MemberState | None]":
         """Ask `member` in a task that may outlive the round."""
-        task = asyncio.create_task(self.ask(member, self.timeout))
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+        task = asyncio.create_task(self.request_state(member, self.timeout))
+        self.state_requests.add(task)
+        task.add_done_callback(self.state_requests.discard)
         return task
 
     def close(self) -> None:
         """Stop rounds and questions."""
-        for task in [self.running, *self.asking]:
+        for task in [self.running, *self.state_requests]:
             if task is not None:
                 task.cancel()
 
 
-def leads(state: MemberState, lead: Lead) -> bool:
+def is_leader_state(state: MemberState, leader: GroupLeader) -> bool:
     """Say whether `state` is that of the primary that `lead` names."""
     return (
-        state.member == lead.primary
+        state.member == leader.primary
         and state.role is Role.PRIMARY
-        and state.leader_term == lead.term
+        and state.leader_term == leader.term
     )
--- a/src/reedhook/process/groups/control.py
+++ b/src/reedhook/process/groups/control.py
@@ -21,10 +21,10 @@
 from ...version.catalog import Group, Member
 from ...wire import Json, reader, text
 
-STANDBYS: Final = 2
+MAX_CONTROL_HOSTS: Final = 2
 
 
-class Op(str, Enum):
+class ControlOperation(str, Enum):
     """Name what is asked of a member."""
 
     STATE = "state"
@@ -33,7 +33,7 @@
     FOLLOW = "follow"
 
 
-class Control(Record):
+class MemberControlRequest(Record):
     """Carry one question or order to a member.
 
     :param term: the term it is about; 0 for ``state``.
@@ -41,13 +41,18 @@
     :param primary: the member to follow, for ``follow``.
     """
 
-    __slots__ = ("member", "op", "term", "owner", "primary")
+    __slots__ = ("member", "operation", "term", "owner", "primary")
 
     def __init__(
-        self, member: str, op: Op, term: int = 0, owner: str = "", primary: str = ""
+        self,
+        member: str,
+        operation: ControlOperation,
+        term: int = 0,
+        owner: str = "",
+        primary: str = "",
     ) -> None:
         self.member = member
-        self.op = op
+        self.operation = operation
         self.term = term
         self.owner = owner
         self.primary = primary
@@ -56,7 +61,7 @@
         """Return the body of the peer path ``control``."""
         return {
             "member": self.member,
-            "op": self.op.value,
+            "op": self.operation.value,
             "term": self.term,
             "owner": self.owner,
             "primary": self.primary,
@@ -64,55 +69,63 @@
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "Control":
+    def from_json(cls, message: Json) -> "MemberControlRequest":
         """Read the body of the peer path ``control``."""
         return cls(
             text(message, "member"),
-            Op(message["op"]),
+            ControlOperation(message["op"]),
             int(message["term"]),
             str(message["owner"]),
             str(message["primary"]),
         )
 
 
-class Controller(ABC):
+class MemberController(ABC):
     """Reach the members of a group for the steps of a promotion."""
 
     @abstractmethod
-    async def control(self, order: Control, timeout: float) -> MemberState:
+    async def control(
+        self, request: MemberControlRequest, timeout: float
+    ) -> MemberState:
         """Carry out `order` and return the member's state after it.
 
         :raises Refusal: if the member refused or gave no answer.
         """
 
 
-HomeOf: TypeAlias = Callable[[str], Home | None]
+MemberHomeLookup: TypeAlias = Callable[[str], Home | None]
 
 
-class PeerController(Controller):
+class PeerMemberController(MemberController):
     """Reach a member at its home, or at a standby if the home gives no answer."""
 
     def __init__(
-        self, group: Group, homes: HomeOf, directory: Directory, peers: Peers
+        self,
+        group: Group,
+        find_home: MemberHomeLookup,
+        directory: Directory,
+        peers: Peers,
     ) -> None:
         self.zones = {member.member: member.zone for member in group.members}
-        self.homes = homes
+        self.find_home = find_home
         self.directory = directory
         self.peers = peers
 
-    async def control(self, order: Control, timeout: float) -> MemberState:
-        home = self.homes(order.member)
+    async def control(
+        self, request: MemberControlRequest, timeout: float
+    ) -> MemberState:
+        home = self.find_home(request.member)
         if home is not None:
-            return await at_home(home, order, timeout)
-        body = order.to_json()
-        hosts = self.directory.ranked(order.member, self.zones[order.member])
-        answer = await first_answer(
-            self.peers, hosts[:STANDBYS], "control", body, timeout
+            return await control_at_home(home, request, timeout)
+        body = request.to_json()
+        hosts = self.directory.ranked(request.member, self.zones[request.member])
+        answer = await call_first_available(
+            self.peers, hosts[:MAX_CONTROL_HOSTS], "control", body, timeout
         )
         return MemberState.from_json(answer["state"])
 
 
-async def first_answer(
+async def call_first_available(
     peers: Peers, hosts: list[HostRef], path: str, body: Json, timeout: float
 ) -> Json:
     """Return the answer of the first of `hosts` that gives one.
@@ -135,49 +148,54 @@
     raise last
 
 
-async def at_home(home: Home, order: Control, timeout: float) -> MemberState:
+async def control_at_home(
+    home: Home, request: MemberControlRequest, timeout: float
+) -> MemberState:
     """Carry out `order` through the local home of its member."""
     try:
-        if order.op is Op.RAISE:
-            return await home.raise_term(order.term, order.owner, timeout)
-        if order.op is Op.PROMOTE:
-            return await home.promote(order.term, order.owner, timeout)
-        if order.op is Op.FOLLOW:
-            return await home.follow(order.term, order.primary, timeout)
+        if request.operation is ControlOperation.RAISE:
+            return await home.raise_term(request.term, request.owner, timeout)
+        if request.operation is ControlOperation.PROMOTE:
+            return await home.promote(request.term, request.owner, timeout)
+        if request.operation is ControlOperation.FOLLOW:
+            return await home.follow(request.term, request.primary, timeout)
         return await home.fetch_state(timeout)
     except TargetError as error:
-        raise refusal_of(error) from error
+        raise refusal_for_target_error(error) from error
 
 
-async def at_target(
-    factory: TargetFactory, member: Member, order: Control, timeout: float
+async def control_at_target(
+    factory: TargetFactory,
+    member: Member,
+    request: MemberControlRequest,
+    timeout: float,
 ) -> MemberState:
     """Carry out `order` on a connection of its own, as a standby does."""
     try:
         target = factory.target(member.member, member.address)
         connection = await target.connect(timeout)
         try:
-            return await on_connection(connection, order, timeout)
+            return await control_on_connection(connection, request, timeout)
         finally:
             await connection.close()
     except TargetError as error:
-        raise refusal_of(error) from error
+        raise refusal_for_target_error(error) from error
 
 
-async def on_connection(
-    connection: TargetConnection, order: Control, timeout: float
+async def control_on_connection(
+    connection: TargetConnection, request: MemberControlRequest, timeout: float
 ) -> MemberState:
     """Carry out `order` on `connection`."""
-    if order.op is Op.RAISE:
-        return await connection.raise_term(order.term, order.owner, timeout)
-    if order.op is Op.PROMOTE:
-        return await connection.promote(order.term, order.owner, timeout)
-    if order.op is Op.FOLLOW:
-        return await connection.follow(order.term, order.primary, timeout)
+    if request.operation is ControlOperation.RAISE:
+        return await connection.raise_term(request.term, request.owner, timeout)
+    if request.operation is ControlOperation.PROMOTE:
+        return await connection.promote(request.term, request.owner, timeout)
+    if request.operation is ControlOperation.FOLLOW:
+        return await connection.follow(request.term, request.primary, timeout)
     return await connection.state(timeout)
 
 
-def refusal_of(error: TargetError) -> RefusalError:
+def refusal_for_target_error(error: TargetError) -> RefusalError:
     """Return the refusal that tells another host of `error`."""
     if isinstance(error, TargetRefusedError):
         return not_run(RefusalReason.CONFLICT, error.detail)
--- a/src/reedhook/process/groups/coordinator.py
+++ b/src/reedhook/process/groups/coordinator.py
@@ -15,23 +15,28 @@
 from ...record import Record
 from ...request.refusal import RefusalError
 from ..events.timeline import EventKind, Timeline
-from .control import Control, Controller, Op
-from .knowledge import Knowledge
-from .promotion import STEP_TIMEOUT, Promoted, Promotion, PromotionFailed
-from .suspicion import Cause
-
-STAGGER: Final = 0.1
-RAISE_PATIENCE: Final = 0.3
-PATIENCE_STEP: Final = 0.02
-LAST_CHANCE: Final = 0.02
-BACKOFF: Final = 0.03
-BACKOFF_LIMIT: Final = 1.0
+from .control import ControlOperation, MemberController, MemberControlRequest
+from .knowledge import GroupState
+from .promotion import (
+    STEP_TIMEOUT_SECONDS,
+    GroupPromotion,
+    GroupPromotionError,
+    GroupPromotionResult,
+)
+from .suspicion import PromotionCause
+
+DELAY_PER_RANK_SECONDS: Final = 0.1
+OTHER_COORDINATOR_WAIT_SECONDS: Final = 0.3
+TERM_POLL_INTERVAL_SECONDS: Final = 0.02
+SILENT_PRIMARY_GRACE_SECONDS: Final = 0.02
+INITIAL_BACKOFF_SECONDS: Final = 0.03
+MAX_BACKOFF_SECONDS: Final = 1.0
 NONCE_BITS: Final = 48
 
 log = Logger("promotion")
 
 
-class Outcome(Record):
+class PrimaryChange(Record):
     """Name the primary that a change of primary brought."""
 
     __slots__ = ("group", "term", "primary")
@@ -42,10 +47,10 @@
         self.primary = primary
 
 
-OutcomeCallback: TypeAlias = Callable[[Outcome], None]
+PrimaryChangeCallback: TypeAlias = Callable[[PrimaryChange], None]
 
 
-class Survey(Record):
+class MemberSurvey(Record):
     """Carry the states that the members gave just now."""
 
     __slots__ = ("states",)
@@ -58,7 +63,7 @@
         """Return the highest promise among the answers."""
         return max((state.promised for state in self.states.values()), default=0)
 
-    def leads(self, member: str | None) -> bool:
+    def is_unfenced_primary(self, member: str | None) -> bool:
         """Say whether `member` answered as a primary that nobody has fenced."""
         state = self.states.get(member or "")
         return (
@@ -68,25 +73,25 @@
         )
 
 
-class Coordinator:
+class GroupPromotionCoordinator:
     """Carry out changes of primary for one group, one at a time.
 
-    :ivar cut_off: whether the last survey reached no majority of the members.
+    :ivar majority_unreachable: whether the last survey reached no majority of the members.
     """
 
     def __init__(
         self,
-        knowledge: Knowledge,
-        controller: Controller,
+        group_state: GroupState,
+        controller: MemberController,
         homes: Callable[[], Iterable[Home]],
         directory: Directory,
         clock: Clock,
         random: Random,
         timeline: Timeline,
         metrics: Metrics,
-        on_outcome: OutcomeCallback,
+        on_primary_change: PrimaryChangeCallback,
     ) -> None:
-        self.knowledge = knowledge
+        self.group_state = group_state
         self.controller = controller
         self.homes = homes
         self.directory = directory
@@ -94,47 +99,53 @@
         self.random = random
         self.timeline = timeline
         self.metrics = metrics
-        self.on_outcome = on_outcome
-        self.attempts = 0
+        self.on_primary_change = on_primary_change
+        self.failed_attempts = 0
         self.own_term = 0
-        self.last_failure: tuple[Cause, str, str] | None = None
-        self.followers: list[Promotion] = []
-        self.cut_off = False
+        self.last_failure: tuple[PromotionCause, str, str] | None = None
+        self.notifying_promotions: list[GroupPromotion] = []
+        self.majority_unreachable = False
         self.asking: set[asyncio.Task[None]] = set()
 
-    async def change(self, cause: Cause, suspicion: float) -> bool:
+    async def change_primary(
+        self, cause: PromotionCause, suspicion_seconds: float
+    ) -> bool:
         """Try once to bring about a new primary.
 
-        :param suspicion: seconds from the first sign to the decision.
+        :param suspicion_seconds: seconds from the first sign to the decision.
         :returns: whether a leader of a new term is known.
         """
-        term = self.knowledge.term
-        former = self.knowledge.primary
-        await self.clock.sleep(self.rank(cause, former) * STAGGER)
-        if await self.overtaken(term):
+        term = self.group_state.term
+        former = self.group_state.primary
+        await self.clock.sleep(self.rank(cause, former) * DELAY_PER_RANK_SECONDS)
+        if await self.wait_for_other_coordinator(term):
             return True
-        grace = LAST_CHANCE if cause is Cause.SILENT else 0.0
-        survey = await self.survey(avoided(cause, former), grace)
-        healed = self.cut_off and self.reaches_majority(survey)
-        self.cut_off = not self.reaches_majority(survey)
-        if self.settled(term, former, survey, cause) or await self.overtaken(term):
+        grace = SILENT_PRIMARY_GRACE_SECONDS if cause is PromotionCause.SILENT else 0.0
+        survey = await self.survey(members_to_avoid(cause, former), grace)
+        healed = self.majority_unreachable and self.reaches_majority(survey)
+        self.majority_unreachable = not self.reaches_majority(survey)
+        if self.change_unnecessary(
+            term, former, survey, cause
+        ) or await self.wait_for_other_coordinator(term):
             return True
         if healed:
             # What was found of the primary is from before the cut healed. To ask
             # anew takes 0.1 s; a promotion that nobody needs stops writes for 0.2.
             return False
-        if self.cut_off:
-            self.attempts += 1
-            self.failed(cause, "survey", f"{len(survey.states)} members answered")
+        if self.majority_unreachable:
+            self.failed_attempts += 1
+            self.record_failure(
+                cause, "survey", f"{len(survey.states)} members answered"
+            )
             await self.back_off()
             return False
-        return await self.attempt(cause, former, suspicion)
+        return await self.attempt_promotion(cause, former, suspicion_seconds)
 
-    def reaches_majority(self, survey: Survey) -> bool:
+    def reaches_majority(self, survey: MemberSurvey) -> bool:
         """Say whether most members have answered."""
-        return len(survey.states) >= self.knowledge.group.majority
+        return len(survey.states) >= self.group_state.group.majority
 
-    def rank(self, cause: Cause, former: str | None) -> int:
+    def rank(self, cause: PromotionCause, former: str | None) -> int:
         """Return how many other hosts should try before this one.
 
         The order must be the same on all hosts, and what they know of held
@@ -143,31 +154,36 @@
         needs no delay.
         """
         local = {home.member.member for home in self.homes()}
-        if cause is Cause.PLANNED or (former in local and cause is Cause.TARGET_LOST):
+        if cause is PromotionCause.PLANNED or (
+            former in local and cause is PromotionCause.TARGET_LOST
+        ):
             return 0
         ranked = self.ranked(former)
         places = [place for place, member in enumerate(ranked) if member in local]
         first = places[0] if places else len(ranked)
-        return first + 1 if cause is Cause.TARGET_LOST else first
+        return first + 1 if cause is PromotionCause.TARGET_LOST else first
 
     def ranked(self, former: str | None) -> list[str]:
         """Return the members but `former` in the order of this term."""
-        members = sorted(one.member for one in self.knowledge.group.members)
-        turn = self.knowledge.term % len(members)
+        members = sorted(one.member for one in self.group_state.group.members)
+        turn = self.group_state.term % len(members)
         return [one for one in members[turn:] + members[:turn] if one != former]
 
-    async def overtaken(self, term: int) -> bool:
+    async def wait_for_other_coordinator(self, term: int) -> bool:
         """Wait a little if somebody else has begun; return whether it ended."""
         waited = 0.0
         own = max(term, self.own_term)
-        while self.knowledge.promised > own and waited < RAISE_PATIENCE:
-            if self.knowledge.term > term:
+        while (
+            self.group_state.highest_promised_term > own
+            and waited < OTHER_COORDINATOR_WAIT_SECONDS
+        ):
+            if self.group_state.term > term:
                 return True
-            await self.clock.sleep(PATIENCE_STEP)
-            waited += PATIENCE_STEP
-        return self.knowledge.term > term
+            await self.clock.sleep(TERM_POLL_INTERVAL_SECONDS)
+            waited += TERM_POLL_INTERVAL_SECONDS
+        return self.group_state.term > term
 
-    async def survey(self, absent: frozenset[str], grace: float = 0.0) -> Survey:
+    async def survey(self, absent: frozenset[str], grace: float = 0.0) -> MemberSurvey:
         """Ask all members for their states before anybody is fenced.
 
         A host that reaches no majority must not raise the terms of a few.
@@ -176,9 +192,10 @@
         :param grace: seconds that they get all the same once the others are in.
         """
         states: dict[str, MemberState] = {}
-        members = [one.member for one in self.knowledge.group.members]
+        members = [one.member for one in self.group_state.group.members]
         asking = {
-            member: asyncio.create_task(self.ask(member, states)) for member in members
+            member: asyncio.create_task(self.request_state(member, states))
+            for member in members
         }
         for task in asking.values():
             self.asking.add(task)
@@ -187,62 +204,66 @@
         late = [asking[one] for one in absent if not asking[one].done()]
         if late and grace:
             await asyncio.wait(late, timeout=grace)
-        return Survey(dict(states))
+        return MemberSurvey(dict(states))
 
-    async def ask(self, member: str, states: dict[str, MemberState]) -> None:
+    async def request_state(self, member: str, states: dict[str, MemberState]) -> None:
         """Ask one member and learn from its answer."""
         asked = self.clock.monotonic()
-        order = Control(member, Op.STATE)
+        order = MemberControlRequest(member, ControlOperation.STATE)
         try:
-            state = await self.controller.control(order, STEP_TIMEOUT)
+            state = await self.controller.control(order, STEP_TIMEOUT_SECONDS)
         except RefusalError:
             return
         states[member] = state
-        self.knowledge.absorb(state, asked)
+        self.group_state.merge_state(state, asked)
 
-    def settled(
-        self, term: int, former: str | None, survey: Survey, cause: Cause
+    def change_unnecessary(
+        self, term: int, former: str | None, survey: MemberSurvey, cause: PromotionCause
     ) -> bool:
         """Say whether the survey shows that no change is needed."""
-        if self.knowledge.term > term and self.knowledge.primary is not None:
+        if self.group_state.term > term and self.group_state.primary is not None:
             return True
-        if cause in (Cause.PLANNED, Cause.HOMELESS):
+        if cause in (PromotionCause.PLANNED, PromotionCause.HOMELESS):
             return False
-        leader = self.knowledge.primary
-        return leader is not None and survey.leads(leader)
+        leader = self.group_state.primary
+        return leader is not None and survey.is_unfenced_primary(leader)
 
-    async def attempt(self, cause: Cause, former: str | None, suspicion: float) -> bool:
+    async def attempt_promotion(
+        self, cause: PromotionCause, former: str | None, suspicion_seconds: float
+    ) -> bool:
         """Raise, promote, tell the others; return whether it went well."""
         promotion = self.promotion(cause, former)
         self.own_term = promotion.term
-        self.attempts += 1
+        self.failed_attempts += 1
         try:
             promoted = await promotion.run()
-        except PromotionFailed as failure:
-            promised = max(self.knowledge.promised, failure.promised)
-            self.knowledge.promised = promised
-            self.failed(cause, failure.step, failure.detail, term=promotion.term)
+        except GroupPromotionError as failure:
+            promised = max(self.group_state.highest_promised_term, failure.promised)
+            self.group_state.highest_promised_term = promised
+            self.record_failure(
+                cause, failure.step, failure.detail, term=promotion.term
+            )
             await self.back_off()
-            return self.knowledge.term >= promotion.term
-        self.attempts = 0
+            return self.group_state.term >= promotion.term
+        self.failed_attempts = 0
         self.last_failure = None
-        self.followers = [promotion]
-        self.announce(cause, former, promoted, suspicion)
+        self.notifying_promotions = [promotion]
+        self.announce(cause, former, promoted, suspicion_seconds)
         return True
 
-    def promotion(self, cause: Cause, former: str | None) -> Promotion:
+    def promotion(self, cause: PromotionCause, former: str | None) -> GroupPromotion:
         """Make an attempt with a term and an owner of its own."""
         term = self.next_term()
         nonce = self.random.getrandbits(NONCE_BITS)
         owner = f"{self.directory.me.host}.{nonce:x}"
-        return Promotion(
-            self.knowledge.group,
+        return GroupPromotion(
+            self.group_state.group,
             self.controller,
             self.clock,
             term,
             owner,
-            preferred=former if cause is Cause.FENCED else None,
-            avoided=avoided(cause, former),
+            preferred=former if cause is PromotionCause.FENCED else None,
+            avoided=members_to_avoid(cause, former),
             on_raised=self.raised,
         )
 
@@ -253,10 +274,10 @@
         that of two at once the higher term wins all members and only the
         other fails.
         """
-        lowest = max(self.knowledge.promised, self.knowledge.term) + 1
-        if self.attempts == 0:
+        lowest = max(self.group_state.highest_promised_term, self.group_state.term) + 1
+        if self.failed_attempts == 0:
             return lowest
-        members = sorted(one.member for one in self.knowledge.group.members)
+        members = sorted(one.member for one in self.group_state.group.members)
         local = {home.member.member for home in self.homes()}
         places = [place for place, one in enumerate(members) if one in local]
         own = places[0] if places else 0
@@ -266,16 +287,20 @@
         """Record that a majority has promised."""
         self.timeline.record(
             EventKind.TERM_RAISED,
-            self.knowledge.group.name,
+            self.group_state.group.name,
             term=term,
             members=members,
         )
 
     def announce(
-        self, cause: Cause, former: str | None, promoted: Promoted, suspicion: float
+        self,
+        cause: PromotionCause,
+        former: str | None,
+        promoted: GroupPromotionResult,
+        suspicion_seconds: float,
     ) -> None:
         """Make the outcome known on this host."""
-        group = self.knowledge.group.name
+        group = self.group_state.group.name
         self.timeline.record(
             EventKind.PRIMARY_PROMOTED,
             group,
@@ -283,20 +308,20 @@
             primary=promoted.primary,
             former=former,
             cause=cause.value,
-            suspicion_ms=milliseconds(suspicion),
-            agreement_ms=milliseconds(promoted.agreement),
-            promotion_ms=milliseconds(promoted.promotion),
+            suspicion_ms=to_rounded_ms(suspicion_seconds),
+            agreement_ms=to_rounded_ms(promoted.agreement_seconds),
+            promotion_ms=to_rounded_ms(promoted.promotion_seconds),
         )
         self.metrics.increment("primary.promoted")
-        self.metrics.timing("primary.suspicion", suspicion)
-        self.metrics.timing("primary.agreement", promoted.agreement)
-        self.metrics.timing("primary.promotion", promoted.promotion)
+        self.metrics.timing("primary.suspicion", suspicion_seconds)
+        self.metrics.timing("primary.agreement", promoted.agreement_seconds)
+        self.metrics.timing("primary.promotion", promoted.promotion_seconds)
         log.notice(f"{group}: {promoted.primary} leads in term {promoted.term}")
-        self.knowledge.lead(promoted.term, promoted.primary)
-        self.on_outcome(Outcome(group, promoted.term, promoted.primary))
+        self.group_state.record_leader(promoted.term, promoted.primary)
+        self.on_primary_change(PrimaryChange(group, promoted.term, promoted.primary))
 
-    def failed(
-        self, cause: Cause, step: str, detail: str, term: int | None = None
+    def record_failure(
+        self, cause: PromotionCause, step: str, detail: str, term: int | None = None
     ) -> None:
         """Count an attempt that came to nothing; record it once while it repeats."""
         self.metrics.increment("primary.attempt_failed")
@@ -306,7 +331,7 @@
         self.last_failure = failure
         self.timeline.record(
             EventKind.PROMOTION_FAILED,
-            self.knowledge.group.name,
+            self.group_state.group.name,
             cause=cause.value,
             step=step,
             reason=detail,
@@ -315,17 +340,19 @@
 
     async def back_off(self) -> None:
         """Wait longer after each failure, with jitter, lest two keep clashing."""
-        limit = min(BACKOFF * 2.0**self.attempts, BACKOFF_LIMIT)
+        limit = min(
+            INITIAL_BACKOFF_SECONDS * 2.0**self.failed_attempts, MAX_BACKOFF_SECONDS
+        )
         await self.clock.sleep(limit * (0.5 + self.random.random()))
 
 
-def avoided(cause: Cause, former: str | None) -> frozenset[str]:
+def members_to_avoid(cause: PromotionCause, former: str | None) -> frozenset[str]:
     """Return the members that the cause speaks against."""
-    if former is None or cause in (Cause.FENCED, Cause.LEADERLESS):
+    if former is None or cause in (PromotionCause.FENCED, PromotionCause.LEADERLESS):
         return frozenset()
     return frozenset({former})
 
 
-def milliseconds(seconds: float) -> float:
+def to_rounded_ms(seconds: float) -> float:
     """Return `seconds` in milliseconds, rounded for people."""
     return round(seconds * 1000, 2)
--- a/src/reedhook/process/groups/durability.py
+++ b/src/reedhook/process/groups/durability.py
@@ -9,9 +9,9 @@
 from ...connection.target import MemberState
 from ...request.position import ORIGIN, Position
 
-PRUNE_AT: Final = 1024
+WAITER_PRUNE_LIMIT: Final = 1024
 
-Waiter: TypeAlias = "asyncio.Future[bool]"
+DurabilityWaiter: TypeAlias = "asyncio.Future[bool]"
 
 
 def durable_position(
@@ -36,62 +36,62 @@
     return held[majority - 1]
 
 
-class Durability:
+class DurabilityTracker:
     """Know what is durable at the current term and wake those who wait.
 
     :ivar term: the highest leader term known.
-    :ivar mark: the last position known to be durable.
+    :ivar watermark: the last position known to be durable.
     """
 
-    __slots__ = ("term", "mark", "waiters", "order", "prune_at")
+    __slots__ = ("term", "watermark", "waiters", "order", "prune_at")
 
     def __init__(self) -> None:
         self.term = 0
-        self.mark = ORIGIN
-        self.waiters: list[tuple[Position, int, Waiter]] = []
+        self.watermark = ORIGIN
+        self.waiters: list[tuple[Position, int, DurabilityWaiter]] = []
         self.order = count()
-        self.prune_at = PRUNE_AT
+        self.prune_at = WAITER_PRUNE_LIMIT
 
-    def holds(self, position: Position) -> bool:
+    def is_durable(self, position: Position) -> bool:
         """Say whether `position` is known to be durable.
 
         A mark of a later term says nothing of an earlier term's last entries,
         which the later primary may lack.
         """
-        return position.term == self.mark.term and self.mark.covers(position)
+        return position.term == self.watermark.term and self.watermark.covers(position)
 
-    def superseded(self, position: Position) -> bool:
+    def is_superseded(self, position: Position) -> bool:
         """Say whether a later term leaves the fate of `position` unknown."""
-        return position.term < self.term and not self.holds(position)
+        return position.term < self.term and not self.is_durable(position)
 
-    def advance(self, mark: Position) -> bool:
+    def advance(self, watermark: Position) -> bool:
         """Take note that `mark` is durable; return whether that is news."""
-        if mark <= self.mark:
+        if watermark <= self.watermark:
             return False
-        self.mark = mark
-        self.enter(mark.term)
-        while self.waiters and self.waiters[0][0] <= mark:
+        self.watermark = watermark
+        self.enter_term(watermark.term)
+        while self.waiters and self.waiters[0][0] <= watermark:
             position, _, waiter = heapq.heappop(self.waiters)
-            settle(waiter, position.term == mark.term)
+            resolve_waiter(waiter, position.term == watermark.term)
         return True
 
-    def enter(self, term: int) -> None:
+    def enter_term(self, term: int) -> None:
         """Take note of a leader term; waits of lower terms end at once."""
         if term <= self.term:
             return
         self.term = term
         while self.waiters and self.waiters[0][0].term < term:
-            settle(heapq.heappop(self.waiters)[2], False)
+            resolve_waiter(heapq.heappop(self.waiters)[2], False)
 
-    def waited(self) -> bool:
+    def has_waiters(self) -> bool:
         """Say whether anybody waits for a position to become durable."""
         return any(not waiter.done() for _, _, waiter in self.waiters)
 
-    def abandon(self) -> None:
+    def abandon_waits(self) -> None:
         """End all waits, as nothing becomes durable for some time."""
         waiters, self.waiters = self.waiters, []
         for _, _, waiter in waiters:
-            settle(waiter, False)
+            resolve_waiter(waiter, False)
 
     async def wait(self, position: Position, timeout: float) -> bool:
         """Return True once `position` is durable, False if given up before.
@@ -100,25 +100,25 @@
 
         :raises TimeoutError: after `timeout` seconds.
         """
-        if self.holds(position):
+        if self.is_durable(position):
             return True
-        if self.superseded(position):
+        if self.is_superseded(position):
             return False
-        waiter: Waiter = asyncio.get_running_loop().create_future()
+        waiter: DurabilityWaiter = asyncio.get_running_loop().create_future()
         self.push(position, waiter)
         async with asyncio.timeout(timeout):
             return await waiter
 
-    def push(self, position: Position, waiter: Waiter) -> None:
+    def push(self, position: Position, waiter: DurabilityWaiter) -> None:
         """Queue `waiter`, and drop those that gave up once they are many."""
         if len(self.waiters) >= self.prune_at:
             self.waiters = [one for one in self.waiters if not one[2].done()]
             heapq.heapify(self.waiters)
-            self.prune_at = max(PRUNE_AT, 2 * len(self.waiters))
+            self.prune_at = max(WAITER_PRUNE_LIMIT, 2 * len(self.waiters))
         heapq.heappush(self.waiters, (position, next(self.order), waiter))
 
 
-def settle(waiter: Waiter, durable: bool) -> None:
+def resolve_waiter(waiter: DurabilityWaiter, durable: bool) -> None:
     """Answer `waiter` unless it has given up."""
     if not waiter.done():
         waiter.set_result(durable)
--- a/src/reedhook/process/groups/group.py
+++ b/src/reedhook/process/groups/group.py
@@ -16,33 +16,38 @@
 from ...request.view import GroupView
 from ...version.catalog import Group
 from ..events.timeline import EventKind, Timeline
-from .confirmation import Confirmation, Lead
-from .control import Control, Controller, Op, PeerController
-from .coordinator import Coordinator, OutcomeCallback, milliseconds
-from .guard import Guard, HostLostCallback
-from .handover import HandOver
-from .knowledge import Knowledge
-from .proofs import Proofs
-from .report import Report, ReportAnswer, Reporter
-from .sampling import Sampling
-from .suspicion import Verifier
-
-CONFIRM_TIMEOUT: Final = 0.25
-CONFIRM_AGAIN: Final = 0.01
-CONFIRM_SLOW: Final = 0.1
-UNHEARD_AFTER: Final = 0.5
-LOOK_AFTER_LEAD: Final = 0.1
-VIEW_INTERVAL: Final = 1.0
-RETRY_SOON_MS: Final = 50
-RETRY_UNSAFE_MS: Final = 250
+from .confirmation import GroupLeader, LeaderConfirmation
+from .control import (
+    ControlOperation,
+    MemberController,
+    MemberControlRequest,
+    PeerMemberController,
+)
+from .coordinator import GroupPromotionCoordinator, PrimaryChangeCallback, to_rounded_ms
+from .guard import HostLostCallback, PrimaryMonitor
+from .handover import PlannedHandover
+from .knowledge import GroupState
+from .proofs import PendingProofs
+from .report import ReplicaReport, ReplicaReportAnswer, ReplicaReporter
+from .sampling import PrimarySampler
+from .suspicion import PrimaryProber
+
+CONFIRM_TIMEOUT_SECONDS: Final = 0.25
+CONFIRM_RETRY_DELAY_SECONDS: Final = 0.01
+CONFIRM_WRITES_SLOWER_THAN_SECONDS: Final = 0.1
+MEMBER_SILENT_AFTER_SECONDS: Final = 0.5
+ISOLATION_CHECK_INTERVAL_SECONDS: Final = 0.1
+VIEW_INTERVAL_SECONDS: Final = 1.0
+RETRY_AFTER_MS: Final = 50
+RETRY_NOT_DURABLE_MS: Final = 250
 RETRY_ISOLATED_MS: Final = 100
 
 
-class GroupKeeper:
+class GroupManager:
     """Answer for one group on a host that is home of one of its members.
 
     :param homes: returns the local homes of the group's members.
-    :param on_outcome: is told of each change of primary made here.
+    :param on_primary_change: is told of each change of primary made here.
     :param on_host_lost: is told when a home seems dead and its target lives.
     :ivar view: what this host knows of the group.
     """
@@ -57,9 +62,9 @@
         random: Random,
         timeline: Timeline,
         metrics: Metrics,
-        on_outcome: OutcomeCallback,
+        on_primary_change: PrimaryChangeCallback,
         on_host_lost: HostLostCallback | None = None,
-        controller: Controller | None = None,
+        controller: MemberController | None = None,
     ) -> None:
         self.group = group
         self.homes = homes
@@ -68,18 +73,18 @@
         self.clock = clock
         self.timeline = timeline
         self.metrics = metrics
-        self.knowledge = Knowledge(group, clock)
-        self.knowledge.on_leader.append(self.leader_learned)
-        self.knowledge.on_durable.append(self.durable_grew)
-        self.controller = controller or PeerController(
+        self.group_state = GroupState(group, clock)
+        self.group_state.on_leader.append(self.on_leader_change)
+        self.group_state.on_durable.append(self.on_watermark_advance)
+        self.controller = controller or PeerMemberController(
             group, self.home, directory, peers
         )
-        self.reporter = Reporter(
-            self.knowledge, homes, directory, peers, clock, self.doubt
+        self.reporter = ReplicaReporter(
+            self.group_state, homes, directory, peers, clock, self.request_primary_check
         )
-        self.verifier = Verifier(group, directory, peers)
-        self.coordinator = Coordinator(
-            self.knowledge,
+        self.prober = PrimaryProber(group, directory, peers)
+        self.coordinator = GroupPromotionCoordinator(
+            self.group_state,
             self.controller,
             homes,
             directory,
@@ -87,12 +92,12 @@
             random,
             timeline,
             metrics,
-            on_outcome,
+            on_primary_change,
         )
-        self.guard = Guard(
-            self.knowledge,
+        self.primary_monitor = PrimaryMonitor(
+            self.group_state,
             self.reporter,
-            self.verifier,
+            self.prober,
             self.coordinator,
             directory,
             clock,
@@ -100,92 +105,94 @@
             metrics,
             on_host_lost,
         )
-        self.confirmation = Confirmation(
+        self.confirmation = LeaderConfirmation(
             [member.member for member in group.members],
             group.majority,
-            self.ask,
-            self.known_lead,
-            self.knowledge.samples.add,
+            self.request_state,
+            self.known_leader,
+            self.group_state.samples.add,
             clock,
-            CONFIRM_TIMEOUT,
+            CONFIRM_TIMEOUT_SECONDS,
+        )
+        self.planned_handover = PlannedHandover(
+            self.group_state, self.coordinator, clock
         )
-        self.handing = HandOver(self.knowledge, self.coordinator, clock)
         self.tasks: list[asyncio.Task[None]] = []
-        self.sampling = Sampling(
-            self.knowledge, self.reporter, self.confirmation, self.local_lead, clock
+        self.sampler = PrimarySampler(
+            self.group_state, self.reporter, self.confirmation, self.local_leader, clock
         )
-        self.asking: asyncio.Task[None] | None = None
-        self.proofs = Proofs()
-        self.learned_at = 0.0
+        self.state_polling: asyncio.Task[None] | None = None
+        self.pending_proofs = PendingProofs()
+        self.leader_changed_at = 0.0
         self.resumed = 0
         self.leader_news = asyncio.Event()
-        self.alone = False
-        self.heard: dict[str, float] = {}
-        self.told: dict[str, float] = {}
+        self.isolation_detected = False
+        self.last_report_at: dict[str, float] = {}
+        self.last_view_sent_at: dict[str, float] = {}
 
     @property
     def view(self) -> GroupView:
         """Return what this host knows of the group."""
-        return self.knowledge.view
+        return self.group_state.view
 
     async def start(self) -> None:
         """Begin to follow the local members and to watch the primary."""
         self.tasks = [
-            asyncio.create_task(self.guard.run()),
-            asyncio.create_task(self.look_after_lead()),
+            asyncio.create_task(self.primary_monitor.run()),
+            asyncio.create_task(self.monitor_isolation()),
         ]
         self.refresh()
-        self.doubt()
+        self.request_primary_check()
 
     def refresh(self) -> None:
         """Take note that the set of local homes may have changed."""
         self.reporter.refresh()
-        if self.knowledge.durability.waited():
-            self.ask_if_unreported()
+        if self.group_state.durability.has_waiters():
+            self.start_state_polling()
 
     async def retire(self) -> None:
         """Close once the proofs in progress have ended; they have deadlines."""
         for task in self.tasks:
             task.cancel()
         self.refresh()
-        await self.proofs.ended()
+        await self.pending_proofs.wait_until_idle()
         await self.close()
 
     async def close(self) -> None:
         """Stop; the members are left as they are."""
         self.reporter.close()
         self.confirmation.close()
-        self.sampling.close()
-        for task in [*self.tasks, self.asking]:
+        self.sampler.close()
+        for task in [*self.tasks, self.state_polling]:
             if task is not None:
                 task.cancel()
 
-    def doubt(self) -> None:
+    def request_primary_check(self) -> None:
         """Have the guard look at the primary soon."""
-        self.guard.doubt()
+        self.primary_monitor.request_check()
 
     def home(self, member: str | None) -> Home | None:
         """Return the local home of `member`, or None."""
         return self.reporter.home(member)
 
-    def known_lead(self) -> Lead | None:
+    def known_leader(self) -> GroupLeader | None:
         """Return the leader that is known."""
-        primary = self.knowledge.primary
-        return None if primary is None else Lead(self.knowledge.term, primary)
+        primary = self.group_state.primary
+        return None if primary is None else GroupLeader(self.group_state.term, primary)
 
-    def local_lead(self) -> Lead | None:
+    def local_leader(self) -> GroupLeader | None:
         """Return the leader if its home is here."""
-        if self.home(self.knowledge.primary) is None:
+        if self.home(self.group_state.primary) is None:
             return None
-        return self.known_lead()
+        return self.known_leader()
 
     # Proofs for statements
 
-    def wrote(self, member: str, position: Position) -> None:
+    def record_write(self, member: str, position: Position) -> None:
         """Learn from the answer to a write."""
-        self.knowledge.note_write(member, position)
+        self.group_state.record_write(member, position)
 
-    async def durable(
+    async def wait_until_durable(
         self, position: Position, timeout: float, since: float | None = None
     ) -> None:
         """Return once a majority holds `position` at its term.
@@ -201,46 +208,56 @@
         """
         begun = self.clock.monotonic() if since is None else since
         try:
-            async with self.proofs, asyncio.timeout(timeout):
-                self.ask_if_unreported()
-                held = await self.knowledge.durability.wait(position, timeout)
-                if held and self.clock.monotonic() - begun > CONFIRM_SLOW:
-                    held = await self.led(self.request_confirmation(), position.term)
+            async with self.pending_proofs, asyncio.timeout(timeout):
+                self.start_state_polling()
+                held = await self.group_state.durability.wait(position, timeout)
+                if (
+                    held
+                    and self.clock.monotonic() - begun
+                    > CONFIRM_WRITES_SLOWER_THAN_SECONDS
+                ):
+                    held = await self.wait_until_leadership_confirmed(
+                        self.request_confirmation(), position.term
+                    )
         except TimeoutError:
             self.metrics.increment("group.not_durable")
             raise may_have_run(
                 RefusalReason.NOT_DURABLE,
                 "applied, not yet safe: no majority holds it in time",
-                RETRY_UNSAFE_MS,
+                RETRY_NOT_DURABLE_MS,
             ) from None
         if not held:
-            self.check_reach()
+            self.check_majority_reachable()
             self.metrics.increment("group.superseded")
             raise may_have_run(
                 RefusalReason.SUPERSEDED,
                 "the primary was superseded before the write was known to be safe",
-                RETRY_SOON_MS,
+                RETRY_AFTER_MS,
             )
 
-    def ask_if_unreported(self) -> None:
+    def start_state_polling(self) -> None:
         """Ask the members while somebody waits and their reports go elsewhere.
 
         A commit may end here after the primary's home has moved.
         """
-        if self.local_lead() is None and (self.asking is None or self.asking.done()):
-            self.asking = asyncio.create_task(self.ask_while_waited())
+        if self.local_leader() is None and (
+            self.state_polling is None or self.state_polling.done()
+        ):
+            self.state_polling = asyncio.create_task(self.poll_member_states())
 
-    async def ask_while_waited(self) -> None:
+    async def poll_member_states(self) -> None:
         """Learn the members' states by rounds until nobody waits here for them."""
-        while self.knowledge.durability.waited() and self.local_lead() is None:
-            await self.confirmation.wait(self.confirmation.request())
-            await self.clock.sleep(CONFIRM_AGAIN)
+        while self.group_state.durability.has_waiters() and self.local_leader() is None:
+            await self.confirmation.wait_for_round(self.confirmation.request_round())
+            await self.clock.sleep(CONFIRM_RETRY_DELAY_SECONDS)
 
     def request_confirmation(self) -> int:
         """Return the ticket of a confirmation that begins from now on."""
-        return self.confirmation.request()
+        return self.confirmation.request_round()
 
-    async def confirmed(self, ticket: int, position: Position, timeout: float) -> None:
+    async def wait_until_confirmed(
+        self, round_number: int, position: Position, timeout: float
+    ) -> None:
         """Return once the primary is proved to have led after the ticket.
 
         The position that the read saw must be durable too, lest a change of
@@ -249,9 +266,13 @@
         :raises Refusal: ``unconfirmed``; a read has no effect.
         """
         try:
-            async with self.proofs, asyncio.timeout(timeout):
-                held = await self.led(ticket, position.term)
-                held = held and await self.knowledge.durability.wait(position, timeout)
+            async with self.pending_proofs, asyncio.timeout(timeout):
+                held = await self.wait_until_leadership_confirmed(
+                    round_number, position.term
+                )
+                held = held and await self.group_state.durability.wait(
+                    position, timeout
+                )
         except TimeoutError:
             held = False
         if not held:
@@ -259,54 +280,59 @@
             raise not_run(
                 RefusalReason.UNCONFIRMED,
                 "no majority confirms that the primary still leads",
-                RETRY_SOON_MS,
+                RETRY_AFTER_MS,
             )
 
-    async def led(self, ticket: int, term: int) -> bool:
+    async def wait_until_leadership_confirmed(
+        self, round_number: int, term: int
+    ) -> bool:
         """Prove that the primary of `term` led after the ticket was taken.
 
         A round that fails is followed by another one, which proves more.
 
         :returns: False if a later term is known.
         """
-        await self.confirmation.wait(ticket)
-        while not self.confirmation.confirms(ticket, term):
-            if self.knowledge.term > term or self.isolated:
+        await self.confirmation.wait_for_round(round_number)
+        while not self.confirmation.is_confirmed(round_number, term):
+            if self.group_state.term > term or self.isolated:
                 return False
-            await self.clock.sleep(CONFIRM_AGAIN)
-            await self.confirmation.wait(self.confirmation.request())
+            await self.clock.sleep(CONFIRM_RETRY_DELAY_SECONDS)
+            await self.confirmation.wait_for_round(self.confirmation.request_round())
         return True
 
     def age(self, applied: Position) -> float | None:
         """Return the proved upper bound of the age of `applied`, in seconds."""
-        return self.knowledge.age(applied)
+        return self.group_state.age(applied)
 
     # Questions of other hosts
 
-    async def on_report(self, report: Report) -> ReportAnswer:
+    async def on_report(self, report: ReplicaReport) -> ReplicaReportAnswer:
         """Learn from a report and answer it."""
         now = self.clock.monotonic()
-        self.knowledge.absorb(report.state, now)
-        self.heard[report.state.member] = now
-        if report.want is not None:
-            await self.sampling.serve(report.want, report.prompt)
+        self.group_state.merge_state(report.state, now)
+        self.last_report_at[report.state.member] = now
+        if report.wanted_age is not None:
+            await self.sampler.keep_sampling(report.wanted_age, report.wait_for_sample)
         return self.report_answer(report.state.member)
 
-    def report_answer(self, member: str) -> ReportAnswer:
+    def report_answer(self, member: str) -> ReplicaReportAnswer:
         """Return what the home of `member` should know.
 
         What is known of the other members goes along once a second.
         """
         view = GroupView(self.group.name, self.view.term, self.view.primary)
         now = self.clock.monotonic()
-        if now - self.told.get(member, -VIEW_INTERVAL) >= VIEW_INTERVAL:
-            self.told[member] = now
+        if (
+            now - self.last_view_sent_at.get(member, -VIEW_INTERVAL_SECONDS)
+            >= VIEW_INTERVAL_SECONDS
+        ):
+            self.last_view_sent_at[member] = now
             self.refresh_view()
             view = self.view
-        home = self.home(self.knowledge.primary)
-        return ReportAnswer(
+        home = self.home(self.group_state.primary)
+        return ReplicaReportAnswer(
             view,
-            self.knowledge.samples.newest,
+            self.group_state.samples.newest,
             home is not None,
             home is None or home.unreachable_since is None,
         )
@@ -314,7 +340,7 @@
     def refresh_view(self) -> None:
         """Bring the view of the local members up to date."""
         for home in self.homes():
-            self.reporter.learn(home)
+            self.reporter.merge_local_state(home)
 
     async def on_confirm(self, member: str) -> MemberState:
         """Ask the local target `member` for a state sent from now on.
@@ -326,21 +352,26 @@
             raise not_run(RefusalReason.WRONG_HOME, f"{member} is not at home here")
         asked = self.clock.monotonic()
         try:
-            state = await home.fetch_state(CONFIRM_TIMEOUT)
+            state = await home.fetch_state(CONFIRM_TIMEOUT_SECONDS)
         except TargetError as error:
             raise not_run(RefusalReason.TARGET_UNREACHABLE, str(error)) from error
-        self.knowledge.absorb(state, asked)
+        self.group_state.merge_state(state, asked)
         return state
 
-    def controlled(self, order: Control, state: MemberState, asked: float) -> None:
+    def on_control(
+        self, request: MemberControlRequest, state: MemberState, asked: float
+    ) -> None:
         """Learn from an order that another host gave to a local member."""
-        if order.op is Op.FOLLOW and state.leader_term == order.term:
-            self.knowledge.lead(order.term, order.primary)
-        self.knowledge.absorb(state, asked)
+        if (
+            request.operation is ControlOperation.FOLLOW
+            and state.leader_term == request.term
+        ):
+            self.group_state.record_leader(request.term, request.primary)
+        self.group_state.merge_state(state, asked)
 
     # Confirmation
 
-    async def ask(self, member: str, timeout: float) -> MemberState | None:
+    async def request_state(self, member: str, timeout: float) -> MemberState | None:
         """Ask `member` for a state sent from now on, at its home."""
         try:
             if self.home(member) is not None:
@@ -358,41 +389,43 @@
         body = {"group": self.group.name, "member": member, "term": self.view.term}
         answer = await self.peers.call(host, "confirm", body, timeout)
         state = MemberState.from_json(answer["state"])
-        self.knowledge.merge(GroupView.from_json(answer["view"], asked))
-        self.knowledge.absorb(state, asked)
-        self.heard[member] = self.clock.monotonic()
+        self.group_state.merge(GroupView.from_json(answer["view"], asked))
+        self.group_state.merge_state(state, asked)
+        self.last_report_at[member] = self.clock.monotonic()
         return state
 
     # Change of primary
 
-    async def look_after_lead(self) -> None:
+    async def monitor_isolation(self) -> None:
         """Ask the other members when a local primary hears nothing of them.
 
         A primary that was cut off learns so that it has been superseded. If
         none answers, those who wait for a proof get their answer at once.
         """
         while True:
-            await self.clock.sleep(LOOK_AFTER_LEAD)
-            lead = self.local_lead()
-            if lead is None or self.hears_majority():
-                self.alone = False
+            await self.clock.sleep(ISOLATION_CHECK_INTERVAL_SECONDS)
+            lead = self.local_leader()
+            if lead is None or self.majority_reported_recently():
+                self.isolation_detected = False
                 continue
-            await self.confirmation.wait(self.confirmation.request())
+            await self.confirmation.wait_for_round(self.confirmation.request_round())
             if self.confirmation.stalled:
                 # Answers may lie unread in this process: nothing is known yet.
                 continue
             # Who was heard just now is not alone, also if a stall of this process
             # makes the next reports late before the next look.
-            self.alone = self.local_lead() == lead and not self.hears_majority()
+            self.isolation_detected = (
+                self.local_leader() == lead and not self.majority_reported_recently()
+            )
             if self.isolated:
-                self.knowledge.durability.abandon()
+                self.group_state.durability.abandon_waits()
 
     @property
     def isolated(self) -> bool:
         """Say whether a local primary was found to reach no majority."""
-        return self.alone and not self.hears_majority()
+        return self.isolation_detected and not self.majority_reported_recently()
 
-    def check_reach(self) -> None:
+    def check_majority_reachable(self) -> None:
         """Refuse a write while no majority can be reached.
 
         It is not sent to the target, but an earlier one of its request id may
@@ -409,17 +442,19 @@
             RETRY_ISOLATED_MS,
         )
 
-    def hears_majority(self) -> bool:
+    def majority_reported_recently(self) -> bool:
         """Say whether enough members reported lately to make a majority.
 
         A new primary's home has yet to be found by the others.
         """
         now = self.clock.monotonic()
-        if now - self.learned_at < UNHEARD_AFTER:
+        if now - self.leader_changed_at < MEMBER_SILENT_AFTER_SECONDS:
             return True
         local = {home.member.member for home in self.homes()}
         heard = {
-            member for member, at in self.heard.items() if now - at < UNHEARD_AFTER
+            member
+            for member, at in self.last_report_at.items()
+            if now - at < MEMBER_SILENT_AFTER_SECONDS
         }
         return len(local | heard) >= self.group.majority
 
@@ -428,52 +463,54 @@
 
         :returns: whether another member leads now.
         """
-        return await self.handing.run(timeout)
+        return await self.planned_handover.run(timeout)
 
-    async def newer_leader(self, term: int, primary: str | None, hold: float) -> None:
+    async def wait_for_newer_leader(
+        self, term: int, primary: str | None, hold: float
+    ) -> None:
         """Wait up to `hold` seconds for a leader that an asker does not know.
 
         :param term: the term that the asker knows, with its primary if known.
         """
         try:
             async with asyncio.timeout(hold):
-                while not self.newer(term, primary):
+                while not self.knows_newer_leader(term, primary):
                     await self.leader_news.wait()
         except TimeoutError:
             return
 
-    def newer(self, term: int, primary: str | None) -> bool:
+    def knows_newer_leader(self, term: int, primary: str | None) -> bool:
         """Say whether a leader is known here that is news to an asker."""
-        if self.knowledge.primary is None:
+        if self.group_state.primary is None:
             return False
-        return self.knowledge.term > term or (
-            self.knowledge.term == term and primary is None
+        return self.group_state.term > term or (
+            self.group_state.term == term and primary is None
         )
 
-    def leader_learned(self, term: int, primary: str) -> None:
+    def on_leader_change(self, term: int, primary: str) -> None:
         """Act on a new leader."""
         self.leader_news.set()
         self.leader_news = asyncio.Event()
-        self.learned_at = self.clock.monotonic()
+        self.leader_changed_at = self.clock.monotonic()
         self.reporter.reset()
         self.timeline.record(
             EventKind.PRIMARY_LEARNED, self.group.name, term=term, primary=primary
         )
 
-    def durable_grew(self, mark: Position) -> None:
+    def on_watermark_advance(self, watermark: Position) -> None:
         """Record when the first entry of a term is durable."""
-        if mark.term <= self.resumed:
+        if watermark.term <= self.resumed:
             return
-        former, self.resumed = self.resumed, mark.term
-        if self.local_lead() is None:
+        former, self.resumed = self.resumed, watermark.term
+        if self.local_leader() is None:
             return
-        since = self.clock.monotonic() - self.learned_at
+        since = self.clock.monotonic() - self.leader_changed_at
         if former:
             self.metrics.timing("primary.first_write", since)
         self.timeline.record(
             EventKind.WRITES_RESUMED,
             self.group.name,
-            term=mark.term,
-            primary=self.knowledge.primary,
-            after_learned_ms=milliseconds(since),
+            term=watermark.term,
+            primary=self.group_state.primary,
+            after_learned_ms=to_rounded_ms(since),
         )
--- a/src/reedhook/process/groups/grouproutes.py
+++ b/src/reedhook/process/groups/grouproutes.py
@@ -14,38 +14,43 @@
 from ...request.view import GroupViewRequest
 from ...version.catalog import Catalog, Group, Member
 from ...wire import Json, text
-from .control import Control, Op, at_home, at_target
-from .group import GroupKeeper
-from .report import Report
-from .suspicion import ASKED_HOSTS, Evidence
+from .control import (
+    ControlOperation,
+    MemberControlRequest,
+    control_at_home,
+    control_at_target,
+)
+from .group import GroupManager
+from .report import ReplicaReport
+from .suspicion import MAX_PROBED_HOSTS, PrimaryLiveness
 
-CONTROL_TIMEOUT: Final = 0.2
-PROBE_TIMEOUT: Final = 0.06
-MAX_HOLD: Final = 1.0
+CONTROL_TIMEOUT_SECONDS: Final = 0.2
+LOCAL_PROBE_TIMEOUT_SECONDS: Final = 0.06
+MAX_HOLD_SECONDS: Final = 1.0
 
 
 class GroupRoutes:
     """Hand the questions of other hosts to the right keeper or home.
 
     :param catalog: returns the configuration in force, or None.
-    :param homes: gives the local home of a member, or None.
-    :param keepers: gives the keeper of a group, or None.
+    :param find_home: gives the local home of a member, or None.
+    :param find_manager: gives the keeper of a group, or None.
     :param factory: opens a connection to a target that has no home here.
     """
 
     def __init__(
         self,
         catalog: Callable[[], Catalog | None],
-        homes: Callable[[str], Home | None],
-        keepers: Callable[[str], GroupKeeper | None],
+        find_home: Callable[[str], Home | None],
+        find_manager: Callable[[str], GroupManager | None],
         execution: StatementExecutor,
         factory: TargetFactory,
         directory: Directory,
         clock: Clock,
     ) -> None:
         self.catalog = catalog
-        self.homes = homes
-        self.keepers = keepers
+        self.find_home = find_home
+        self.find_manager = find_manager
         self.execution = execution
         self.factory = factory
         self.directory = directory
@@ -68,13 +73,13 @@
 
     async def report(self, body: Json) -> Json:
         """Take the report of a replica's home."""
-        report = Report.from_json(body)
-        answer = await self.keeper(report.group).on_report(report)
+        report = ReplicaReport.from_json(body)
+        answer = await self.require_manager(report.group).on_report(report)
         return answer.to_json(self.clock.monotonic())
 
     async def confirm(self, body: Json) -> Json:
         """Give the state that a local target has from now on."""
-        keeper = self.keeper(text(body, "group"))
+        keeper = self.require_manager(text(body, "group"))
         state = await keeper.on_confirm(text(body, "member"))
         return {
             "state": state.to_json(),
@@ -84,54 +89,60 @@
     async def view(self, body: Json) -> Json:
         """Give what is known of a group here, held open for a newer leader."""
         question = GroupViewRequest.from_json(body)
-        keeper = self.keeper(question.group)
+        keeper = self.require_manager(question.group)
         if question.long_poll_seconds > 0.0:
-            hold = min(question.long_poll_seconds, MAX_HOLD)
-            await keeper.newer_leader(question.term, question.primary, hold)
+            hold = min(question.long_poll_seconds, MAX_HOLD_SECONDS)
+            await keeper.wait_for_newer_leader(question.term, question.primary, hold)
         keeper.refresh_view()
         return {"view": keeper.view.to_json(self.clock.monotonic())}
 
     async def control(self, body: Json) -> Json:
         """Carry out a step of a change of primary at a member of this zone."""
-        order = Control.from_json(body)
+        order = MemberControlRequest.from_json(body)
         asked = self.clock.monotonic()
         group, member = self.find(order.member)
-        state = await self.obey(order, member)
-        keeper = self.keepers(group.name)
+        state = await self.execute_control(order, member)
+        keeper = self.find_manager(group.name)
         if keeper is not None:
-            keeper.controlled(order, state, asked)
+            keeper.on_control(order, state, asked)
         return {"state": state.to_json()}
 
-    async def obey(self, order: Control, member: Member) -> MemberState:
+    async def execute_control(
+        self, request: MemberControlRequest, member: Member
+    ) -> MemberState:
         """Use the local home, or as a standby a connection of its own."""
-        home = self.homes(order.member)
+        home = self.find_home(request.member)
         if home is not None:
-            return await at_home(home, order, CONTROL_TIMEOUT)
+            return await control_at_home(home, request, CONTROL_TIMEOUT_SECONDS)
         self.check_standby(member)
-        return await at_target(self.factory, member, order, CONTROL_TIMEOUT)
+        return await control_at_target(
+            self.factory, member, request, CONTROL_TIMEOUT_SECONDS
+        )
 
     async def probe(self, body: Json) -> Json:
         """Say whether a target answers, from as near as this host can look."""
         group, member = self.find(text(body, "member"))
-        home = self.homes(member.member)
+        home = self.find_home(member.member)
         if home is not None:
-            return {"alive": await answers(home), "home": True}
-        if self.stands_by(member):
-            return {"alive": await self.answers_here(member), "home": False}
-        keeper = self.keepers(group.name)
+            return {"alive": await is_target_alive(home), "home": True}
+        if self.is_standby(member):
+            return {"alive": await self.probe_unowned_target(member), "home": False}
+        keeper = self.find_manager(group.name)
         if keeper is None or not body.get("relay"):
             raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
-        evidence = await keeper.verifier.relayed(member.member)
+        evidence = await keeper.prober.probe_for_peer(member.member)
         return {
-            "alive": evidence is not Evidence.LOST,
-            "home": evidence is Evidence.ALIVE,
+            "alive": evidence is not PrimaryLiveness.LOST,
+            "home": evidence is PrimaryLiveness.ALIVE,
         }
 
-    async def answers_here(self, member: Member) -> bool:
+    async def probe_unowned_target(self, member: Member) -> bool:
         """Say whether a target without a home here answers on a new connection."""
-        order = Control(member.member, Op.STATE)
+        order = MemberControlRequest(member.member, ControlOperation.STATE)
         try:
-            await at_target(self.factory, member, order, PROBE_TIMEOUT)
+            await control_at_target(
+                self.factory, member, order, LOCAL_PROBE_TIMEOUT_SECONDS
+            )
         except RefusalError:
             return False
         return True
@@ -147,38 +158,38 @@
             raise not_run(RefusalReason.WRONG_HOME, f"no member {member} is known here")
         return found
 
-    def keeper(self, group: str) -> GroupKeeper:
+    def require_manager(self, group: str) -> GroupManager:
         """Return the keeper of `group`.
 
         :raises Refusal: if no member of it is at home here.
         """
-        keeper = self.keepers(group)
+        keeper = self.find_manager(group)
         if keeper is None:
             raise not_run(
                 RefusalReason.WRONG_HOME, f"no member of {group} is at home here"
             )
         return keeper
 
-    def stands_by(self, member: Member) -> bool:
+    def is_standby(self, member: Member) -> bool:
         """Say whether this host is among the first that serve a target."""
         me = self.directory.me.host
         ranked = self.directory.ranked(member.member, member.zone)
-        return me in [host.host for host in ranked[:ASKED_HOSTS]]
+        return me in [host.host for host in ranked[:MAX_PROBED_HOSTS]]
 
     def check_standby(self, member: Member) -> None:
         """Refuse what only a host near the target may do."""
-        if not self.stands_by(member):
+        if not self.is_standby(member):
             raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
 
 
-async def answers(home: Home) -> bool:
+async def is_target_alive(home: Home) -> bool:
     """Say whether the target of a local home answers.
 
     A target that is only slow still counts, until its home has tried a new
     connection in vain.
     """
     try:
-        await home.fetch_state(PROBE_TIMEOUT)
+        await home.fetch_state(LOCAL_PROBE_TIMEOUT_SECONDS)
     except TargetError:
         return home.unreachable_since is None
     return True
--- a/src/reedhook/process/groups/handover.py
+++ b/src/reedhook/process/groups/handover.py
@@ -4,52 +4,55 @@
 from typing import Final
 
 from ...clock import Clock
-from .coordinator import Coordinator
-from .knowledge import Knowledge
-from .suspicion import Cause
+from .coordinator import GroupPromotionCoordinator
+from .knowledge import GroupState
+from .suspicion import PromotionCause
 
-CATCH_UP: Final = 0.5
-CATCH_UP_STEP: Final = 0.005
+MAX_CATCH_UP_WAIT_SECONDS: Final = 0.5
+CATCH_UP_POLL_INTERVAL_SECONDS: Final = 0.005
 
 
-class HandOver:
+class PlannedHandover:
     """Hold writes back while the lead moves to a replica that has them all."""
 
     def __init__(
-        self, knowledge: Knowledge, coordinator: Coordinator, clock: Clock
+        self,
+        group_state: GroupState,
+        coordinator: GroupPromotionCoordinator,
+        clock: Clock,
     ) -> None:
-        self.knowledge = knowledge
+        self.group_state = group_state
         self.coordinator = coordinator
         self.clock = clock
-        self.open = asyncio.Event()
-        self.open.set()
+        self.writes_allowed = asyncio.Event()
+        self.writes_allowed.set()
 
     async def run(self, timeout: float) -> bool:
         """Move the lead; return whether another member leads now."""
-        former = self.knowledge.primary
+        former = self.group_state.primary
         if former is None:
             return False
-        self.open.clear()
+        self.writes_allowed.clear()
         try:
             async with asyncio.timeout(timeout):
-                await self.caught_up(former)
-                while self.knowledge.primary == former:
-                    await self.coordinator.change(Cause.PLANNED, 0.0)
+                await self.wait_for_caught_up_replica(former)
+                while self.group_state.primary == former:
+                    await self.coordinator.change_primary(PromotionCause.PLANNED, 0.0)
         except TimeoutError:
             pass
         finally:
-            self.open.set()
-        return self.knowledge.primary not in (former, None)
+            self.writes_allowed.set()
+        return self.group_state.primary not in (former, None)
 
-    async def caught_up(self, former: str) -> None:
+    async def wait_for_caught_up_replica(self, former: str) -> None:
         """Wait a little for a replica that holds all that `former` holds."""
-        until = self.clock.monotonic() + CATCH_UP
-        while self.clock.monotonic() < until and not self.matched(former):
-            await self.clock.sleep(CATCH_UP_STEP)
+        until = self.clock.monotonic() + MAX_CATCH_UP_WAIT_SECONDS
+        while self.clock.monotonic() < until and not self.has_caught_up_replica(former):
+            await self.clock.sleep(CATCH_UP_POLL_INTERVAL_SECONDS)
 
-    def matched(self, former: str) -> bool:
+    def has_caught_up_replica(self, former: str) -> bool:
         """Say whether some replica holds all that `former` is known to hold."""
-        states = self.knowledge.states
+        states = self.group_state.states
         if former not in states:
             return True
         return any(
--- a/src/reedhook/process/groups/hint.py
+++ b/src/reedhook/process/groups/hint.py
@@ -7,19 +7,19 @@
 from ...clock import Clock
 from ...wire import WireError, decode, encode
 from ..configuring.store import Entry, Store, StoreConflict, StoreError
-from .coordinator import Outcome
+from .coordinator import PrimaryChange
 
-STORE_TIMEOUT: Final = 1.0
-FIRST_DELAY: Final = 0.5
-LONGEST_DELAY: Final = 30.0
+STORE_TIMEOUT_SECONDS: Final = 1.0
+INITIAL_RETRY_DELAY_SECONDS: Final = 0.5
+MAX_RETRY_DELAY_SECONDS: Final = 30.0
 
 
-def key_of(group: str) -> str:
+def primary_hint_key(group: str) -> str:
     """Return the store's key of a group's primary."""
     return f"primary/{group}"
 
 
-class OutcomeHints:
+class PrimaryHints:
     """Write outcomes to the store when it answers; nobody waits for it.
 
     Only the newest outcome of a group is kept while the store is down.
@@ -29,56 +29,60 @@
         self.store = store
         self.clock = clock
         self.random = random
-        self.pending: dict[str, Outcome] = {}
+        self.pending: dict[str, PrimaryChange] = {}
         self.task: asyncio.Task[None] | None = None
 
-    def publish(self, outcome: Outcome) -> None:
+    def publish(self, change: PrimaryChange) -> None:
         """Write `outcome` in the background."""
-        known = self.pending.get(outcome.group)
-        if known is not None and known.term >= outcome.term:
+        known = self.pending.get(change.group)
+        if known is not None and known.term >= change.term:
             return
-        self.pending[outcome.group] = outcome
+        self.pending[change.group] = change
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self.drain())
 
     async def drain(self) -> None:
         """Write what is pending, with growing pauses while the store is down."""
-        delay = FIRST_DELAY
+        delay = INITIAL_RETRY_DELAY_SECONDS
         while self.pending:
             outcome = next(iter(self.pending.values()))
             try:
                 await self.write(outcome)
             except StoreError:
                 await self.clock.sleep(delay * (0.5 + self.random.random()))
-                delay = min(2 * delay, LONGEST_DELAY)
+                delay = min(2 * delay, MAX_RETRY_DELAY_SECONDS)
                 continue
-            delay = FIRST_DELAY
+            delay = INITIAL_RETRY_DELAY_SECONDS
             if self.pending.get(outcome.group) == outcome:
                 del self.pending[outcome.group]
 
-    async def write(self, outcome: Outcome) -> None:
+    async def write(self, change: PrimaryChange) -> None:
         """Replace the hint unless it is of the same or a later term.
 
         :raises StoreError: if the store gave no usable answer.
         """
-        entry = await self.store.get(key_of(outcome.group), STORE_TIMEOUT)
-        known = outcome_of(entry, outcome.group)
-        if known is not None and known.term >= outcome.term:
+        entry = await self.store.get(
+            primary_hint_key(change.group), STORE_TIMEOUT_SECONDS
+        )
+        known = parse_hint(entry, change.group)
+        if known is not None and known.term >= change.term:
             return
         revision = 0 if entry is None else entry.revision
-        value = encode({"term": outcome.term, "primary": outcome.primary})
+        value = encode({"term": change.term, "primary": change.primary})
         try:
-            await self.store.put(key_of(outcome.group), value, revision, STORE_TIMEOUT)
+            await self.store.put(
+                primary_hint_key(change.group), value, revision, STORE_TIMEOUT_SECONDS
+            )
         except StoreConflict:
-            await self.write(outcome)
+            await self.write(change)
 
-    async def read(self, group: str) -> Outcome | None:
+    async def read(self, group: str) -> PrimaryChange | None:
         """Return the hint of a group, or None if there is none to be had."""
         try:
-            entry = await self.store.get(key_of(group), STORE_TIMEOUT)
+            entry = await self.store.get(primary_hint_key(group), STORE_TIMEOUT_SECONDS)
         except StoreError:
             return None
-        return outcome_of(entry, group)
+        return parse_hint(entry, group)
 
     async def close(self) -> None:
         """Stop writing."""
@@ -86,12 +90,12 @@
             self.task.cancel()
 
 
-def outcome_of(entry: Entry | None, group: str) -> Outcome | None:
+def parse_hint(entry: Entry | None, group: str) -> PrimaryChange | None:
     """Read a hint; one that cannot be read counts as none."""
     if entry is None:
         return None
     try:
         message = decode(entry.value)
-        return Outcome(group, int(message["term"]), str(message["primary"]))
+        return PrimaryChange(group, int(message["term"]), str(message["primary"]))
     except (WireError, KeyError, TypeError, ValueError):
         return None
--- a/src/reedhook/process/groups/homes.py
+++ b/src/reedhook/process/groups/homes.py
@@ -21,18 +21,18 @@
 
 HomeFactory: TypeAlias = Callable[[Group, Member, int], Home]
 
-TAKEOVER: Final = "takeover"
-TAKEOVER_TIMEOUT: Final = 1.0
-TAKEOVER_WAIT: Final = 0.5
+TAKEOVER_PATH: Final = "takeover"
+TAKEOVER_TIMEOUT_SECONDS: Final = 1.0
+TAKEOVER_WAIT_SECONDS: Final = 0.5
 # How long targets are kept for a host that said it would leave and did not.
-PROMISE: Final = 5.0
+TAKEOVER_VALIDITY_SECONDS: Final = 5.0
 # Hosts whose view is a little older still find the former home meanwhile.
-LINGER: Final = 0.2
-INTERVAL: Final = 5.0
-LEAST_GAP: Final = 0.002
+RELEASE_DELAY_SECONDS: Final = 0.2
+RECONCILE_INTERVAL_SECONDS: Final = 5.0
+MIN_RECONCILE_PAUSE_SECONDS: Final = 0.002
 # After a pass that took long, the next one waits many times as long.
-PACE: Final = 10.0
-GROWTH_AFTER: Final = 10.0
+RECONCILE_PAUSE_FACTOR: Final = 10.0
+GROWTH_AFTER_SECONDS: Final = 10.0
 
 log = logbook.Logger("homes")
 
@@ -44,15 +44,20 @@
     :ivar release_at: monotonic time at which it is to be released, or None.
     """
 
-    __slots__ = ("home", "group", "member", "share", "since", "release_at")
+    __slots__ = ("home", "group", "member", "connection_limit", "since", "release_at")
 
     def __init__(
-        self, home: Home, group: Group, member: Member, share: int, since: float
+        self,
+        home: Home,
+        group: Group,
+        member: Member,
+        connection_limit: int,
+        since: float,
     ) -> None:
         self.home = home
         self.group = group
         self.member = member
-        self.share = share
+        self.connection_limit = connection_limit
         self.since = since
         self.release_at: float | None = None
 
@@ -67,7 +72,7 @@
             self.group = self.home.group = group
 
 
-class Homes:
+class LocalHomes:
     """Keep a home for each target whose home this host is.
 
     :param make_home: makes a home from group, member and share.
@@ -100,16 +105,16 @@
         self.closed: dict[str, Home] = {}
         self.closers: set[asyncio.Task[None]] = set()
         self.former: dict[str, HostRef | None] = {}
-        self.promises: dict[str, tuple[str, float]] = {}
+        self.takeover_requests: dict[str, tuple[str, float]] = {}
         self.draining = False
-        self.wake = asyncio.Event()
-        self.passed = asyncio.Event()
+        self.change_event = asyncio.Event()
+        self.reconciled_event = asyncio.Event()
         self.callbacks: list[Callable[[], None]] = []
-        directory.subscribe(self.wake.set)
+        directory.subscribe(self.change_event.set)
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(TAKEOVER, self.answer_takeover)
+        routes.add(TAKEOVER_PATH, self.handle_takeover)
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call `callback` after each change of the set of homes."""
@@ -122,7 +127,7 @@
         self.limits = catalog.limits
         for held in self.held.values():
             held.home.update_limits(catalog.limits)
-        self.wake.set()
+        self.change_event.set()
 
     def get(self, member: str) -> Home | None:
         """Return the home of `member` if it is here and takes new work."""
@@ -137,13 +142,13 @@
         """Return former homes of `member` in which transactions may still end."""
         return list(self.closing.get(member, ()))
 
-    def in_use(self, group: str) -> list[Home]:
+    def open_and_closing_homes(self, group: str) -> list[Home]:
         """Return the homes of `group` here, with former ones that still close."""
         closing = [home for homes in self.closing.values() for home in homes]
         former = [home for home in closing if home.group.name == group]
         return self.of_group(group) + former
 
-    def holding(self, member: str, statement: Statement) -> Home:
+    def find_transaction_home(self, member: str, statement: Statement) -> Home:
         """Return the home that holds a statement's transaction, former ones too.
 
         :raises Refusal: if it is not open here; the last home that closed
@@ -169,22 +174,24 @@
         """
         await self.joined.wait()
         while True:
-            await self.awakened()
-            self.wake.clear()
+            await self.wait_for_change()
+            self.change_event.clear()
             started = self.clock.monotonic()
             await self.reconcile()
             cost = self.clock.monotonic() - started
-            self.passed.set()
-            await self.clock.sleep(max(LEAST_GAP, PACE * cost))
+            self.reconciled_event.set()
+            await self.clock.sleep(
+                max(MIN_RECONCILE_PAUSE_SECONDS, RECONCILE_PAUSE_FACTOR * cost)
+            )
 
-    async def awakened(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait for a change, or for the next home that is due."""
         now = self.clock.monotonic()
         due = [one.release_at for one in self.held.values() if one.release_at]
-        wait = min([now + INTERVAL, *due]) - now
+        wait = min([now + RECONCILE_INTERVAL_SECONDS, *due]) - now
         try:
             async with asyncio.timeout(max(wait, 0.0)):
-                await self.wake.wait()
+                await self.change_event.wait()
         except TimeoutError:
             return
 
@@ -197,11 +204,11 @@
         changed = False
         for name, held in list(self.held.items()):
             if name not in wanted:
-                changed |= self.let_go(name, held, now)
+                changed |= self.release_after_delay(name, held, now)
             else:
                 held.release_at = None
         kept = await asyncio.gather(
-            *(self.keep(group, member, now) for group, member in wanted.values())
+            *(self.ensure_home(group, member, now) for group, member in wanted.values())
         )
         if changed or any(kept):
             self.notify()
@@ -211,12 +218,14 @@
         served: dict[str, bool] = {}
         for group, member in targets(self.catalog):
             zone = member.zone
-            if self.promised(member.member):
+            if self.takeover_requested(member.member):
                 yield group, member
                 continue
             if zone not in served:
                 served[zone] = self.directory.served(zone)
-            if zone != self.me.zone and (served[zone] or not self.room(group, zone)):
+            if zone != self.me.zone and (
+                served[zone] or not self.has_connection_share(group, zone)
+            ):
                 continue
             home = self.directory.home(member.member, zone)
             if home == self.me:
@@ -224,7 +233,7 @@
             else:
                 self.former[member.member] = home
 
-    def room(self, group: Group, zone: str) -> bool:
+    def has_connection_share(self, group: Group, zone: str) -> bool:
         """Return whether a host outside `zone` may connect to a target there.
 
         It ranks after the zone's known hosts, of which a large zone has too
@@ -233,37 +242,41 @@
         """
         return share(group.connections, self.directory.known_in(zone)) > 0
 
-    def promised(self, member: str) -> bool:
+    def takeover_requested(self, member: str) -> bool:
         """Return whether a host that is about to leave passed `member` on."""
-        promise = self.promises.get(member)
+        promise = self.takeover_requests.get(member)
         if promise is None:
             return False
         leaver, until = promise
         if self.membership.table.live(leaver) and self.clock.monotonic() < until:
             return True
-        del self.promises[member]
+        del self.takeover_requests[member]
         return False
 
-    async def keep(self, group: Group, member: Member, now: float) -> bool:
+    async def ensure_home(self, group: Group, member: Member, now: float) -> bool:
         """Make the home of a target unless it is there as it should be."""
         held = self.held.get(member.member)
-        size = self.share(group, member)
+        size = self.connection_share(group, member)
         if held is None:
-            return await self.take(group, member, size, self.cause(member.member))
-        grown = size > held.share and now - held.since > GROWTH_AFTER
-        if held.fits(group, member) and not (grown or size < held.share):
+            return await self.open_home(
+                group, member, size, self.takeover_cause(member.member)
+            )
+        grown = size > held.connection_limit and now - held.since > GROWTH_AFTER_SECONDS
+        if held.fits(group, member) and not (grown or size < held.connection_limit):
             held.adopt(group)
             return False
         cause = "share" if held.fits(group, member) else "configuration"
         self.release(member.member, cause)
-        return await self.take(group, member, size, cause)
+        return await self.open_home(group, member, size, cause)
 
-    def share(self, group: Group, member: Member) -> int:
+    def connection_share(self, group: Group, member: Member) -> int:
         """Return the connections that this host may open to a target."""
         rank = self.directory.rank_of(member.member, member.zone, self.me.host)
         return 0 if rank is None else share(group.connections, rank)
 
-    async def take(self, group: Group, member: Member, size: int, cause: str) -> bool:
+    async def open_home(
+        self, group: Group, member: Member, size: int, cause: str
+    ) -> bool:
         """Make and start a home; return whether it is there now."""
         if size == 0:
             return False
@@ -280,11 +293,11 @@
         )
         return True
 
-    def cause(self, member: str) -> str:
+    def takeover_cause(self, member: str) -> str:
         """Say why this host takes over `member`."""
         former = self.former.pop(member, None)
-        if member in self.promises:
-            return f"{self.promises[member][0]} is leaving"
+        if member in self.takeover_requests:
+            return f"{self.takeover_requests[member][0]} is leaving"
         if former is None:
             return "start"
         record = self.membership.table.get(former.host)
@@ -293,13 +306,13 @@
             return f"preferred to {former.host}"
         return f"{former.host} is {state.name.lower()}"
 
-    def let_go(self, member: str, held: HeldHome, now: float) -> bool:
+    def release_after_delay(self, member: str, held: HeldHome, now: float) -> bool:
         """Release a home that is another host's, once that had time to start."""
         if member not in self.configured:
             self.release(member, "configuration")
             return True
         if held.release_at is None:
-            held.release_at = now + LINGER
+            held.release_at = now + RELEASE_DELAY_SECONDS
         if now < held.release_at:
             return False
         former = self.former.get(member)
@@ -333,7 +346,7 @@
         for callback in self.callbacks:
             callback()
 
-    async def answer_takeover(self, body: Json) -> Json:
+    async def handle_takeover(self, body: Json) -> Json:
         """Take homes over from a host that is about to leave.
 
         The host is still live for others; it leaves once these homes are here.
@@ -341,20 +354,20 @@
         leaver, members = body.get("host"), body.get("members")
         if not isinstance(leaver, str) or not isinstance(members, list):
             raise WireError("a host that leaves and its targets are expected")
-        until = self.clock.monotonic() + PROMISE
+        until = self.clock.monotonic() + TAKEOVER_VALIDITY_SECONDS
         known = self.configured.intersection(map(str, members))
-        self.promises.update(dict.fromkeys(known, (leaver, until)))
-        await self.settled(known)
+        self.takeover_requests.update(dict.fromkeys(known, (leaver, until)))
+        await self.wait_for_homes(known)
         return {"taken": [one for one in members if one in self.held]}
 
-    async def settled(self, members: set[str]) -> None:
+    async def wait_for_homes(self, members: set[str]) -> None:
         """Wait a little until the homes of `members` are here."""
         try:
-            async with asyncio.timeout(TAKEOVER_WAIT):
+            async with asyncio.timeout(TAKEOVER_WAIT_SECONDS):
                 while not members <= self.held.keys():
-                    self.passed.clear()
-                    self.wake.set()
-                    await self.passed.wait()
+                    self.reconciled_event.clear()
+                    self.change_event.set()
+                    await self.reconciled_event.wait()
         except TimeoutError:
             return
 
@@ -366,10 +379,13 @@
         """
         self.draining = True
         await asyncio.gather(
-            *(self.hand_over(ref, names) for ref, names in self.successors().items())
+            *(
+                self.request_takeover(ref, names)
+                for ref, names in self.successors().items()
+            )
         )
         self.membership.leave()
-        await self.clock.sleep(LINGER)
+        await self.clock.sleep(RELEASE_DELAY_SECONDS)
         for member in list(self.held):
             self.release(member, "drain")
         self.notify()
@@ -384,14 +400,14 @@
                 found.setdefault(ref, []).append(name)
         return found
 
-    async def hand_over(self, ref: HostRef, members: list[str]) -> None:
+    async def request_takeover(self, ref: HostRef, members: list[str]) -> None:
         """Ask `ref` to take targets over; without an answer it learns it later."""
         body: Json = {
             "host": self.me.host,
             "members": members,
         }
         try:
-            await self.peers.call(ref, TAKEOVER, body, TAKEOVER_TIMEOUT)
+            await self.peers.call(ref, TAKEOVER_PATH, body, TAKEOVER_TIMEOUT_SECONDS)
         except (PeerError, RefusalError) as error:
             log.info("{} did not take over: {}", ref.host, error)
 
--- a/src/reedhook/process/groups/keepers.py
+++ b/src/reedhook/process/groups/keepers.py
@@ -8,37 +8,39 @@
 
 from ...connection.home import Home
 from ...version.catalog import Catalog, Group
-from .group import GroupKeeper
+from .group import GroupManager
 
-HomesOf: TypeAlias = Callable[[str], list[Home]]
-KeeperFactory: TypeAlias = Callable[[Group], GroupKeeper]
+GroupHomesLookup: TypeAlias = Callable[[str], list[Home]]
+GroupManagerFactory: TypeAlias = Callable[[Group], GroupManager]
 
 log = logbook.Logger("keepers")
 
 
-class Keepers:
+class GroupManagers:
     """Hold one keeper for each group of which a home is here.
 
-    :param make_keeper: makes a keeper that is not started yet.
+    :param make_manager: makes a keeper that is not started yet.
     :param homes: returns the local homes of a group's members, with former
         ones in which transactions still end; their commits need proof.
     """
 
-    __slots__ = ("make_keeper", "homes", "catalog", "held", "retiring", "tasks")
+    __slots__ = ("make_manager", "homes", "catalog", "managers", "retiring", "tasks")
 
-    def __init__(self, make_keeper: KeeperFactory, homes: HomesOf) -> None:
-        self.make_keeper = make_keeper
+    def __init__(
+        self, make_manager: GroupManagerFactory, homes: GroupHomesLookup
+    ) -> None:
+        self.make_manager = make_manager
         self.homes = homes
         self.catalog: Catalog | None = None
-        self.held: dict[str, GroupKeeper] = {}
-        self.retiring: set[GroupKeeper] = set()
+        self.managers: dict[str, GroupManager] = {}
+        self.retiring: set[GroupManager] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def get(self, group: str) -> GroupKeeper | None:
+    def get(self, group: str) -> GroupManager | None:
         """Return the keeper of `group`, or None if no home of it is here."""
-        return self.held.get(group)
+        return self.managers.get(group)
 
-    def configured(self, catalog: Catalog) -> None:
+    def apply_catalog(self, catalog: Catalog) -> None:
         """Take note of the configuration now in force."""
         self.catalog = catalog
         self.reconcile()
@@ -46,14 +48,14 @@
     def reconcile(self) -> None:
         """Start, refresh and close keepers to match the homes that are here."""
         wanted = self.wanted()
-        for name, keeper in list(self.held.items()):
+        for name, keeper in list(self.managers.items()):
             if wanted.get(name) == keeper.group:
                 keeper.refresh()
                 continue
-            del self.held[name]
+            del self.managers[name]
             self.retire(keeper)
         for name, group in wanted.items():
-            if name not in self.held:
+            if name not in self.managers:
                 self.open(group)
 
     def wanted(self) -> dict[str, Group]:
@@ -68,21 +70,21 @@
 
     def open(self, group: Group) -> None:
         """Make and start the keeper of `group`."""
-        keeper = self.make_keeper(group)
-        self.held[group.name] = keeper
+        keeper = self.make_manager(group)
+        self.managers[group.name] = keeper
         task = asyncio.create_task(keeper.start())
         self.tasks.add(task)
-        task.add_done_callback(self.ended)
+        task.add_done_callback(self.on_task_done)
 
-    def retire(self, keeper: GroupKeeper) -> None:
+    def retire(self, manager: GroupManager) -> None:
         """Close a keeper in the background, once its proofs have ended."""
-        self.retiring.add(keeper)
-        task = asyncio.create_task(keeper.retire())
+        self.retiring.add(manager)
+        task = asyncio.create_task(manager.retire())
         self.tasks.add(task)
-        task.add_done_callback(lambda done: self.retiring.discard(keeper))
-        task.add_done_callback(self.ended)
+        task.add_done_callback(lambda done: self.retiring.discard(manager))
+        task.add_done_callback(self.on_task_done)
 
-    def ended(self, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
         """Forget a task; log what it raised."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
@@ -90,7 +92,7 @@
 
     async def close(self) -> None:
         """Close all keepers."""
-        held, self.held = self.held, {}
+        held, self.managers = self.managers, {}
         for task in self.tasks:
             task.cancel()
         for keeper in [*held.values(), *self.retiring]:
--- a/src/reedhook/process/groups/knowledge.py
+++ b/src/reedhook/process/groups/knowledge.py
@@ -8,19 +8,19 @@
 from ...request.position import Position
 from ...request.view import GroupView, MemberView
 from ...version.catalog import Group
-from .durability import Durability, durable_position
-from .sample import Samples
+from .durability import DurabilityTracker, durable_position
+from .sample import PrimarySamples
 
 LeaderCallback: TypeAlias = Callable[[int, str], None]
 DurableCallback: TypeAlias = Callable[[Position], None]
 
 
-class Knowledge:
+class GroupState:
     """Learn from everything that says something of the group.
 
     :ivar view: what is passed on to other hosts.
     :ivar states: the newest state of each member seen on this host.
-    :ivar promised: the highest term that any member is known to have promised.
+    :ivar highest_promised_term: the highest term that any member is known to have promised.
     :ivar on_leader: called when a new leader becomes known.
     :ivar on_durable: called when the durable position grows.
     """
@@ -30,9 +30,9 @@
         self.clock = clock
         self.view = GroupView(group.name)
         self.states: dict[str, MemberState] = {}
-        self.durability = Durability()
-        self.samples = Samples()
-        self.promised = 0
+        self.durability = DurabilityTracker()
+        self.samples = PrimarySamples()
+        self.highest_promised_term = 0
         self.on_leader: list[LeaderCallback] = []
         self.on_durable: list[DurableCallback] = []
 
@@ -46,7 +46,7 @@
         """Return the member that leads in that term, or None if unknown."""
         return self.view.primary
 
-    def lead(self, term: int, primary: str | None) -> None:
+    def record_leader(self, term: int, primary: str | None) -> None:
         """Take note of a leader term, and of who leads if that is known."""
         if not self.view.record_primary(term, primary):
             return
@@ -54,8 +54,8 @@
 
     def leader_changed(self) -> None:
         """Act on a new leader of the view."""
-        self.promised = max(self.promised, self.view.term)
-        self.durability.enter(self.view.term)
+        self.highest_promised_term = max(self.highest_promised_term, self.view.term)
+        self.durability.enter_term(self.view.term)
         if self.view.primary is None:
             return
         for callback in self.on_leader:
@@ -66,7 +66,7 @@
         if self.view.merge(other):
             self.leader_changed()
 
-    def absorb(
+    def merge_state(
         self,
         state: MemberState,
         asked: float,
@@ -78,15 +78,15 @@
         :param asked: local monotonic time in seconds at which the question
             was sent that the state answers.
         """
-        self.promised = max(self.promised, state.promised)
+        self.highest_promised_term = max(self.highest_promised_term, state.promised)
         if state.role is Role.PRIMARY:
-            self.lead(state.leader_term, state.member)
+            self.record_leader(state.leader_term, state.member)
         else:
-            self.lead(state.leader_term, None)
+            self.record_leader(state.leader_term, None)
         known = self.states.get(state.member)
-        if known is None or age_key(state) >= age_key(known):
+        if known is None or state_order_key(state) >= state_order_key(known):
             self.states[state.member] = state
-            self.mark()
+            self.update_watermark()
         now = self.clock.monotonic()
         self.view.merge_member(
             MemberView(
@@ -100,7 +100,7 @@
             )
         )
 
-    def note_write(self, member: str, position: Position) -> None:
+    def record_write(self, member: str, position: Position) -> None:
         """Learn from a write's answer what its primary holds.
 
         The primary had promised no higher term when it wrote the entry.
@@ -120,9 +120,9 @@
             known.connections,
             known.revision,
         )
-        self.mark()
+        self.update_watermark()
 
-    def mark(self) -> None:
+    def update_watermark(self) -> None:
         """Work out again what is durable at the current term."""
         mark = durable_position(
             self.states.values(), self.view.term, self.group.majority
@@ -136,6 +136,6 @@
         return self.samples.age(applied, self.clock.monotonic())
 
 
-def age_key(state: MemberState) -> tuple[int, int, Position]:
+def state_order_key(state: MemberState) -> tuple[int, int, Position]:
     """Order the states of one member; each part only ever grows in this order."""
     return state.promised, state.leader_term, state.held
--- a/src/reedhook/process/groups/promotion.py
+++ b/src/reedhook/process/groups/promotion.py
@@ -14,17 +14,17 @@
 from ...record import Record
 from ...request.refusal import RefusalError, RefusalReason
 from ...version.catalog import Group
-from .control import Control, Controller, Op
+from .control import ControlOperation, MemberController, MemberControlRequest
 
-STEP_TIMEOUT: Final = 0.25
-RAISE_GRACE: Final = 0.02
-PROMOTE_TRIES: Final = 3
+STEP_TIMEOUT_SECONDS: Final = 0.25
+RAISE_GRACE_SECONDS: Final = 0.02
+MAX_PROMOTE_ATTEMPTS: Final = 3
 
 
 RaisedCallback: TypeAlias = Callable[[int, list[str]], None]
 
 
-class PromotionFailed(Exception):
+class GroupPromotionError(Exception):
     """Say that an attempt ended without a primary that it knows of.
 
     :param step: the step that failed.
@@ -38,25 +38,29 @@
         self.promised = promised
 
 
-class Promoted(Record):
+class GroupPromotionResult(Record):
     """Carry the outcome of an attempt.
 
-    :param agreement: seconds until a majority had promised the term.
-    :param promotion: seconds that the promotion itself took.
+    :param agreement_seconds: seconds until a majority had promised the term.
+    :param promotion_seconds: seconds that the promotion itself took.
     """
 
-    __slots__ = ("term", "primary", "agreement", "promotion")
+    __slots__ = ("term", "primary", "agreement_seconds", "promotion_seconds")
 
     def __init__(
-        self, term: int, primary: str, agreement: float, promotion: float
+        self,
+        term: int,
+        primary: str,
+        agreement_seconds: float,
+        promotion_seconds: float,
     ) -> None:
         self.term = term
         self.primary = primary
-        self.agreement = agreement
-        self.promotion = promotion
+        self.agreement_seconds = agreement_seconds
+        self.promotion_seconds = promotion_seconds
 
 
-class Promotion:
+class GroupPromotion:
     """Carry out one attempt.
 
     :param term: higher than any term that the coordinator knows of.
@@ -69,7 +73,7 @@
     def __init__(
         self,
         group: Group,
-        controller: Controller,
+        controller: MemberController,
         clock: Clock,
         term: int,
         owner: str,
@@ -86,10 +90,10 @@
         self.avoided = avoided
         self.on_raised = on_raised
         self.promised = term
-        self.granted: dict[str, MemberState] = {}
-        self.telling: set[asyncio.Task[None]] = set()
+        self.promises: dict[str, MemberState] = {}
+        self.tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self) -> Promoted:
+    async def run(self) -> GroupPromotionResult:
         """Run the attempt up to the promotion; followers are told meanwhile.
 
         :raises PromotionFailed: if no majority or no member answered.
@@ -98,12 +102,14 @@
         await self.raise_term()
         agreed = self.clock.monotonic()
         if self.on_raised is not None:
-            self.on_raised(self.term, sorted(self.granted))
+            self.on_raised(self.term, sorted(self.promises))
         chosen = self.choose()
         await self.promote(chosen)
         promoted = self.clock.monotonic()
-        self.tell_followers(chosen)
-        return Promoted(self.term, chosen, agreed - begun, promoted - agreed)
+        self.notify_followers(chosen)
+        return GroupPromotionResult(
+            self.term, chosen, agreed - begun, promoted - agreed
+        )
 
     async def raise_term(self) -> None:
         """Ask all members for a promise; return once a majority has given it.
@@ -113,7 +119,7 @@
         are to be passed over.
         """
         asking = {
-            one.member: self.spawn(self.ask_promise(one.member))
+            one.member: self.spawn(self.request_promise(one.member))
             for one in self.group.members
         }
         expected = {
@@ -125,33 +131,38 @@
                 waiting, return_when=asyncio.FIRST_COMPLETED
             )
         if waiting:
-            await asyncio.wait(waiting, timeout=RAISE_GRACE)
+            await asyncio.wait(waiting, timeout=RAISE_GRACE_SECONDS)
         if not self.agreed():
             self.fail_raise()
 
     def agreed(self) -> bool:
         """Say whether a majority has promised."""
-        return len(self.granted) >= self.group.majority
+        return len(self.promises) >= self.group.majority
 
     def fail_raise(self) -> NoReturn:
         """Say how far short of a majority the attempt fell."""
-        detail = f"{len(self.granted)} of {len(self.group.members)} members promised"
-        raise PromotionFailed("raise", detail, self.promised)
+        detail = f"{len(self.promises)} of {len(self.group.members)} members promised"
+        raise GroupPromotionError("raise", detail, self.promised)
 
-    async def ask_promise(self, member: str) -> None:
+    async def request_promise(self, member: str) -> None:
         """Ask one member for its promise, and for its state if it declines."""
-        order = Control(member, Op.RAISE, self.term, self.owner)
+        order = MemberControlRequest(
+            member, ControlOperation.RAISE, self.term, self.owner
+        )
         try:
-            self.granted[member] = await self.controller.control(order, STEP_TIMEOUT)
+            self.promises[member] = await self.controller.control(
+                order, STEP_TIMEOUT_SECONDS
+            )
         except RefusalError as refusal:
             if refusal.reason is RefusalReason.CONFLICT:
-                await self.learn_promise(member)
+                await self.fetch_promised_term(member)
 
-    async def learn_promise(self, member: str) -> None:
+    async def fetch_promised_term(self, member: str) -> None:
         """Learn which higher term `member` has promised."""
         try:
             state = await self.controller.control(
-                Control(member, Op.STATE), STEP_TIMEOUT
+                MemberControlRequest(member, ControlOperation.STATE),
+                STEP_TIMEOUT_SECONDS,
             )
         except RefusalError:
             return
@@ -160,10 +171,12 @@
     def choose(self) -> str:
         """Return the member with the highest held position of a majority."""
         candidates = [
-            state for state in self.granted.values() if state.member not in self.avoided
+            state
+            for state in self.promises.values()
+            if state.member not in self.avoided
         ]
         if len(candidates) < self.group.majority:
-            candidates = list(self.granted.values())
+            candidates = list(self.promises.values())
         best = max(
             candidates,
             key=lambda state: (
@@ -177,39 +190,43 @@
 
     async def promote(self, chosen: str) -> None:
         """Promote `chosen`; the order is repeated if its answer was lost."""
-        order = Control(chosen, Op.PROMOTE, self.term, self.owner)
-        for left in reversed(range(PROMOTE_TRIES)):
+        order = MemberControlRequest(
+            chosen, ControlOperation.PROMOTE, self.term, self.owner
+        )
+        for left in reversed(range(MAX_PROMOTE_ATTEMPTS)):
             try:
-                state = await self.controller.control(order, STEP_TIMEOUT)
+                state = await self.controller.control(order, STEP_TIMEOUT_SECONDS)
             except RefusalError as refusal:
                 if left and refusal.reason is not RefusalReason.CONFLICT:
                     continue
-                await self.learn_promise(chosen)
-                raise PromotionFailed(
+                await self.fetch_promised_term(chosen)
+                raise GroupPromotionError(
                     "promote", refusal.detail, self.promised
                 ) from refusal
             if state.role is Role.PRIMARY and state.leader_term == self.term:
                 return
             self.promised = max(self.promised, state.promised)
-            raise PromotionFailed("promote", "it was superseded", self.promised)
+            raise GroupPromotionError("promote", "it was superseded", self.promised)
 
-    def tell_followers(self, chosen: str) -> None:
+    def notify_followers(self, chosen: str) -> None:
         """Tell the other members whom to follow, each in a task of its own."""
         for member in self.group.members:
             if member.member != chosen:
-                self.spawn(self.tell(member.member, chosen))
+                self.spawn(self.notify_follower(member.member, chosen))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
         """Run `work` in a task that is kept until it ends."""
         task = asyncio.create_task(work)
-        self.telling.add(task)
-        task.add_done_callback(self.telling.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
         return task
 
-    async def tell(self, member: str, chosen: str) -> None:
+    async def notify_follower(self, member: str, chosen: str) -> None:
         """Tell one member; its home repeats the order if this one is lost."""
-        order = Control(member, Op.FOLLOW, self.term, primary=chosen)
+        order = MemberControlRequest(
+            member, ControlOperation.FOLLOW, self.term, primary=chosen
+        )
         try:
-            await self.controller.control(order, STEP_TIMEOUT)
+            await self.controller.control(order, STEP_TIMEOUT_SECONDS)
         except RefusalError:
             return
--- a/src/reedhook/process/groups/proofs.py
+++ b/src/reedhook/process/groups/proofs.py
@@ -3,25 +3,25 @@
 import asyncio
 
 
-class Proofs:
+class PendingProofs:
     """Count proofs in progress, each within an ``async with`` block."""
 
-    __slots__ = ("count", "none")
+    __slots__ = ("count", "idle")
 
     def __init__(self) -> None:
         self.count = 0
-        self.none = asyncio.Event()
-        self.none.set()
+        self.idle = asyncio.Event()
+        self.idle.set()
 
     async def __aenter__(self) -> None:
         self.count += 1
-        self.none.clear()
+        self.idle.clear()
 
     async def __aexit__(self, *exc: object) -> None:
         self.count -= 1
         if self.count == 0:
-            self.none.set()
+            self.idle.set()
 
-    async def ended(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Return once no proof is in progress."""
-        await self.none.wait()
+        await self.idle.wait()
--- a/src/reedhook/process/groups/report.py
+++ b/src/reedhook/process/groups/report.py
@@ -13,55 +13,55 @@
 from ...request.refusal import RefusalError
 from ...request.view import GroupView
 from ...wire import Json, reader, text
-from .knowledge import Knowledge
-from .sample import Sample
-
-REPORT_INTERVAL: Final = 0.2
-SILENT_INTERVAL: Final = 0.1
-LOOK_INTERVAL: Final = 0.05
-DOUBT_AFTER: Final = 0.1
-REPORT_TIMEOUT: Final = 0.25
-HOME_SILENT_AFTER: Final = 0.25
-IN_FLIGHT: Final = 2
-FOLLOW_TIMEOUT: Final = 0.25
-WANT_KEPT: Final = 3.0
-WANT_SHARE: Final = 3
-CANDIDATES: Final = 2
-
-
-class Report(Record):
+from .knowledge import GroupState
+from .sample import PrimarySample
+
+REPORT_INTERVAL_SECONDS: Final = 0.2
+SILENT_PRIMARY_INTERVAL_SECONDS: Final = 0.1
+PRIMARY_CHECK_INTERVAL_SECONDS: Final = 0.05
+CHECK_UNANSWERED_AFTER_SECONDS: Final = 0.1
+REPORT_TIMEOUT_SECONDS: Final = 0.25
+HOME_SILENT_AFTER_SECONDS: Final = 0.25
+MAX_REPORTS_IN_FLIGHT: Final = 2
+FOLLOW_TIMEOUT_SECONDS: Final = 0.25
+WANTED_AGE_VALIDITY_SECONDS: Final = 3.0
+REPORTS_PER_WANTED_AGE: Final = 3
+MAX_RECEIVERS: Final = 2
+
+
+class ReplicaReport(Record):
     """Carry the state of a replica to its primary's home.
 
-    :param want: age in seconds that bounded reads asked lately; None if none.
-    :param prompt: whether the answer should wait for a sample that serves.
+    :param wanted_age: age in seconds that bounded reads asked lately; None if none.
+    :param wait_for_sample: whether the answer should wait for a sample that serves.
     """
 
-    __slots__ = ("group", "state", "want", "prompt")
+    __slots__ = ("group", "state", "wanted_age", "wait_for_sample")
 
     def __init__(
         self,
         group: str,
         state: MemberState,
-        want: float | None,
-        prompt: bool = False,
+        wanted_age: float | None,
+        wait_for_sample: bool = False,
     ) -> None:
         self.group = group
         self.state = state
-        self.want = want
-        self.prompt = prompt
+        self.wanted_age = wanted_age
+        self.wait_for_sample = wait_for_sample
 
     def to_json(self) -> Json:
         """Return the body of the peer path ``report``."""
         return {
             "group": self.group,
             "state": self.state.to_json(),
-            "want": self.want,
-            "prompt": self.prompt,
+            "want": self.wanted_age,
+            "prompt": self.wait_for_sample,
         }
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "Report":
+    def from_json(cls, message: Json) -> "ReplicaReport":
         """Read the body of the peer path ``report``."""
         want = message["want"]
         return cls(
@@ -72,71 +72,75 @@
         )
 
 
-class ReportAnswer(Record):
+class ReplicaReportAnswer(Record):
     """Carry what the receiver of a report knows.
 
-    :param home: whether it is home of the primary.
-    :param alive: whether the primary answers it.
+    :param is_primary_home: whether it is home of the primary.
+    :param primary_alive: whether the primary answers it.
     """
 
-    __slots__ = ("view", "sample", "home", "alive")
+    __slots__ = ("view", "sample", "is_primary_home", "primary_alive")
 
     def __init__(
-        self, view: GroupView, sample: Sample | None, home: bool, alive: bool
+        self,
+        view: GroupView,
+        sample: PrimarySample | None,
+        is_primary_home: bool,
+        primary_alive: bool,
     ) -> None:
         self.view = view
         self.sample = sample
-        self.home = home
-        self.alive = alive
+        self.is_primary_home = is_primary_home
+        self.primary_alive = primary_alive
 
     def to_json(self, now: float) -> Json:
         """Return the answer of the peer path ``report``."""
         return {
             "view": self.view.to_json(now),
             "sample": self.sample.to_json(now) if self.sample else None,
-            "home": self.home,
-            "alive": self.alive,
+            "home": self.is_primary_home,
+            "alive": self.primary_alive,
         }
 
     @classmethod
-    def from_json(cls, message: Json, asked: float) -> "ReportAnswer":
+    def from_json(cls, message: Json, asked: float) -> "ReplicaReportAnswer":
         """Read the answer to a report sent at `asked`."""
         sample = message["sample"]
         return cls(
             GroupView.from_json(message["view"], asked),
-            Sample.from_json(sample, asked) if sample else None,
+            PrimarySample.from_json(sample, asked) if sample else None,
             message["home"],
             message["alive"],
         )
 
 
-class Contact:
+class PrimaryContact:
     """Track since when the primary's home leaves reports unanswered.
 
     :ivar silent_since: local monotonic time in seconds at which the first
         report was sent that no answer followed; None if there is none.
     :ivar broken: whether a report could not be sent or was not answered in time.
-    :ivar told_lost: whether the home says that the primary does not answer.
+    :ivar primary_reported_lost: whether the home says that the primary does not answer.
     """
 
     def __init__(self) -> None:
         self.silent_since: float | None = None
         self.broken = False
         self.last_sent = 0.0
-        self.told_lost = False
+        self.primary_reported_lost = False
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Take note of a report sent now."""
         self.last_sent = now
         if self.silent_since is None:
             self.silent_since = now
 
-    def answered(self, asked: float, alive: bool) -> None:
+    def record_answer(self, asked: float, alive: bool) -> None:
         """Take note of an answer to the report sent at `asked`.
 
         Reports sent later are still open, but none was open for longer.
         """
-        self.told_lost = not alive
+        self.primary_reported_lost = not alive
         self.broken = False
         self.silent_since = self.last_sent if self.last_sent > asked else None
 
@@ -144,40 +148,40 @@
         """Forget everything; the primary has changed."""
         self.silent_since = None
         self.broken = False
-        self.told_lost = False
+        self.primary_reported_lost = False
 
     def silence(self, now: float) -> float:
         """Return for how many seconds reports have stayed unanswered."""
         return 0.0 if self.silent_since is None else now - self.silent_since
 
 
-class Reporter:
+class ReplicaReporter:
     """Follow the states of the local members and report those of replicas.
 
-    :param doubt: is called whenever something speaks against the primary.
-    :ivar want: smallest age asked by bounded reads lately, in seconds.
+    :param request_check: is called whenever something speaks against the primary.
+    :ivar smallest_wanted_age: smallest age asked by bounded reads lately, in seconds.
     """
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        group_state: GroupState,
         homes: Callable[[], Iterable[Home]],
         directory: Directory,
         peers: Peers,
         clock: Clock,
-        doubt: Callable[[], None],
+        request_check: Callable[[], None],
     ) -> None:
-        self.knowledge = knowledge
+        self.group_state = group_state
         self.homes = homes
         self.directory = directory
         self.peers = peers
         self.clock = clock
-        self.doubt = doubt
-        self.contact = Contact()
+        self.request_check = request_check
+        self.contact = PrimaryContact()
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.sending: set[asyncio.Task[None]] = set()
-        self.slots: dict[str, asyncio.Semaphore] = {}
-        self.want: float | None = None
+        self.send_permits: dict[str, asyncio.Semaphore] = {}
+        self.smallest_wanted_age: float | None = None
         self.want_until = 0.0
         self.turn = 0
 
@@ -191,7 +195,7 @@
         for member, home in local.items():
             task = self.tasks.get(member)
             if task is None or task.done():
-                self.slots[member] = asyncio.Semaphore(IN_FLIGHT)
+                self.send_permits[member] = asyncio.Semaphore(MAX_REPORTS_IN_FLIGHT)
                 self.tasks[member] = asyncio.create_task(self.follow(home))
 
     def reset(self) -> None:
@@ -213,16 +217,24 @@
                 return home
         return None
 
-    def desire(self, age: float) -> None:
+    def record_wanted_age(self, age: float) -> None:
         """Take note that bounded reads ask for `age` seconds."""
         now = self.clock.monotonic()
-        if self.want is None or age < self.want or now > self.want_until:
-            self.want = age
-        self.want_until = now + WANT_KEPT
-
-    def wanted(self) -> float | None:
+        if (
+            self.smallest_wanted_age is None
+            or age < self.smallest_wanted_age
+            or now > self.want_until
+        ):
+            self.smallest_wanted_age = age
+        self.want_until = now + WANTED_AGE_VALIDITY_SECONDS
+
+    def wanted_age(self) -> float | None:
         """Return the age that bounded reads asked lately, in seconds."""
-        return self.want if self.clock.monotonic() <= self.want_until else None
+        return (
+            self.smallest_wanted_age
+            if self.clock.monotonic() <= self.want_until
+            else None
+        )
 
     def interval(self, member: str) -> float:
         """Return after how many seconds an unchanged state is looked at again.
@@ -230,14 +242,17 @@
         The home of the primary looks often, since it sees first whether the
         primary answers, and a look costs no message.
         """
-        if member == self.knowledge.primary:
-            return LOOK_INTERVAL
+        if member == self.group_state.primary:
+            return PRIMARY_CHECK_INTERVAL_SECONDS
         if self.contact.silent_since is not None:
-            return SILENT_INTERVAL
-        want = self.wanted()
+            return SILENT_PRIMARY_INTERVAL_SECONDS
+        want = self.wanted_age()
         if want is None:
-            return REPORT_INTERVAL
-        return min(REPORT_INTERVAL, max(want / WANT_SHARE, SILENT_INTERVAL / 2))
+            return REPORT_INTERVAL_SECONDS
+        return min(
+            REPORT_INTERVAL_SECONDS,
+            max(want / REPORTS_PER_WANTED_AGE, SILENT_PRIMARY_INTERVAL_SECONDS / 2),
+        )
 
     async def follow(self, home: Home) -> None:
         """Learn each change of the state of one local member, and report it."""
@@ -248,84 +263,88 @@
             )
             state = home.state
             if home.unreachable_since is not None or self.fenced(state):
-                self.doubt()
+                self.request_check()
             if state is None:
                 continue
             revision = state.revision
-            self.learn(home)
-            if state.member == self.knowledge.primary:
+            self.merge_local_state(home)
+            if state.member == self.group_state.primary:
                 continue
-            await self.heal(home, state)
-            await self.slots[state.member].acquire()
-            self.send(home)
+            await self.redirect_stale_member(home, state)
+            await self.send_permits[state.member].acquire()
+            self.start_report(home)
 
     def fenced(self, state: MemberState | None) -> bool:
         """Say whether a member has promised a term that nobody leads yet."""
-        return state is not None and state.promised > self.knowledge.term
+        return state is not None and state.promised > self.group_state.term
 
-    def learn(self, home: Home) -> None:
+    def merge_local_state(self, home: Home) -> None:
         """Learn the newest state of a local member."""
         if home.state is not None:
             wait = home.load().wait
-            self.knowledge.absorb(
+            self.group_state.merge_state(
                 home.state, home.state_requested_at, wait, home.leaving
             )
 
-    async def heal(self, home: Home, state: MemberState) -> None:
+    async def redirect_stale_member(self, home: Home, state: MemberState) -> None:
         """Tell a member that follows a former term whom to follow now."""
-        term, primary = self.knowledge.term, self.knowledge.primary
+        term, primary = self.group_state.term, self.group_state.primary
         if primary is None or state.leader_term >= term or state.promised > term:
             return
         if home.unreachable_since is not None:
             return
         try:
-            await home.follow(term, primary, FOLLOW_TIMEOUT)
+            await home.follow(term, primary, FOLLOW_TIMEOUT_SECONDS)
         except TargetError:
             return
-        self.learn(home)
+        self.merge_local_state(home)
 
-    def send(self, home: Home) -> None:
+    def start_report(self, home: Home) -> None:
         """Report the newest state in a task of its own."""
-        task = asyncio.create_task(self.report(home))
+        task = asyncio.create_task(self.report_state(home))
         self.sending.add(task)
         task.add_done_callback(self.sending.discard)
 
-    async def report(self, home: Home) -> None:
+    async def report_state(self, home: Home) -> None:
         """Report once; the slot taken by the caller is freed."""
         try:
-            primary = self.knowledge.primary
+            primary = self.group_state.primary
             if home.state is None or primary is None or self.home(primary):
                 if primary is None:
-                    self.doubt()
+                    self.request_check()
                 return
-            await self.ask(home.state, primary)
+            await self.send_report(home.state, primary)
         finally:
-            self.slots[home.member.member].release()
+            self.send_permits[home.member.member].release()
 
-    async def ask(self, state: MemberState, primary: str) -> None:
+    async def send_report(self, state: MemberState, primary: str) -> None:
         """Send one report and learn from its answer."""
         asked = self.clock.monotonic()
-        self.contact.sent(asked)
+        self.contact.record_sent(asked)
         loop = asyncio.get_running_loop()
-        alarm = loop.call_later(DOUBT_AFTER, self.doubt)
+        alarm = loop.call_later(CHECK_UNANSWERED_AFTER_SECONDS, self.request_check)
         try:
-            report = Report(self.knowledge.group.name, state, self.wanted())
-            answer = await self.call(report, primary, REPORT_TIMEOUT)
+            report = ReplicaReport(
+                self.group_state.group.name, state, self.wanted_age()
+            )
+            answer = await self.call(report, primary, REPORT_TIMEOUT_SECONDS)
         except PeerError:
             self.contact.broken = True
-            self.doubt()
+            self.request_check()
             return
         except RefusalError:
-            self.doubt()
+            self.request_check()
             return
         finally:
             alarm.cancel()
-        if answer.home and self.knowledge.primary == primary:
-            self.contact.answered(asked, answer.alive)
-        if not answer.alive:
-            self.doubt()
-
-    async def call(self, report: Report, primary: str, timeout: float) -> ReportAnswer:
+        if answer.is_primary_home and self.group_state.primary == primary:
+            self.contact.record_answer(asked, answer.primary_alive)
+        if not answer.primary_alive:
+            self.request_check()
+
+    async def call(
+        self, report: ReplicaReport, primary: str, timeout: float
+    ) -> ReplicaReportAnswer:
         """Report to the primary's home and take over what it knows.
 
         :raises PeerError: if no answer came.
@@ -334,10 +353,10 @@
         host = self.receiver(primary)
         asked = self.clock.monotonic()
         message = await self.peers.call(host, "report", report.to_json(), timeout)
-        answer = ReportAnswer.from_json(message, asked)
-        self.knowledge.merge(answer.view)
+        answer = ReplicaReportAnswer.from_json(message, asked)
+        self.group_state.merge(answer.view)
         if answer.sample is not None:
-            self.knowledge.samples.add(answer.sample)
+            self.group_state.samples.add(answer.sample)
         return answer
 
     def receiver(self, primary: str) -> HostRef:
@@ -345,17 +364,17 @@
 
         :raises PeerError: if no live host is known.
         """
-        hosts = self.directory.ranked(primary, self.zone(primary))[:CANDIDATES]
+        hosts = self.directory.ranked(primary, self.zone(primary))[:MAX_RECEIVERS]
         if not hosts:
             raise PeerError("no live host is known", sent=False)
-        if self.contact.silence(self.clock.monotonic()) < HOME_SILENT_AFTER:
+        if self.contact.silence(self.clock.monotonic()) < HOME_SILENT_AFTER_SECONDS:
             return hosts[0]
         self.turn += 1
         return hosts[self.turn % len(hosts)]
 
     def zone(self, member: str) -> str:
         """Return the availability zone of `member`."""
-        for one in self.knowledge.group.members:
+        for one in self.group_state.group.members:
             if one.member == member:
                 return one.zone
         return ""
--- a/src/reedhook/process/groups/sampling.py
+++ b/src/reedhook/process/groups/sampling.py
@@ -7,90 +7,98 @@
 from ...clock import Clock
 from ...peer import PeerError
 from ...request.refusal import RefusalError
-from .confirmation import Confirmation, Lead
-from .knowledge import Knowledge
-from .report import Report, Reporter
+from .confirmation import GroupLeader, LeaderConfirmation
+from .knowledge import GroupState
+from .report import ReplicaReport, ReplicaReporter
 
-SAMPLE_SHARE: Final = 3
-SAMPLE_SPACING: Final = 0.05
-SAMPLING_KEPT: Final = 3.0
-PROVE_TIMEOUT: Final = 0.25
-ASK_AGAIN: Final = 0.01
+SAMPLES_PER_WANTED_AGE: Final = 3
+MIN_SAMPLE_INTERVAL_SECONDS: Final = 0.05
+SAMPLING_DURATION_SECONDS: Final = 3.0
+FETCH_TIMEOUT_SECONDS: Final = 0.25
+FETCH_RETRY_DELAY_SECONDS: Final = 0.01
 
 
-class Sampling:
+class PrimarySampler:
     """Keep samples coming while somebody asks for them, and fetch single ones.
 
-    :param lead: tells the leader if its home is here.
+    :param local_leader: tells the leader if its home is here.
     :ivar wanted_age: the age in seconds that samples are asked for.
     :ivar until: local monotonic time until which they are wanted.
     """
 
     def __init__(
         self,
-        knowledge: Knowledge,
-        reporter: Reporter,
-        confirmation: Confirmation,
-        lead: Callable[[], Lead | None],
+        group_state: GroupState,
+        reporter: ReplicaReporter,
+        confirmation: LeaderConfirmation,
+        local_leader: Callable[[], GroupLeader | None],
         clock: Clock,
     ) -> None:
-        self.knowledge = knowledge
+        self.group_state = group_state
         self.reporter = reporter
         self.confirmation = confirmation
-        self.lead = lead
+        self.local_leader = local_leader
         self.clock = clock
         self.wanted_age = 0.0
         self.until = 0.0
         self.running: asyncio.Task[None] | None = None
         self.proving: asyncio.Task[None] | None = None
 
-    async def prove(self, age: float) -> None:
+    async def fetch_shared_sample(self, age: float) -> None:
         """Fetch a sample not older than `age` seconds; shared by all that wait."""
-        self.reporter.desire(age)
+        self.reporter.record_wanted_age(age)
         if self.proving is None or self.proving.done():
             self.proving = asyncio.create_task(self.fetch_sample(age))
         await asyncio.shield(self.proving)
 
     async def fetch_sample(self, age: float) -> None:
         """Run a round if the primary's home is here, else ask that home."""
-        if self.lead() is not None:
-            await self.confirmation.wait(self.confirmation.request())
+        if self.local_leader() is not None:
+            await self.confirmation.wait_for_round(self.confirmation.request_round())
             return
-        primary = self.knowledge.primary
+        primary = self.group_state.primary
         for home in self.reporter.homes():
             if home.state is None or primary is None:
                 continue
-            report = Report(self.knowledge.group.name, home.state, age, prompt=True)
+            report = ReplicaReport(
+                self.group_state.group.name, home.state, age, wait_for_sample=True
+            )
             try:
-                await self.reporter.call(report, primary, PROVE_TIMEOUT)
+                await self.reporter.call(report, primary, FETCH_TIMEOUT_SECONDS)
             except (PeerError, RefusalError):
-                await self.clock.sleep(ASK_AGAIN)
+                await self.clock.sleep(FETCH_RETRY_DELAY_SECONDS)
             return
         # Nobody can be asked yet; who waits for a proof asks again at once.
-        await self.clock.sleep(ASK_AGAIN)
+        await self.clock.sleep(FETCH_RETRY_DELAY_SECONDS)
 
-    async def serve(self, age: float, prompt: bool) -> None:
+    async def keep_sampling(self, age: float, wait_for_sample: bool) -> None:
         """Keep samples not older than `age` coming while they are asked for."""
         now = self.clock.monotonic()
         if age < self.wanted_age or now > self.until:
             self.wanted_age = age
-        self.until = now + SAMPLING_KEPT
-        if self.lead() is None:
+        self.until = now + SAMPLING_DURATION_SECONDS
+        if self.local_leader() is None:
             return
         if self.running is None or self.running.done():
             self.running = asyncio.create_task(self.sample())
-        newest = self.knowledge.samples.newest
-        if prompt and (newest is None or now - newest.dated > age / SAMPLE_SHARE):
-            await self.confirmation.wait(self.confirmation.request())
+        newest = self.group_state.samples.newest
+        if wait_for_sample and (
+            newest is None or now - newest.as_of > age / SAMPLES_PER_WANTED_AGE
+        ):
+            await self.confirmation.wait_for_round(self.confirmation.request_round())
 
     async def sample(self) -> None:
         """Run rounds at the pace that bounded reads need, while there are any."""
-        while self.clock.monotonic() < self.until and self.lead():
-            pace = max(self.wanted_age / SAMPLE_SHARE, SAMPLE_SPACING)
-            newest = self.knowledge.samples.newest
+        while self.clock.monotonic() < self.until and self.local_leader():
+            pace = max(
+                self.wanted_age / SAMPLES_PER_WANTED_AGE, MIN_SAMPLE_INTERVAL_SECONDS
+            )
+            newest = self.group_state.samples.newest
             now = self.clock.monotonic()
-            if newest is None or now - newest.dated >= pace:
-                await self.confirmation.wait(self.confirmation.request())
+            if newest is None or now - newest.as_of >= pace:
+                await self.confirmation.wait_for_round(
+                    self.confirmation.request_round()
+                )
             await self.clock.sleep(pace)
 
     def close(self) -> None:
--- a/src/reedhook/process/groups/suspicion.py
+++ b/src/reedhook/process/groups/suspicion.py
@@ -10,13 +10,13 @@
 from ...version.catalog import Group
 from ...wire import Json
 
-PROBE_TIMEOUT: Final = 0.08
-PROBE_AGAIN: Final = 0.04
-RELAY_TIMEOUT: Final = 0.1
-ASKED_HOSTS: Final = 3
+PROBE_TIMEOUT_SECONDS: Final = 0.08
+PROBE_RETRY_DELAY_SECONDS: Final = 0.04
+RELAY_TIMEOUT_SECONDS: Final = 0.1
+MAX_PROBED_HOSTS: Final = 3
 
 
-class Evidence(str, Enum):
+class PrimaryLiveness(str, Enum):
     """Name what could be found out about the primary."""
 
     ALIVE = "alive"
@@ -24,7 +24,7 @@
     LOST = "lost"
 
 
-class Cause(str, Enum):
+class PromotionCause(str, Enum):
     """Name why a change of primary is weighed."""
 
     SILENT = "silent"
@@ -35,7 +35,7 @@
     PLANNED = "planned"
 
 
-class Verifier:
+class PrimaryProber:
     """Ask all hosts that may still reach the primary whether it answers.
 
     These are its home and its standbys, and the homes of the other replicas,
@@ -46,31 +46,35 @@
         self.group = group
         self.directory = directory
         self.peers = peers
-        self.asking: set[asyncio.Task[Evidence]] = set()
+        self.asking: set[asyncio.Task[PrimaryLiveness]] = set()
 
-    async def check(self, primary: str) -> Evidence:
+    async def probe_primary(self, primary: str) -> PrimaryLiveness:
         """Return the best evidence that any host gives."""
-        near = [self.spawn(primary, host, False) for host in self.near(primary)]
-        far = [self.spawn(primary, host, True) for host in self.far(primary)]
-        return await best_of(near + far)
-
-    async def relayed(self, primary: str) -> Evidence:
+        near = [
+            self.spawn(primary, host, False) for host in self.direct_probers(primary)
+        ]
+        far = [
+            self.spawn(primary, host, True) for host in self.indirect_probers(primary)
+        ]
+        return await best_probe_result(near + far)
+
+    async def probe_for_peer(self, primary: str) -> PrimaryLiveness:
         """Ask on behalf of a host that may not reach the primary's zone."""
-        return await best_of(
-            [self.spawn(primary, host, False) for host in self.near(primary)]
+        return await best_probe_result(
+            [self.spawn(primary, host, False) for host in self.direct_probers(primary)]
         )
 
-    def near(self, primary: str) -> list[HostRef]:
+    def direct_probers(self, primary: str) -> list[HostRef]:
         """Return the hosts that talk to the primary themselves."""
         for member in self.group.members:
             if member.member == primary:
-                return self.directory.ranked(primary, member.zone)[:ASKED_HOSTS]
+                return self.directory.ranked(primary, member.zone)[:MAX_PROBED_HOSTS]
         return []
 
-    def far(self, primary: str) -> list[HostRef]:
+    def indirect_probers(self, primary: str) -> list[HostRef]:
         """Return the homes of the other members."""
         me = self.directory.me.host
-        near = {host.host for host in self.near(primary)}
+        near = {host.host for host in self.direct_probers(primary)}
         found: dict[str, HostRef] = {}
         for member in self.group.members:
             host = self.directory.home(member.member, member.zone)
@@ -80,51 +84,57 @@
 
     def spawn(
         self, primary: str, host: HostRef, relay: bool
-    ) -> "asyncio.Task[Evidence]":
+    ) -> "asyncio.Task[PrimaryLiveness]":
         """Ask one host in a task that may outlive the check."""
-        task = asyncio.create_task(self.ask_twice(primary, host, relay))
+        task = asyncio.create_task(self.probe_with_retry(primary, host, relay))
         self.asking.add(task)
         task.add_done_callback(self.asking.discard)
         return task
 
-    async def ask_twice(self, primary: str, host: HostRef, relay: bool) -> Evidence:
+    async def probe_with_retry(
+        self, primary: str, host: HostRef, relay: bool
+    ) -> PrimaryLiveness:
         """Ask one host, and again soon after, since one message may be lost."""
-        first = asyncio.create_task(self.ask(primary, host, relay))
-        done, _ = await asyncio.wait([first], timeout=PROBE_AGAIN)
+        first = asyncio.create_task(self.probe_once(primary, host, relay))
+        done, _ = await asyncio.wait([first], timeout=PROBE_RETRY_DELAY_SECONDS)
         if done and first.result() is not None:
-            return first.result() or Evidence.LOST
-        second = asyncio.create_task(self.ask(primary, host, relay))
+            return first.result() or PrimaryLiveness.LOST
+        second = asyncio.create_task(self.probe_once(primary, host, relay))
         for answer in asyncio.as_completed([first, second]):
             evidence = await answer
             if evidence is not None:
                 return evidence
-        return Evidence.LOST
+        return PrimaryLiveness.LOST
 
-    async def ask(self, primary: str, host: HostRef, relay: bool) -> Evidence | None:
+    async def probe_once(
+        self, primary: str, host: HostRef, relay: bool
+    ) -> PrimaryLiveness | None:
         """Ask once; None if no answer came."""
         body = {"member": primary, "relay": relay}
-        timeout = RELAY_TIMEOUT if relay else PROBE_TIMEOUT
+        timeout = RELAY_TIMEOUT_SECONDS if relay else PROBE_TIMEOUT_SECONDS
         try:
             answer = await self.peers.call(host, "probe", body, timeout)
         except (PeerError, RefusalError):
             return None
-        return evidence_of(answer)
+        return parse_probe_answer(answer)
 
 
-async def best_of(questions: "list[asyncio.Task[Evidence]]") -> Evidence:
+async def best_probe_result(
+    questions: "list[asyncio.Task[PrimaryLiveness]]",
+) -> PrimaryLiveness:
     """Return the best answer; at once when the primary's home is shown alive."""
-    best = Evidence.LOST
+    best = PrimaryLiveness.LOST
     for answer in asyncio.as_completed(questions):
         evidence = await answer
-        if evidence is Evidence.ALIVE:
+        if evidence is PrimaryLiveness.ALIVE:
             return evidence
-        if evidence is Evidence.HOMELESS:
+        if evidence is PrimaryLiveness.HOMELESS:
             best = evidence
     return best
 
 
-def evidence_of(answer: Json) -> Evidence:
+def parse_probe_answer(answer: Json) -> PrimaryLiveness:
     """Read the answer of the peer path ``probe``."""
     if not answer["alive"]:
-        return Evidence.LOST
-    return Evidence.ALIVE if answer["home"] else Evidence.HOMELESS
+        return PrimaryLiveness.LOST
+    return PrimaryLiveness.ALIVE if answer["home"] else PrimaryLiveness.HOMELESS
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -36,12 +36,12 @@
 from .fleet.leaving import LeavingTargets
 from .fleet.listing import Listing
 from .fleet.membership import Membership
-from .groups.executor import Executor
-from .groups.group import GroupKeeper
+from .groups.executor import LocalStatementExecutor
+from .groups.group import GroupManager
 from .groups.grouproutes import GroupRoutes
-from .groups.hint import OutcomeHints
-from .groups.homes import Homes
-from .groups.keepers import Keepers
+from .groups.hint import PrimaryHints
+from .groups.homes import LocalHomes
+from .groups.keepers import GroupManagers
 from .lifecycle import LINGER, Lifecycle
 from .settings import Settings
 
@@ -139,7 +139,7 @@
 
     def make_groups(self) -> None:
         """Make the homes of targets and the keepers of their groups."""
-        self.homes = Homes(
+        self.homes = LocalHomes(
             self.membership,
             self.directory,
             self.peers,
@@ -148,14 +148,16 @@
             self.make_home,
             self.heartbeats.greeter.joined,
         )
-        self.keepers = Keepers(self.make_keeper, self.homes.in_use)
+        self.keepers = GroupManagers(
+            self.make_keeper, self.homes.open_and_closing_homes
+        )
         self.leaving_targets = LeavingTargets(
             self.homes.get, self.keepers.get, self.clock, self.timeline
         )
-        self.hints = OutcomeHints(self.store, self.clock, self.random)
-        self.executor = Executor(
+        self.hints = PrimaryHints(self.store, self.clock, self.random)
+        self.executor = LocalStatementExecutor(
             self.homes.get,
-            self.homes.holding,
+            self.homes.find_transaction_home,
             self.keepers.get,
             self.clock,
             self.me,
@@ -306,7 +308,7 @@
         """Put a configuration in force in all parts."""
         self.membership.set_version(catalog.version)
         self.homes.apply(catalog)
-        self.keepers.configured(catalog)
+        self.keepers.apply_catalog(catalog)
 
     def heard_version(self, peer: HostRef, version: int) -> None:
         """Pass on that a peer has a newer configuration."""
@@ -332,9 +334,9 @@
             self.metrics,
         )
 
-    def make_keeper(self, group: Group) -> GroupKeeper:
+    def make_keeper(self, group: Group) -> GroupManager:
         """Make the keeper of a group."""
-        return GroupKeeper(
+        return GroupManager(
             group,
             lambda: self.homes.of_group(group.name),
             self.directory,
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -12,10 +12,10 @@
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.events.timeline import Event, EventKind, Timeline
-from reedhook.process.groups.control import Controller
-from reedhook.process.groups.coordinator import Outcome
-from reedhook.process.groups.executor import Executor
-from reedhook.process.groups.group import GroupKeeper
+from reedhook.process.groups.control import MemberController
+from reedhook.process.groups.coordinator import PrimaryChange
+from reedhook.process.groups.executor import LocalStatementExecutor
+from reedhook.process.groups.group import GroupManager
 from reedhook.process.groups.grouproutes import GroupRoutes
 from reedhook.request.execution import HomeResponse
 from reedhook.request.position import Position
@@ -69,10 +69,10 @@
         self.factory = FakeFactory(cluster.group, cluster.truth)
         self.local: dict[str, FakeHome] = {}
         self.former: dict[str, FakeHome] = {}
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[PrimaryChange] = []
         self.lost_hosts: list[HostRef] = []
         seed = f"{cluster.seed}-{ref.host}"
-        self.keeper = GroupKeeper(
+        self.keeper = GroupManager(
             cluster.group,
             self.local.values,
             self.directory,
@@ -88,7 +88,7 @@
             wrapped = cluster.wrap(ref.host, self.keeper.controller)
             self.keeper.controller = wrapped
             self.keeper.coordinator.controller = wrapped
-        self.executor = Executor(
+        self.executor = LocalStatementExecutor(
             self.local.get,
             self.holding,
             lambda group: self.keeper,
@@ -131,7 +131,7 @@
         self,
         seed: int = 0,
         delay: float = 0.0015,
-        wrap: Callable[[str, Controller], Controller] | None = None,
+        wrap: Callable[[str, MemberController], MemberController] | None = None,
     ) -> None:
         self.seed = seed
         self.wrap = wrap
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -4,7 +4,7 @@
 
 from reedhook.connection.home import Home, HomeLoad
 from reedhook.connection.target import MemberState, TargetResult
-from reedhook.process.groups.homes import Homes
+from reedhook.process.groups.homes import LocalHomes
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Statement
 from reedhook.version.catalog import Catalog, Group, Limits, Member
@@ -92,12 +92,12 @@
         self.hosts = hosts
         self.catalog = catalog
         self.made: list[tuple[str, FakeHome]] = []
-        self.of: dict[str, Homes] = {}
+        self.of: dict[str, LocalHomes] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         for host in hosts.hosts:
             self.start(host)
 
-    def start(self, host: str) -> Homes:
+    def start(self, host: str) -> LocalHomes:
         """Run the homes of a host."""
         fake = self.hosts[host]
 
@@ -106,7 +106,7 @@
             self.made.append((host, home))
             return home
 
-        homes = Homes(
+        homes = LocalHomes(
             fake.membership,
             fake.directory,
             fake.peers,
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -87,7 +87,7 @@
 
 @using(cluster_of, run_virtual)
 async def test_writes_wait_while_the_primary_is_moved(cluster: Cluster) -> None:
-    gate = cluster.hosts["m1a"].keeper.handing.open
+    gate = cluster.hosts["m1a"].keeper.planned_handover.writes_allowed
     gate.clear()
     waiting = asyncio.create_task(cluster.write("m1", "late", 1.0))
     await asyncio.sleep(0.2)
--- a/tests/test_group_basic.py
+++ b/tests/test_group_basic.py
@@ -42,7 +42,7 @@
     before = cluster.network.calls["report"]
     await asyncio.gather(*(cluster.write("m1", f"t{i}") for i in range(200)))
     assert cluster.network.calls["report"] - before < 40
-    durability = cluster.hosts["m1a"].keeper.knowledge.durability
+    durability = cluster.hosts["m1a"].keeper.group_state.durability
     assert durability.waiters == []
 
 
--- a/tests/test_group_hint.py
+++ b/tests/test_group_hint.py
@@ -4,15 +4,15 @@
 import random
 
 from reedhook.process.configuring.store import Entry
-from reedhook.process.groups.coordinator import Outcome
-from reedhook.process.groups.hint import OutcomeHints
+from reedhook.process.groups.coordinator import PrimaryChange
+from reedhook.process.groups.hint import PrimaryHints
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_store import FakeStore
 
 
-def hints(store: FakeStore) -> OutcomeHints:
-    return OutcomeHints(store, LoopClock(), random.Random(1))
+def hints(store: FakeStore) -> PrimaryHints:
+    return PrimaryHints(store, LoopClock(), random.Random(1))
 
 
 @in_virtual_time
@@ -20,13 +20,13 @@
     store = FakeStore()
     store.down = True
     writer = hints(store)
-    writer.publish(Outcome("g", 2, "m2"))
+    writer.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(5.0)
-    writer.publish(Outcome("g", 3, "m3"))
+    writer.publish(PrimaryChange("g", 3, "m3"))
     assert await writer.read("g") is None
     store.down = False
     await asyncio.sleep(60.0)
-    assert await writer.read("g") == Outcome("g", 3, "m3")
+    assert await writer.read("g") == PrimaryChange("g", 3, "m3")
     assert writer.pending == {}
 
 
@@ -34,11 +34,11 @@
 async def test_a_former_outcome_never_replaces_a_later_one() -> None:
     store = FakeStore()
     first, second = hints(store), hints(store)
-    first.publish(Outcome("g", 3, "m3"))
+    first.publish(PrimaryChange("g", 3, "m3"))
     await asyncio.sleep(1.0)
-    second.publish(Outcome("g", 2, "m2"))
+    second.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(1.0)
-    assert await first.read("g") == Outcome("g", 3, "m3")
+    assert await first.read("g") == PrimaryChange("g", 3, "m3")
 
 
 @in_virtual_time
@@ -46,10 +46,10 @@
     store = FakeStore()
     store.lose_answers = 1
     first, second = hints(store), hints(store)
-    first.publish(Outcome("g", 2, "m2"))
-    second.publish(Outcome("g", 3, "m3"))
+    first.publish(PrimaryChange("g", 2, "m2"))
+    second.publish(PrimaryChange("g", 3, "m3"))
     await asyncio.sleep(30.0)
-    assert await first.read("g") == Outcome("g", 3, "m3")
+    assert await first.read("g") == PrimaryChange("g", 3, "m3")
     assert first.pending == second.pending == {}
 
 
@@ -60,6 +60,6 @@
     assert written.revision == 1
     writer = hints(store)
     assert await writer.read("g") is None
-    writer.publish(Outcome("g", 2, "m2"))
+    writer.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(1.0)
-    assert await writer.read("g") == Outcome("g", 2, "m2")
+    assert await writer.read("g") == PrimaryChange("g", 2, "m2")
--- a/tests/test_group_proofs.py
+++ b/tests/test_group_proofs.py
@@ -6,9 +6,9 @@
 from hypothesis import given, strategies as st
 
 from reedhook.connection.target import MemberState, Role
-from reedhook.process.groups.confirmation import Confirmation, Lead
-from reedhook.process.groups.durability import Durability, durable_position
-from reedhook.process.groups.sample import Sample, Samples
+from reedhook.process.groups.confirmation import GroupLeader, LeaderConfirmation
+from reedhook.process.groups.durability import DurabilityTracker, durable_position
+from reedhook.process.groups.sample import PrimarySample, PrimarySamples
 from reedhook.request.position import ORIGIN, Position
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Consistency
@@ -49,36 +49,36 @@
 async def test_a_later_term_proves_nothing_of_the_last_entries_of_a_former_one() -> (
     None
 ):
-    durability = Durability()
+    durability = DurabilityTracker()
     durability.advance(Position(1, 5))
-    assert durability.holds(Position(1, 5))
+    assert durability.is_durable(Position(1, 5))
     waiting = asyncio.create_task(durability.wait(Position(1, 7), 1.0))
     await asyncio.sleep(0.01)
     durability.advance(Position(2, 6))
     assert await waiting is False
-    assert not durability.holds(Position(1, 7))
+    assert not durability.is_durable(Position(1, 7))
     assert await durability.wait(Position(2, 6), 1.0) is True
 
 
 @in_virtual_time
 async def test_waits_end_at_once_when_a_higher_term_is_seen() -> None:
-    durability = Durability()
-    durability.enter(1)
+    durability = DurabilityTracker()
+    durability.enter_term(1)
     waiting = [
         asyncio.create_task(durability.wait(Position(1, index), 10.0))
         for index in range(1, 6)
     ]
     await asyncio.sleep(0.01)
     durability.advance(Position(1, 2))
-    durability.enter(2)
+    durability.enter_term(2)
     assert await asyncio.gather(*waiting) == [True, True, False, False, False]
     assert asyncio.get_running_loop().time() < 0.1
 
 
 @in_virtual_time
 async def test_waits_that_gave_up_are_dropped() -> None:
-    durability = Durability()
-    durability.enter(1)
+    durability = DurabilityTracker()
+    durability.enter_term(1)
     for serial in range(5000):
         with pytest.raises(TimeoutError):
             await durability.wait(Position(1, serial), 0.0)
@@ -96,7 +96,7 @@
         self.states = states
         self.delay = 0.01
         self.asked = 0
-        self.samples: list[Sample] = []
+        self.samples: list[PrimarySample] = []
 
     async def ask(self, member: str, timeout: float) -> MemberState | None:
         self.asked += 1
@@ -104,12 +104,12 @@
         await asyncio.sleep(self.delay)
         return answer
 
-    def confirmation(self) -> Confirmation:
-        return Confirmation(
+    def confirmation(self) -> LeaderConfirmation:
+        return LeaderConfirmation(
             list(self.states),
             len(self.states) // 2 + 1,
             self.ask,
-            lambda: Lead(3, "m1"),
+            lambda: GroupLeader(3, "m1"),
             self.samples.append,
             LoopClock(),
             0.25,
@@ -135,10 +135,10 @@
 ) -> None:
     members = Members({"m1": LEADER, "m2": second, "m3": third})
     confirmation = members.confirmation()
-    ticket = confirmation.request()
-    await confirmation.wait(ticket)
-    assert confirmation.confirms(ticket, 3) is proved
-    assert not confirmation.confirms(ticket, 2)
+    ticket = confirmation.request_round()
+    await confirmation.wait_for_round(ticket)
+    assert confirmation.is_confirmed(ticket, 3) is proved
+    assert not confirmation.is_confirmed(ticket, 2)
     assert len(members.samples) == int(proved)
 
 
@@ -150,9 +150,9 @@
     for first in (None, fenced):
         members = Members({"m1": first, "m2": replica, "m3": other})
         confirmation = members.confirmation()
-        ticket = confirmation.request()
-        await confirmation.wait(ticket)
-        assert not confirmation.confirms(ticket, 3)
+        ticket = confirmation.request_round()
+        await confirmation.wait_for_round(ticket)
+        assert not confirmation.is_confirmed(ticket, 3)
 
 
 @in_virtual_time
@@ -160,17 +160,17 @@
     replica = state("m2", 3, Position(3, 8))
     members = Members({"m1": LEADER, "m2": replica, "m3": None})
     confirmation = members.confirmation()
-    first = confirmation.request()
+    first = confirmation.request_round()
     await asyncio.sleep(0.005)
     members.states["m2"] = state("m2", 4, Position(3, 8))
-    tickets = {confirmation.request() for _ in range(10)}
+    tickets = {confirmation.request_round() for _ in range(10)}
     assert len(tickets) == 1
     second = tickets.pop()
-    await confirmation.wait(first)
-    assert confirmation.confirms(first, 3)
-    assert not confirmation.confirms(second, 3)
-    await confirmation.wait(second)
-    assert not confirmation.confirms(second, 3)
+    await confirmation.wait_for_round(first)
+    assert confirmation.is_confirmed(first, 3)
+    assert not confirmation.is_confirmed(second, 3)
+    await confirmation.wait_for_round(second)
+    assert not confirmation.is_confirmed(second, 3)
     assert members.asked == 6
 
 
@@ -184,18 +184,18 @@
 ) -> None:
     # Both clocks are read off one axis here; `gap` is how far they differ.
     answered = max(dated, asked + transit)
-    sample = Sample(Position(1, 1), dated)
-    handed = Sample.from_json(sample.to_json(answered), asked + gap)
-    assert handed.dated - gap <= dated + 1e-6
+    sample = PrimarySample(Position(1, 1), dated)
+    handed = PrimarySample.from_json(sample.to_json(answered), asked + gap)
+    assert handed.as_of - gap <= dated + 1e-6
 
 
 @given(st.lists(st.tuples(positions, times), max_size=80), positions)
 def test_an_age_is_that_of_a_sample_that_is_covered(
     given_samples: list[tuple[Position, float]], applied: Position
 ) -> None:
-    samples = Samples()
+    samples = PrimarySamples()
     for position, dated in given_samples:
-        samples.add(Sample(position, dated))
+        samples.add(PrimarySample(position, dated))
     age = samples.age(applied, 200.0)
     covered = [
         200.0 - dated for position, dated in given_samples if position <= applied
@@ -206,9 +206,9 @@
 
 
 def test_a_replica_that_lags_proves_an_older_sample() -> None:
-    samples = Samples()
+    samples = PrimarySamples()
     for index in range(1, 50):
-        samples.add(Sample(Position(1, index), index * 0.1))
+        samples.add(PrimarySample(Position(1, index), index * 0.1))
     assert samples.age(Position(1, 20), 10.0) == pytest.approx(8.0)
     assert samples.age(ORIGIN, 10.0) is None
 
@@ -243,10 +243,12 @@
 ) -> None:
     position = await cluster.write("m1", "a")
     keeper = cluster.hosts["m1a"].keeper
-    await keeper.durable(position, 0.3, since=cluster.now() - 1.0)
+    await keeper.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
     cluster.network.isolate({"m1a"}, {"m2a", "m3a"})
-    await keeper.durable(position, 0.3)
-    refusal = await refusal_of(keeper.durable(position, 0.3, since=cluster.now() - 1.0))
+    await keeper.wait_until_durable(position, 0.3)
+    refusal = await refusal_of(
+        keeper.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
+    )
     assert refusal.reason is RefusalReason.NOT_DURABLE
 
 
@@ -260,5 +262,5 @@
     home.task.cancel()
     home.state = None
     begun = cluster.now()
-    await host.keeper.sampling.prove(0.5)
+    await host.keeper.sampler.fetch_shared_sample(0.5)
     assert cluster.now() > begun
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedhook.process.events.timeline import EventKind
-from reedhook.process.groups.executor import Executor
+from reedhook.process.groups.executor import LocalStatementExecutor
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Catalog, Group, Limits
@@ -92,7 +92,7 @@
     await until(lambda: "a-0" not in homes.hosts["b-0"].live(), 40.0)
     await asyncio.sleep(40.0)
     shares = [
-        held.share
+        held.connection_limit
         for host in ("b-0", "b-1", "b-2", "c-0", "c-1", "c-2")
         for name, held in homes.of[host].held.items()
         if name.endswith("-a")
@@ -140,17 +140,17 @@
     assert homes.of[host].closing_of(members[0]) == [busy]
     assert busy.closed_at is None
     commit = statement_of("t1", busy)
-    assert homes.of[host].holding(members[0], commit) is busy
+    assert homes.of[host].find_transaction_home(members[0], commit) is busy
     with pytest.raises(RefusalError):
-        homes.of[host].holding(members[0], statement_of("t2", busy))
-    assert homes.of[host].in_use(busy.group.name) == [busy]
+        homes.of[host].find_transaction_home(members[0], statement_of("t2", busy))
+    assert homes.of[host].open_and_closing_homes(busy.group.name) == [busy]
     told = asyncio.Event()
     homes.of[host].on_change(told.set)
     busy.open.clear()
     busy.idle.set()
     await drain
     assert told.is_set()
-    assert homes.of[host].in_use(busy.group.name) == []
+    assert homes.of[host].open_and_closing_homes(busy.group.name) == []
     with pytest.raises(RefusalError) as caught:
         await executor_of(homes, host).execute(members[0], commit)
     assert caught.value.reason is RefusalReason.TRANSACTION_LOST
@@ -245,7 +245,7 @@
             assert home.closed_at is None
     assert homes.holders("g9-a")
     old = before["g1-a"]
-    assert homes.of[host].holding("g1-a", statement_of("t1", old)) is old
+    assert homes.of[host].find_transaction_home("g1-a", statement_of("t1", old)) is old
 
 
 def statement_of(transaction: str, home: FakeHome) -> Statement:
@@ -256,10 +256,12 @@
     )
 
 
-def executor_of(homes: HomesOfHosts, host: str) -> Executor:
+def executor_of(homes: HomesOfHosts, host: str) -> LocalStatementExecutor:
     """Return the executor of a host without keepers."""
     of, fake = homes.of[host], homes.hosts[host]
-    return Executor(of.get, of.holding, lambda group: None, fake.clock, fake.ref)
+    return LocalStatementExecutor(
+        of.get, of.find_transaction_home, lambda group: None, fake.clock, fake.ref
+    )
 
 
 def at_home(homes: HomesOfHosts, member: str) -> FakeHome:
@@ -295,11 +297,11 @@
     await asyncio.sleep(1.0)
     for name in members_of(homes.catalog):
         if name.endswith("-a"):
-            held = [homes.of[host].held[name].share for host in zone]
+            held = [homes.of[host].held[name].connection_limit for host in zone]
             assert sorted(held) == [3, 4, 7]
             holders = homes.holders(name)
             assert len(holders) > len(zone)
-            shares = [homes.of[host].held[name].share for host in holders]
+            shares = [homes.of[host].held[name].connection_limit for host in holders]
             assert sum(shares) <= CONNECTIONS
 
 
@@ -316,7 +318,7 @@
 
     one.make_home = Broken
     one.release(members[0], "test")
-    one.wake.set()
+    one.change_event.set()
     await asyncio.sleep(0.1)
     assert failures == [members[0]]
     assert one.get(members[0]) is None
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -51,12 +51,12 @@
         await asyncio.sleep(1.0)
         keeper = cluster.hosts["m1a"].keeper
         # Nobody is heard for a while: the others are asked, and answer.
-        keeper.heard.clear()
-        while not keeper.hears_majority():
+        keeper.last_report_at.clear()
+        while not keeper.majority_reported_recently():
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.01)
         # Reports are late again before the next look.
-        keeper.heard.clear()
+        keeper.last_report_at.clear()
         assert not keeper.isolated
         await cluster.write("m1", "a", 5.0)
         await cluster.stop()
@@ -73,16 +73,19 @@
         await cluster.start()
         await asyncio.sleep(1.0)
         keeper = cluster.hosts["m1a"].keeper
-        answered, keeper.confirmation.ask = keeper.confirmation.ask, asked_in_a_stall
+        answered, keeper.confirmation.request_state = (
+            keeper.confirmation.request_state,
+            asked_in_a_stall,
+        )
         rounds = keeper.confirmation.ended
-        keeper.heard.clear()
+        keeper.last_report_at.clear()
         while keeper.confirmation.ended == rounds:
-            keeper.heard.clear()
+            keeper.last_report_at.clear()
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.001)
-        keeper.heard.clear()
+        keeper.last_report_at.clear()
         assert not keeper.isolated
-        keeper.confirmation.ask = answered
+        keeper.confirmation.request_state = answered
         await cluster.write("m1", "a", 5.0)
         await cluster.stop()
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,7 +7,7 @@
 
 from reedhook.process.events.timeline import EventKind, Timeline
 from reedhook.process.fleet.leaving import LeavingTargets
-from reedhook.process.groups.group import GroupKeeper
+from reedhook.process.groups.group import GroupManager
 from reedhook.request.refusal import RefusalError
 from reedhook.request.view import GroupView
 from reedhook.version.catalog import Group, Member
@@ -48,7 +48,7 @@
     clock = LoopClock()
     return LeavingTargets(
         lambda member: cast("None", home),
-        lambda group: cast(GroupKeeper, keeper),
+        lambda group: cast(GroupManager, keeper),
         clock,
         Timeline("h1", clock),
     )
--- a/tests/test_promotion.py
+++ b/tests/test_promotion.py
@@ -8,7 +8,11 @@
 
 from reedhook.connection.target import MemberState, Role
 from reedhook.process.events.timeline import EventKind
-from reedhook.process.groups.control import Control, Controller, Op
+from reedhook.process.groups.control import (
+    ControlOperation,
+    MemberController,
+    MemberControlRequest,
+)
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run
 from reedhook.request.statement import Consistency
@@ -19,34 +23,40 @@
 from .home_support import refusal_of
 from .support import using
 
-Hook = Callable[[str, Control], Awaitable[None]]
+Hook = Callable[[str, MemberControlRequest], Awaitable[None]]
 CHOSEN, OTHER = "chosen", "other"
 STEPS = [
-    (Op.STATE, OTHER),
-    (Op.RAISE, CHOSEN),
-    (Op.RAISE, OTHER),
-    (Op.PROMOTE, CHOSEN),
-    (Op.FOLLOW, OTHER),
+    (ControlOperation.STATE, OTHER),
+    (ControlOperation.RAISE, CHOSEN),
+    (ControlOperation.RAISE, OTHER),
+    (ControlOperation.PROMOTE, CHOSEN),
+    (ControlOperation.FOLLOW, OTHER),
 ]
 
 
-class SteppedController(Controller):
+class SteppedController(MemberController):
     """Call a hook before and after each step of a coordinator."""
 
     def __init__(
-        self, host: str, inner: Controller, before: Hook | None, after: Hook | None
+        self,
+        host: str,
+        inner: MemberController,
+        before: Hook | None,
+        after: Hook | None,
     ) -> None:
         self.host = host
         self.inner = inner
         self.before = before
         self.after = after
 
-    async def control(self, order: Control, timeout: float) -> MemberState:
+    async def control(
+        self, request: MemberControlRequest, timeout: float
+    ) -> MemberState:
         if self.before is not None:
-            await self.before(self.host, order)
-        state = await self.inner.control(order, timeout)
+            await self.before(self.host, request)
+        state = await self.inner.control(request, timeout)
         if self.after is not None:
-            await self.after(self.host, order)
+            await self.after(self.host, request)
         return state
 
 
@@ -89,15 +99,15 @@
 @pytest.mark.parametrize("chosen, other", [("m2", "m3"), ("m3", "m2")])
 @in_virtual_time
 async def test_a_coordinator_paused_at_any_step(
-    op: Op, whose: str, side: str, chosen: str, other: str
+    op: ControlOperation, whose: str, side: str, chosen: str, other: str
 ) -> None:
     member = chosen if whose == CHOSEN else other
     paused: list[str] = []
 
-    async def pause(host: str, order: Control) -> None:
+    async def pause(host: str, order: MemberControlRequest) -> None:
         if not cluster.truth.members["m1"].down:
             return
-        if not paused and (order.op, order.member) == (op, member):
+        if not paused and (order.operation, order.member) == (op, member):
             paused.append(host)
             cluster.network.pause(host)
         await cluster.network.awake(host)
@@ -122,15 +132,15 @@
 @pytest.mark.parametrize("chosen, other", [("m2", "m3"), ("m3", "m2")])
 @in_virtual_time
 async def test_answers_lost_at_any_step(
-    op: Op, whose: str, times: int, chosen: str, other: str
+    op: ControlOperation, whose: str, times: int, chosen: str, other: str
 ) -> None:
     member = chosen if whose == CHOSEN else other
     lost: list[str] = []
 
-    async def lose(host: str, order: Control) -> None:
+    async def lose(host: str, order: MemberControlRequest) -> None:
         if not cluster.truth.members["m1"].down:
             return
-        if (order.op, order.member) == (op, member) and len(lost) < times:
+        if (order.operation, order.member) == (op, member) and len(lost) < times:
             lost.append(host)
             raise may_have_run(RefusalReason.HOST_UNREACHABLE, "the answer was lost")
 
--- a/tests/test_reign.py
+++ b/tests/test_reign.py
@@ -122,7 +122,7 @@
         assert 0.3 <= took < 0.35 and term == view.term
         later = view.term + 1
         loop = asyncio.get_running_loop()
-        loop.call_later(0.1, home.keeper.knowledge.lead, later, "m2")
+        loop.call_later(0.1, home.keeper.group_state.record_leader, later, "m2")
         took, term = await ask(0.8, view.term)
         assert 0.1 <= took < 0.13 and term == later
         await cluster.stop()
