--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -3,7 +3,7 @@
 from typing import Any, Final
 
 from ..address import split_address
-from ..process.announced.documents import Documents
+from ..process.announced.documents import StoreValueParser
 from ..version.registry import (
     Route,
     RouteKind,
@@ -212,7 +212,7 @@
     return field.isascii() and field.isprintable() and " " not in field and bool(field)
 
 
-class PlatformDocuments(Documents):
+class PlatformDocuments(StoreValueParser):
     """Read the values under the platform's keys."""
 
     def is_table(self, key: str) -> bool:
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -6,7 +6,7 @@
 
 from ..address import split_address
 from ..process.hosting_settings import HostingSettings
-from ..process.rates.terms import DEFAULT_TERMS, RateTerms
+from ..process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
 
 VARIABLE: Final = "REEDHOOK_SETTINGS"
 """Environment variable with the path of the file."""
@@ -81,12 +81,12 @@
     )
 
 
-def rates(fields: dict[str, Line]) -> RateTerms:
+def rates(fields: dict[str, Line]) -> RateTolerance:
     """Return how strictly the rates of workspaces are held."""
-    return RateTerms(
-        optional(fields, "bounds.quota_window_s", DEFAULT_TERMS.window),
-        optional(fields, "bounds.quota_overshoot", DEFAULT_TERMS.overshoot),
-        optional(fields, "bounds.quota_slack", DEFAULT_TERMS.slack),
+    return RateTolerance(
+        optional(fields, "bounds.quota_window_s", DEFAULT_TOLERANCE.window),
+        optional(fields, "bounds.quota_overshoot", DEFAULT_TOLERANCE.overshoot),
+        optional(fields, "bounds.quota_slack", DEFAULT_TOLERANCE.slack),
     )
 
 
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -13,14 +13,14 @@
 )
 from ..connection.link import ChannelPool
 from ..process.announced.keyspace import (
-    Conflict,
-    Declined,
-    HistoryGone,
+    HistoryCompactedError,
     Item,
     Items,
-    Keyspace,
-    LeaseEnded,
-    Unanswered,
+    KeyValueStore,
+    RevisionConflictError,
+    StoreLeaseExpiredError,
+    StoreRejectedError,
+    StoreUnansweredError,
 )
 from ..record import Record
 from ..wire import Json, WireError, decode, encode
@@ -46,7 +46,7 @@
 cross the same link twice."""
 
 
-class PlatformStore(Keyspace):
+class PlatformStore(KeyValueStore):
     """Reach the store at `address` (``IP:port``)."""
 
     def __init__(self, address: str, clock: Clock) -> None:
@@ -73,9 +73,9 @@
         while True:
             answer = await self.ask("GET", RANGE, query, None, timeout)
             page = read_items(answer, "items")
-            at = page.at if at is None else at
+            at = page.revision if at is None else at
             items += page.items
-            arrival += page.arrival
+            arrival += page.transfer_seconds
             if not answer.message.get("truncated") or not page.items:
                 # Pages are no snapshot: what changed since the first is in
                 # the changes after its revision.
@@ -93,7 +93,7 @@
         timeout = hold + margin
         answer = await self.ask("GET", WATCH, query, None, timeout)
         if answer.status == GONE:
-            raise HistoryGone(f"changes after {after} are gone")
+            raise HistoryCompactedError(f"changes after {after} are gone")
         return read_items(answer, "events")
 
     async def put(
@@ -111,23 +111,23 @@
         body: Json = {"expect": conditions, "writes": [write], "deletes": []}
         answer = await self.ask("POST", CHANGE, {}, body, timeout)
         if answer.status == CONFLICT:
-            raise Conflict(f"{key} is not at revision {expected}")
+            raise RevisionConflictError(f"{key} is not at revision {expected}")
         if answer.status == ABSENT:
-            raise LeaseEnded(f"there is no lease {lease}")
+            raise StoreLeaseExpiredError(f"there is no lease {lease}")
         return int(accepted(answer)["revision"])
 
-    async def grant(self, seconds: float, timeout: float) -> int:
+    async def grant_lease(self, seconds: float, timeout: float) -> int:
         body: Json = {"ttl_ms": int(seconds * MILLISECONDS)}
         answer = await self.ask("POST", LEASE, {}, body, timeout)
         return int(accepted(answer)["lease"])
 
-    async def keep(self, lease: int, timeout: float) -> None:
+    async def renew_lease(self, lease: int, timeout: float) -> None:
         answer = await self.ask("POST", f"{KEEP}{lease}", {}, None, timeout)
         if answer.status == ABSENT:
-            raise LeaseEnded(f"there is no lease {lease}")
+            raise StoreLeaseExpiredError(f"there is no lease {lease}")
         accepted(answer)
 
-    async def end(self, lease: int, timeout: float) -> None:
+    async def revoke_lease(self, lease: int, timeout: float) -> None:
         path = f"{LEASE_END}{lease}"
         answer = await self.ask("DELETE", path, {}, None, timeout)
         if answer.status != ABSENT:
@@ -159,7 +159,7 @@
         except (ChannelClosedError, ResponseIncompleteError) as error:
             # What lost track of one connection may have lost them all.
             self.link.drop_idle()
-            raise Unanswered(f"no answer to {path}: {error}") from error
+            raise StoreUnansweredError(f"no answer to {path}: {error}") from error
         return StoreAnswer(answer.status, read_body(answer), answer.transfer_seconds)
 
 
@@ -193,7 +193,7 @@
     :raises Declined: otherwise.
     """
     if answer.status != OK:
-        raise Declined(f"the store answers {answer.status}")
+        raise StoreRejectedError(f"the store answers {answer.status}")
     return answer.message
 
 
@@ -207,7 +207,7 @@
         items = [read_item(one) for one in message[name]]
         return Items(items, int(message["at"]), answer.arrival)
     except (LookupError, TypeError, ValueError) as error:
-        raise Declined(f"malformed answer: {error!r}") from error
+        raise StoreRejectedError(f"malformed answer: {error!r}") from error
 
 
 def read_item(message: Any) -> Item:
@@ -221,4 +221,4 @@
             value = b64decode(message["value"], validate=True)
         return Item(str(message["key"]), value, int(message["revision"]))
     except (LookupError, TypeError, ValueError) as error:
-        raise Declined(f"malformed item: {error!r}") from error
+        raise StoreRejectedError(f"malformed item: {error!r}") from error
--- a/src/reedhook/process/announced/announcements.py
+++ b/src/reedhook/process/announced/announcements.py
@@ -8,21 +8,21 @@
 from ...decisions import Decisions
 from ...version.registry import NO_ROUTES, RouteTable, TargetEntry
 from ...wire import WireError
-from .documents import Documents
+from .documents import StoreValueParser
 from .keyspace import Item, Items
-from .mirror import Mirror
+from .mirror import StoreMirror
 
-OWN_PREFIX: Final = "reedhook/"
+SYSTEM_KEY_PREFIX: Final = "reedhook/"
 """Begins the keys that hosts of the system write."""
 
-HOSTS: Final = f"{OWN_PREFIX}hosts/"
+HOSTS_KEY_PREFIX: Final = f"{SYSTEM_KEY_PREFIX}hosts/"
 """Begins the keys under which hosts announce themselves."""
 
-BRIEFLY: Final = 1.0
+RELAY_GRACE_SECONDS: Final = 1.0
 """Seconds without the store after which others no longer learn from a host. They
 then ask the store themselves: of 195 hosts 180 more, each with calls of its own."""
 
-LONGEST_ERROR: Final = 200
+MAX_ERROR_CHARACTERS: Final = 200
 """Characters of what is logged of a value that cannot be read; others may have
 written anything there, up to 1 MB."""
 
@@ -36,19 +36,19 @@
     :ivar missing_since: when targets that were known were found to be gone,
         by `Clock.elapsed`.
     :ivar malformed: keys whose values cannot be read now; each is logged once.
-    :ivar own: the newest items that hosts of the system wrote, by key.
+    :ivar host_items: the newest items that hosts of the system wrote, by key.
     :ivar mirror: all items but configurations, for other hosts.
-    :ivar changed: set, and replaced by another, once there is news.
-    :ivar reached: whether the store answered when it was last asked, by this host
+    :ivar updated: set, and replaced by another, once there is news.
+    :ivar store_reached: whether the store answered when it was last asked, by this host
         or by the one that it learns from.
-    :ivar on_own: called with each item of a host of the system that is news.
-    :ivar on_news: called once after items that came together.
+    :ivar on_host_item: called with each item of a host of the system that is news.
+    :ivar on_update: called once after items that came together.
     """
 
     def __init__(
-        self, documents: Documents, clock: Clock, decisions: Decisions
+        self, parser: StoreValueParser, clock: Clock, decisions: Decisions
     ) -> None:
-        self.documents = documents
+        self.parser = parser
         self.clock = clock
         self.decisions = decisions
         self.table = NO_ROUTES
@@ -57,55 +57,60 @@
         self.missing: dict[str, TargetEntry] = {}
         self.missing_since: dict[str, float] = {}
         self.malformed: set[str] = set()
-        self.own: dict[str, Item] = {}
-        self.reached = False
-        self.back_at = float("-inf")
+        self.host_items: dict[str, Item] = {}
+        self.store_reached = False
+        self.reached_since = float("-inf")
         self.lost_at = float("-inf")
         self.configured = asyncio.Event()
-        self.mirror = Mirror()
-        self.changed = asyncio.Event()
+        self.mirror = StoreMirror()
+        self.updated = asyncio.Event()
         self.on_table: list[Callable[[RouteTable], None]] = []
         self.on_targets: list[Callable[[], None]] = []
-        self.on_reborn: list[Callable[[TargetEntry], None]] = []
-        self.on_own: list[Callable[[Item], None]] = []
-        self.on_news: list[Callable[[], None]] = []
+        self.on_restart: list[Callable[[TargetEntry], None]] = []
+        self.on_host_item: list[Callable[[Item], None]] = []
+        self.on_update: list[Callable[[], None]] = []
 
-    def lost(self, error: Exception) -> None:
+    def mark_store_lost(self, error: Exception) -> None:
         """Take note that the store gives no answer."""
-        if self.reached:
+        if self.store_reached:
             self.lost_at = self.clock.elapsed()
             self.decisions.note("store_lost", error=str(error))
-        self.reached = False
+        self.store_reached = False
 
     @property
-    def followed(self) -> bool:
+    def usable_as_relay(self) -> bool:
         """Say whether others may go on learning from this host.
 
         A store that breaks its connections, or has dropped its history, answers
         again within tenths of a second.
         """
-        return self.reached or self.clock.elapsed() - self.lost_at < BRIEFLY
+        return (
+            self.store_reached
+            or self.clock.elapsed() - self.lost_at < RELAY_GRACE_SECONDS
+        )
 
-    def heard(self) -> None:
+    def mark_store_reached(self) -> None:
         """Take note that the store answers."""
         now = self.clock.elapsed()
-        if not self.reached:
-            self.back_at = now
-            self.decisions.note("store_reached", revision=self.mirror.at)
-        self.reached = True
+        if not self.store_reached:
+            self.reached_since = now
+            self.decisions.note("store_reached", revision=self.mirror.revision)
+        self.store_reached = True
 
     def replace(self, found: Items) -> None:
         """Take over all that is announced, and that the rest is gone."""
-        self.take(found)
+        self.apply_changes(found)
         self.keep_only({item.key for item in found.items})
 
     def keep_only(self, keys: set[str]) -> None:
         """Take note that only these keys are left."""
-        self.apply(self.mirror.take(Items(self.mirror.missing(keys), self.mirror.at)))
+        self.process_updates(
+            self.mirror.apply(Items(self.mirror.missing(keys), self.mirror.revision))
+        )
 
-    def take(self, found: Items) -> None:
+    def apply_changes(self, found: Items) -> None:
         """Take changes over."""
-        self.apply(self.mirror.take(self.without_tables(found)))
+        self.process_updates(self.mirror.apply(self.without_tables(found)))
 
     def without_tables(self, found: Items) -> Items:
         """Take configurations over and return the other items.
@@ -114,38 +119,38 @@
         """
         others = []
         for item in found.items:
-            if self.documents.is_table(item.key):
-                self.act_on(item)
+            if self.parser.is_table(item.key):
+                self.try_process_item(item)
             else:
                 others.append(item)
-        return Items(others, found.at)
+        return Items(others, found.revision)
 
-    def known(self, target: str) -> TargetEntry | None:
+    def last_entry(self, target: str) -> TargetEntry | None:
         """Return what a target announces, or announced last; None if never."""
         return self.targets.get(target) or self.missing.get(target)
 
-    def apply(self, news: list[Item]) -> None:
+    def process_updates(self, news: list[Item]) -> None:
         """Act on items that are news, and wake those that wait for some."""
         if not news:
             return
         for item in news:
-            self.act_on(item)
-        self.tell()
-        for callback in self.on_news:
+            self.try_process_item(item)
+        self.notify_waiters()
+        for callback in self.on_update:
             callback()
 
-    def act_on(self, item: Item) -> None:
+    def try_process_item(self, item: Item) -> None:
         """Act on one item."""
         try:
-            self.take_item(item)
+            self.process_item(item)
             self.malformed.discard(item.key)
         except WireError as error:
             self.cannot_read(item, error)
 
-    def tell(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake those that wait for news."""
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.updated.set()
+        self.updated = asyncio.Event()
 
     def cannot_read(self, item: Item, error: WireError) -> None:
         """Take note of a value that another writer may have left.
@@ -159,29 +164,29 @@
                 "item_malformed",
                 key=item.key,
                 revision=item.revision,
-                kept=self.table.version if self.documents.is_table(item.key) else None,
-                error=str(error)[:LONGEST_ERROR],
+                kept=self.table.version if self.parser.is_table(item.key) else None,
+                error=str(error)[:MAX_ERROR_CHARACTERS],
             )
-        if self.documents.is_target(item.key):
-            self.target_gone(self.documents.target_of(item.key))
+        if self.parser.is_target(item.key):
+            self.remove_target(self.parser.target_of(item.key))
 
-    def take_item(self, item: Item) -> None:
+    def process_item(self, item: Item) -> None:
         """Take one item over by what it is about."""
-        documents = self.documents
-        if item.key.startswith(OWN_PREFIX):
-            self.take_own(item)
+        documents = self.parser
+        if item.key.startswith(SYSTEM_KEY_PREFIX):
+            self.apply_host_item(item)
         elif documents.is_table(item.key) and item.value is not None:
-            self.take_table(documents.without_keys(item.value))
+            self.apply_table(documents.without_keys(item.value))
         elif documents.is_target(item.key):
-            self.take_target(item)
+            self.apply_target(item)
 
-    def take_table(self, value: bytes) -> None:
+    def apply_table(self, value: bytes) -> None:
         """Put a configuration in force unless a newer one is.
 
         :param value: without callers' keys.
         :raises WireError: if it is malformed.
         """
-        table = self.documents.read_table(value)
+        table = self.parser.read_table(value)
         if table.version <= self.table.version:
             return
         self.decisions.note(
@@ -190,18 +195,18 @@
         self.table = table
         self.table_value = value
         self.configured.set()
-        self.tell()
+        self.notify_waiters()
         for callback in self.on_table:
             callback(table)
 
-    def take_target(self, item: Item) -> None:
+    def apply_target(self, item: Item) -> None:
         """Take over what a target announces."""
-        target = self.documents.target_of(item.key)
+        target = self.parser.target_of(item.key)
         if item.value is None:
-            self.target_gone(target)
+            self.remove_target(target)
             return
-        entry = self.documents.read_target(item.key, item.value)
-        known = self.known(target)
+        entry = self.parser.read_target(item.key, item.value)
+        known = self.last_entry(target)
         if known is not None and entry.is_older_than(known):
             # A write that was late, of a process that ended or went on since.
             self.decisions.note(
@@ -213,7 +218,7 @@
         self.missing.pop(target, None)
         self.missing_since.pop(target, None)
         if known is not None and not entry.is_life(known.born):
-            self.reborn(known, entry)
+            self.handle_restart(known, entry)
         if entry.is_news_after(before):
             self.decisions.note(
                 "target",
@@ -227,15 +232,15 @@
             )
             self.targets_changed()
 
-    def reborn(self, before: TargetEntry, entry: TargetEntry) -> None:
+    def handle_restart(self, before: TargetEntry, entry: TargetEntry) -> None:
         """Tell that a target has started again and holds nothing of before."""
         self.decisions.note(
             "target_reborn", target=entry.target, born=entry.born, before=before.born
         )
-        for callback in self.on_reborn:
+        for callback in self.on_restart:
             callback(entry)
 
-    def target_gone(self, target: str) -> None:
+    def remove_target(self, target: str) -> None:
         """Take note that a target announces itself no more."""
         entry = self.targets.pop(target, None)
         if entry is None:
@@ -250,14 +255,14 @@
         for callback in self.on_targets:
             callback()
 
-    def take_own(self, item: Item) -> None:
+    def apply_host_item(self, item: Item) -> None:
         """Take over an item that a host of the system wrote."""
-        known = self.own.get(item.key)
+        known = self.host_items.get(item.key)
         if known is not None and known.revision >= item.revision:
             return
         if item.value is None:
-            self.own.pop(item.key, None)
+            self.host_items.pop(item.key, None)
         else:
-            self.own[item.key] = item
-        for callback in self.on_own:
+            self.host_items[item.key] = item
+        for callback in self.on_host_item:
             callback(item)
--- a/src/reedhook/process/announced/documents.py
+++ b/src/reedhook/process/announced/documents.py
@@ -5,7 +5,7 @@
 from ...version.registry import RouteTable, TargetEntry
 
 
-class Documents(ABC):
+class StoreValueParser(ABC):
     """Read the values that others keep in the store."""
 
     @abstractmethod
--- a/src/reedhook/process/announced/keyspace.py
+++ b/src/reedhook/process/announced/keyspace.py
@@ -5,27 +5,27 @@
 from ...record import Record
 
 
-class KeyspaceError(Exception):
+class KeyValueStoreError(Exception):
     """Say that the store gave no usable answer; base of the errors below."""
 
 
-class Unanswered(KeyspaceError):
+class StoreUnansweredError(KeyValueStoreError):
     """Say that no answer came; a change may take effect, also later."""
 
 
-class Declined(KeyspaceError):
+class StoreRejectedError(KeyValueStoreError):
     """Say that the store was asked and has done nothing."""
 
 
-class Conflict(Declined):
+class RevisionConflictError(StoreRejectedError):
     """Say that the key's revision was not the expected one."""
 
 
-class LeaseEnded(Declined):
+class StoreLeaseExpiredError(StoreRejectedError):
     """Say that there is no such lease any more."""
 
 
-class HistoryGone(Declined):
+class HistoryCompactedError(StoreRejectedError):
     """Say that the changes asked for are no longer kept."""
 
 
@@ -46,18 +46,20 @@
 class Items(Record):
     """Carry items as they stood at a revision of the whole store.
 
-    :param arrival: seconds from their first byte to the last.
+    :param transfer_seconds: seconds from their first byte to the last.
     """
 
-    __slots__ = ("items", "at", "arrival")
+    __slots__ = ("items", "revision", "transfer_seconds")
 
-    def __init__(self, items: list[Item], at: int, arrival: float = 0.0) -> None:
+    def __init__(
+        self, items: list[Item], revision: int, transfer_seconds: float = 0.0
+    ) -> None:
         self.items = items
-        self.at = at
-        self.arrival = arrival
+        self.revision = revision
+        self.transfer_seconds = transfer_seconds
 
 
-class Keyspace(ABC):
+class KeyValueStore(ABC):
     """Read and change keys; timeouts are in seconds.
 
     An answer that arrives bit by bit is waited for as long as it goes on. All
@@ -99,18 +101,18 @@
         """
 
     @abstractmethod
-    async def grant(self, seconds: float, timeout: float) -> int:
+    async def grant_lease(self, seconds: float, timeout: float) -> int:
         """Return a new lease that ends unless it is kept."""
 
     @abstractmethod
-    async def keep(self, lease: int, timeout: float) -> None:
+    async def renew_lease(self, lease: int, timeout: float) -> None:
         """Renew a lease.
 
         :raises LeaseEnded: if it has ended.
         """
 
     @abstractmethod
-    async def end(self, lease: int, timeout: float) -> None:
+    async def revoke_lease(self, lease: int, timeout: float) -> None:
         """End a lease and delete its keys."""
 
     @abstractmethod
--- a/src/reedhook/process/announced/news.py
+++ b/src/reedhook/process/announced/news.py
@@ -12,42 +12,42 @@
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, reader, whole
 from .announcements import Announcements
-from .freshness import Freshness
-from .keyspace import HistoryGone, Item, Items
-from .watch import Source
+from .freshness import ConfigurationFreshness
+from .keyspace import HistoryCompactedError, Item, Items
+from .watch import UpdateSource
 
-PATH: Final = "news"
+UPDATES_PATH: Final = "news"
 
-HOLD: Final = 2.0
+HOLD_SECONDS: Final = 2.0
 """Seconds for which a question for news is held, and after which its answer shows
 that the host asked still lives."""
 
-HOLD_MOST: Final = 10.0
+MAX_HOLD_SECONDS: Final = 10.0
 """Seconds for which a question is held at most, whatever the asker wishes."""
 
-MARGIN: Final = 0.5
+HOLD_MARGIN_SECONDS: Final = 0.5
 """Seconds beyond the hold after which a silent host is not asked for a while; a
 target that leaves is to be known in 7 s, both hosts of a zone silent."""
 
-AVOIDED_FOR: Final = 3.0
+AVOID_SECONDS: Final = 3.0
 """Seconds for which a host is not asked that was silent, or does not reach the
 store itself."""
 
-GATHER: Final = 0.1
+BATCH_DELAY_SECONDS: Final = 0.1
 """Seconds between two answers to one asker, so that changes that come together
 make one answer."""
 
-MILLISECONDS: Final = 1000.0
+MS_PER_SECOND: Final = 1000.0
 
 
-class NewsDesk:
+class UpdateServer:
     """Tell other hosts what is new in the store, and how surely it is all."""
 
     def __init__(
         self,
         announcements: Announcements,
         clock: Clock,
-        freshness: Freshness,
+        freshness: ConfigurationFreshness,
     ) -> None:
         self.announcements = announcements
         self.clock = clock
@@ -55,9 +55,9 @@
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(UPDATES_PATH, self.handle_request)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_request(self, body: Json) -> Json:
         """Return news once there is some, or what stands after the hold.
 
         `after` is the revision that the asker knows, `version` its configuration,
@@ -65,19 +65,19 @@
         """
         received = self.clock.elapsed()
         after, version = whole(body, "after"), whole(body, "version")
-        hold = min(whole(body, "hold_ms") / MILLISECONDS, HOLD_MOST)
+        hold = min(whole(body, "hold_ms") / MS_PER_SECOND, MAX_HOLD_SECONDS)
         try:
             async with asyncio.timeout(hold):
-                while not self.is_news(after, version):
-                    await self.announcements.changed.wait()
+                while not self.has_updates(after, version):
+                    await self.announcements.updated.wait()
         except TimeoutError:
             # Nothing new, as mostly: the answer shows that this host lives.
             pass
         answer = self.message(after)
-        self.freshness.state(answer, received)
+        self.freshness.add_age(answer, received)
         return answer
 
-    def is_news(self, after: int, version: int) -> bool:
+    def has_updates(self, after: int, version: int) -> bool:
         """Say whether this host knows something that the asker does not."""
         known = self.announcements
         return known.table.version > version or known.mirror.changed_after(after)
@@ -91,20 +91,20 @@
         keys = None
         try:
             items = known.mirror.changes(after)
-        except HistoryGone as error:
+        except HistoryCompactedError as error:
             known.decisions.note("news_in_full", after=after, cause=str(error))
             items = known.mirror.written(after)
             keys = list(known.mirror.items)
         return {
-            "at": known.mirror.at,
-            "items": [item_message(item) for item in items],
+            "at": known.mirror.revision,
+            "items": [encode_item(item) for item in items],
             "keys": keys,
             "version": known.table.version,
-            "reached": known.followed,
+            "reached": known.usable_as_relay,
         }
 
 
-class NewsSource(Source):
+class PeerUpdateSource(UpdateSource):
     """Learn from the hosts that follow the store for this one's zone.
 
     :param relays: returns those hosts, this one perhaps among them.
@@ -122,7 +122,7 @@
         clock: Clock,
         random: Random,
         decisions: Decisions,
-        freshness: Freshness,
+        freshness: ConfigurationFreshness,
     ) -> None:
         self.freshness = freshness
         self.me = me
@@ -136,27 +136,29 @@
         self.avoided: dict[str, float] = {}
         self.last: HostRef | None = None
 
-    async def follow(self) -> bool:
+    async def fetch_updates(self) -> bool:
         relay = self.choose()
         if relay is None:
             return False
         body: Json = {
-            "after": self.announcements.mirror.at,
+            "after": self.announcements.mirror.revision,
             "version": self.announcements.table.version,
-            "hold_ms": int(HOLD * MILLISECONDS),
+            "hold_ms": int(HOLD_SECONDS * MS_PER_SECOND),
         }
         asked = self.clock.elapsed()
         try:
-            answer = await self.peers.call(relay, PATH, body, HOLD + MARGIN)
-            reached = self.take(relay, answer)
+            answer = await self.peers.call(
+                relay, UPDATES_PATH, body, HOLD_SECONDS + HOLD_MARGIN_SECONDS
+            )
+            reached = self.apply_response(relay, answer)
             version = whole(answer, "version")
-            self.freshness.read(answer, version, asked, relay.host)
+            self.freshness.read_age(answer, version, asked, relay.host)
         except (PeerError, RefusalError, WireError) as error:
             self.avoid(relay, str(error))
             return True
         if not reached:
             self.avoid(relay, "it does not reach the store")
-        await self.clock.sleep(GATHER)
+        await self.clock.sleep(BATCH_DELAY_SECONDS)
         return True
 
     def choose(self) -> HostRef | None:
@@ -177,16 +179,16 @@
 
     def avoid(self, relay: HostRef, cause: str) -> None:
         """Ask a host for nothing for a while, not as long as others do."""
-        pause = AVOIDED_FOR * self.random.uniform(0.5, 1.0)
+        pause = AVOID_SECONDS * self.random.uniform(0.5, 1.0)
         self.avoided[relay.host] = self.clock.monotonic() + pause
         self.decisions.note("news_unanswered", relay=relay.host, cause=cause)
 
-    def take(self, relay: HostRef, answer: Json) -> bool:
+    def apply_response(self, relay: HostRef, answer: Json) -> bool:
         """Take news over; return whether they come from the store.
 
         :raises WireError: if they are malformed.
         """
-        self.announcements.take(read_news(answer))
+        self.announcements.apply_changes(decode_items(answer))
         keys = answer.get("keys")
         if isinstance(keys, list):
             self.announcements.keep_only(set(keys))
@@ -195,18 +197,18 @@
             self.on_version(relay, version)
         if answer.get("reached") is not True:
             return False
-        self.announcements.heard()
+        self.announcements.mark_store_reached()
         return True
 
 
-def item_message(item: Item) -> list[Any]:
+def encode_item(item: Item) -> list[Any]:
     """Return an item as it stands between hosts."""
     value = None if item.value is None else b64encode(item.value).decode()
     return [item.key, item.revision, value]
 
 
 @reader
-def read_news(message: Json) -> Items:
+def decode_items(message: Json) -> Items:
     """Read items from another host.
 
     :raises WireError: if they have another form.
--- a/src/reedhook/process/announced/proving.py
+++ b/src/reedhook/process/announced/proving.py
@@ -7,34 +7,34 @@
 from ...clock import Clock
 from ...peer import HostRef
 from .announcements import Announcements
-from .freshness import Freshness
-from .keyspace import Keyspace, KeyspaceError
+from .freshness import ConfigurationFreshness
+from .keyspace import KeyValueStore, KeyValueStoreError
 
-TICK: Final = 0.1
+CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks at the age of what is known."""
 
-EVERY: Final = 1.0
+QUERY_AGE_SECONDS: Final = 1.0
 """Seconds of age from which on the first host of all asks the store, and relays ask
 that host; all others are told with heartbeats."""
 
-SPREAD: Final = 0.5
+AGE_JITTER_FRACTION: Final = 0.5
 """Share of the age by which hosts wait differently long."""
 
-ALONE: Final = 2.5
+FALLBACK_AGE_SECONDS: Final = 2.5
 """Seconds of age from which on a host asks itself that is no relay: it has heard
 nothing of those that are."""
 
-PAUSE: Final = 1.0
+RETRY_PAUSE_SECONDS: Final = 1.0
 """Seconds between two questions of a host that got no answer."""
 
-TIMEOUT: Final = 0.5
+RESPONSE_TIMEOUT_SECONDS: Final = 0.5
 """Seconds for an answer; a slow store takes 240 ms."""
 
-NOTHING: Final = "reedhook/none/"
+EMPTY_PREFIX: Final = "reedhook/none/"
 """Begins no key, so that the answer holds the store's revision only."""
 
 
-class Proving:
+class FreshnessProver:
     """Have proved what is known before it gets old, by the store or another host.
 
     A question for changes is held for seconds, and proves no more than the moment
@@ -43,22 +43,22 @@
     relays of the zones hear from it.
 
     :param me: this host.
-    :param first: returns the host that asks the store.
+    :param first_host: returns the host that asks the store.
     :param is_relay: says whether this host follows the store for its zone.
-    :param ask_host: has another host tell how old at most its configuration is.
+    :param query_host: has another host tell how old at most its configuration is.
     :ivar awaited: the revision of the last answer that is not known up to here yet,
         and when it was asked for.
     """
 
     def __init__(
         self,
-        keyspace: Keyspace,
+        keyspace: KeyValueStore,
         announcements: Announcements,
-        freshness: Freshness,
+        freshness: ConfigurationFreshness,
         me: HostRef,
-        first: Callable[[], HostRef | None],
+        first_host: Callable[[], HostRef | None],
         is_relay: Callable[[], bool],
-        ask_host: Callable[[HostRef], Awaitable[bool]],
+        query_host: Callable[[HostRef], Awaitable[bool]],
         clock: Clock,
         random: Random,
     ) -> None:
@@ -66,9 +66,9 @@
         self.announcements = announcements
         self.freshness = freshness
         self.me = me
-        self.first = first
+        self.first_host = first_host
         self.is_relay = is_relay
-        self.ask_host = ask_host
+        self.query_host = query_host
         self.clock = clock
         self.random = random
         self.awaited: tuple[int, float] | None = None
@@ -77,12 +77,14 @@
         """Keep what is known proved until cancelled."""
         limit = self.limit()
         while True:
-            await self.clock.sleep(TICK)
-            self.settle()
+            await self.clock.sleep(CHECK_INTERVAL_SECONDS)
+            self.apply_awaited_proof()
             if not self.needed() or self.waits() or self.freshness.age() < limit:
                 continue
-            if not await self.ask():
-                await self.clock.sleep(PAUSE * self.random.uniform(0.5, 1.0))
+            if not await self.query():
+                await self.clock.sleep(
+                    RETRY_PAUSE_SECONDS * self.random.uniform(0.5, 1.0)
+                )
             limit = self.limit()
 
     def needed(self) -> bool:
@@ -93,43 +95,47 @@
         """Say whether the last answer may still become a proof worth waiting for."""
         if self.awaited is None:
             return False
-        return self.clock.elapsed() - self.awaited[1] < EVERY
+        return self.clock.elapsed() - self.awaited[1] < QUERY_AGE_SECONDS
 
     def limit(self) -> float:
         """Return the age at which to ask next."""
-        least = EVERY if self.is_relay() or self.first() == self.me else ALONE
-        return least * self.random.uniform(1.0, 1.0 + SPREAD)
-
-    async def ask(self) -> bool:
+        least = (
+            QUERY_AGE_SECONDS
+            if self.is_relay() or self.first_host() == self.me
+            else FALLBACK_AGE_SECONDS
+        )
+        return least * self.random.uniform(1.0, 1.0 + AGE_JITTER_FRACTION)
+
+    async def query(self) -> bool:
         """Ask the first host, or the store in its place; return whether that helped."""
-        first = self.first()
+        first = self.first_host()
         if first is not None and first != self.me:
-            await self.ask_host(first)
-            if self.freshness.age() < ALONE:
+            await self.query_host(first)
+            if self.freshness.age() < FALLBACK_AGE_SECONDS:
                 return True
-        return await self.ask_store()
+        return await self.query_store()
 
-    async def ask_store(self) -> bool:
+    async def query_store(self) -> bool:
         """Ask for the store's revision; return whether there was an answer."""
         asked = self.clock.elapsed()
         try:
-            found = await self.keyspace.list(NOTHING, TIMEOUT)
-        except KeyspaceError as error:
+            found = await self.keyspace.list(EMPTY_PREFIX, RESPONSE_TIMEOUT_SECONDS)
+        except KeyValueStoreError as error:
             self.announcements.decisions.note(
                 "age_unproved",
                 age=round(min(self.freshness.age(), 1e6), 3),
                 error=str(error),
             )
             return False
-        self.awaited = (found.at, asked)
-        self.settle()
+        self.awaited = (found.revision, asked)
+        self.apply_awaited_proof()
         return True
 
-    def settle(self) -> None:
+    def apply_awaited_proof(self) -> None:
         """Use the last answer once everything up to its revision is known."""
         if self.awaited is None:
             return
         revision, asked = self.awaited
-        if self.announcements.mirror.at >= revision:
-            self.freshness.prove(asked)
+        if self.announcements.mirror.revision >= revision:
+            self.freshness.record_proof(asked)
             self.awaited = None
--- a/src/reedhook/process/announced/registration.py
+++ b/src/reedhook/process/announced/registration.py
@@ -7,27 +7,27 @@
 from ...decisions import Decisions
 from ...peer import HostRef
 from ...wire import WireError, decode, encode
-from .announcements import HOSTS, Announcements
-from .keyspace import Item, Keyspace, KeyspaceError, LeaseEnded
+from .announcements import HOSTS_KEY_PREFIX, Announcements
+from .keyspace import Item, KeyValueStore, KeyValueStoreError, StoreLeaseExpiredError
 
-LEASE: Final = 60.0
+STORE_LEASE_SECONDS: Final = 60.0
 """Seconds after which the entry of a host that is gone vanishes; other hosts
 know long before from heartbeats, so that it only tells newcomers."""
 
-KEEP: Final = 15.0
+RENEWAL_INTERVAL_SECONDS: Final = 15.0
 """Seconds between renewals, each a tenth of a call; three may fail."""
 
-ANSWER_TIMEOUT: Final = 1.5
+RESPONSE_TIMEOUT_SECONDS: Final = 1.5
 """Seconds for an answer of the store."""
 
-WITHDRAW_TIMEOUT: Final = 0.5
+WITHDRAW_TIMEOUT_SECONDS: Final = 0.5
 """Seconds for the last call of a host, which is killed soon."""
 
-RETRY: Final = 0.5
+RETRY_SECONDS: Final = 0.5
 """Seconds until the next try after a failure."""
 
 
-class Registration:
+class HostRegistration:
     """Announce this host and learn where the others are.
 
     :param capacity: what this host can bear, in cores.
@@ -38,7 +38,7 @@
         self,
         me: HostRef,
         capacity: float,
-        keyspace: Keyspace,
+        keyspace: KeyValueStore,
         announcements: Announcements,
         clock: Clock,
         random: Random,
@@ -51,24 +51,24 @@
         self.clock = clock
         self.random = random
         self.decisions = decisions
-        self.key = HOSTS + me.host
+        self.key = HOSTS_KEY_PREFIX + me.host
         self.lease: int | None = None
         self.refs: dict[str, HostRef] = {}
         self.fresh = False
-        announcements.on_own.append(self.announced)
+        announcements.on_host_item.append(self.handle_item)
 
     async def run(self) -> None:
         """Announce this host until cancelled."""
         while True:
             try:
                 await self.renew()
-                pause = KEEP
-            except LeaseEnded:
+                pause = RENEWAL_INTERVAL_SECONDS
+            except StoreLeaseExpiredError:
                 self.lease = None
                 pause = 0.0
-            except KeyspaceError as error:
+            except KeyValueStoreError as error:
                 self.decisions.note("registration_unanswered", error=str(error))
-                pause = RETRY
+                pause = RETRY_SECONDS
             await self.clock.sleep(pause * self.random.uniform(0.8, 1.2))
 
     async def renew(self) -> None:
@@ -77,27 +77,31 @@
         :raises KeyspaceError: if the store does not do so.
         """
         if self.lease is not None:
-            await self.keyspace.keep(self.lease, ANSWER_TIMEOUT)
-            if self.key in self.announcements.own:
+            await self.keyspace.renew_lease(self.lease, RESPONSE_TIMEOUT_SECONDS)
+            if self.key in self.announcements.host_items:
                 return
         if self.lease is None:
-            self.lease = await self.keyspace.grant(LEASE, ANSWER_TIMEOUT)
+            self.lease = await self.keyspace.grant_lease(
+                STORE_LEASE_SECONDS, RESPONSE_TIMEOUT_SECONDS
+            )
         value = encode({"host": self.me.to_json(), "capacity": self.capacity})
-        await self.keyspace.put(self.key, value, None, ANSWER_TIMEOUT, self.lease)
+        await self.keyspace.put(
+            self.key, value, None, RESPONSE_TIMEOUT_SECONDS, self.lease
+        )
 
     async def withdraw(self) -> None:
         """Take the entry away, as this host ends."""
         if self.lease is None:
             return
         try:
-            await self.keyspace.end(self.lease, WITHDRAW_TIMEOUT)
-        except KeyspaceError as error:
+            await self.keyspace.revoke_lease(self.lease, WITHDRAW_TIMEOUT_SECONDS)
+        except KeyValueStoreError as error:
             # The lease runs out by itself.
             self.decisions.note("registration_unanswered", error=str(error))
 
-    def announced(self, item: Item) -> None:
+    def handle_item(self, item: Item) -> None:
         """Take note of where a host is, or that it has gone."""
-        if not item.key.startswith(HOSTS):
+        if not item.key.startswith(HOSTS_KEY_PREFIX):
             return
         ref = read_host(item)
         if ref is None:
@@ -106,7 +110,7 @@
             self.refs[item.key] = ref
             self.fresh = True
 
-    def take_fresh(self) -> list[str]:
+    def pop_new_addresses(self) -> list[str]:
         """Return `addresses` if there are any that were not returned before."""
         fresh, self.fresh = self.fresh, False
         return self.addresses() if fresh else []
--- a/src/reedhook/process/announced/tables.py
+++ b/src/reedhook/process/announced/tables.py
@@ -15,37 +15,37 @@
 from ...wire import Json, WireError, text, whole
 from .announcements import Announcements
 
-PATH: Final = "table"
+TABLE_PATH: Final = "table"
 
-TIMEOUT: Final = 2.0
+RESPONSE_TIMEOUT_SECONDS: Final = 2.0
 """Seconds for an answer: a portion takes 0.13 s over a link of 1 Mbit/s, and shares
 it with another one and with statements."""
 
-PORTION: Final = 16384
+MAX_PORTION_CHARACTERS: Final = 16384
 """Characters of one answer. A long difference is fetched portion by portion, so that
 none of it is sent twice where a link is slow: in one piece, 130 KB for each of
 16 hosts of a zone came too late over 1 Mbit/s, and were asked for again."""
 
-PAUSE: Final = 0.15
+RETRY_PAUSE_SECONDS: Final = 0.15
 """Seconds until another host is asked after one that was busy or silent; within a
 second a version is at hosts enough for all others."""
 
-TRIES: Final = 12
+MAX_TRIES: Final = 12
 """Hosts that are asked in turn; the next heartbeat of any host starts anew."""
 
-KEPT: Final = 4
+MAX_KEPT_TABLES: Final = 4
 """Configurations from which differences are made; in a series of versions most
 hosts are at one of the last few."""
 
-AT_ONCE: Final = 2
+MAX_CONCURRENT_TRANSFERS: Final = 2
 """Hosts to which a long difference is sent at once. One that is sent fast is soon
 passed on: what 16 hosts get at a time each has after 16 times as long."""
 
-GIVEN_UP: Final = 1.0
+TRANSFER_IDLE_SECONDS: Final = 1.0
 """Seconds after which a host that asks for no further portion makes room."""
 
 
-class TableDesk:
+class RouteTableServer:
     """Give the configuration in force to other hosts, as a difference if possible.
 
     :ivar kept: values of the last configurations by digest, the newest last.
@@ -65,18 +65,18 @@
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(TABLE_PATH, self.handle_request)
 
     def keep(self, table: RouteTable) -> None:
         """Keep the value of a configuration that came into force."""
         value = self.announcements.table_value
         self.kept[digest(value)] = value
-        while len(self.kept) > KEPT:
+        while len(self.kept) > MAX_KEPT_TABLES:
             # The empty one stays, for those that have none of the others.
             del self.kept[list(self.kept)[1]]
         self.packed.clear()
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_request(self, body: Json) -> Json:
         """Return a portion of the configuration in force, as a difference.
 
         `host` asks, has the configuration `version` with the `digest`, and wants
@@ -89,8 +89,10 @@
         known, start = text(body, "digest"), whole(body, "start")
         delta = self.difference(known if known in self.kept else EMPTY)
         size = len(delta.packed)
-        end = start + PORTION
-        if size > PORTION and not self.admits(text(body, "host"), end >= size):
+        end = start + MAX_PORTION_CHARACTERS
+        if size > MAX_PORTION_CHARACTERS and not self.admits(
+            text(body, "host"), end >= size
+        ):
             return {"version": version}
         portion = Delta(delta.base, delta.digest, delta.packed[start:end])
         return {"version": version, "delta": portion.to_json(), "size": size}
@@ -109,9 +111,11 @@
         """
         now = self.clock.monotonic()
         self.sending = {
-            one: at for one, at in self.sending.items() if now - at < GIVEN_UP
+            one: at
+            for one, at in self.sending.items()
+            if now - at < TRANSFER_IDLE_SECONDS
         }
-        if host not in self.sending and len(self.sending) >= AT_ONCE:
+        if host not in self.sending and len(self.sending) >= MAX_CONCURRENT_TRANSFERS:
             return False
         self.sending[host] = now
         if ends:
@@ -119,7 +123,7 @@
         return True
 
 
-class TableSource:
+class RouteTableFetcher:
     """Fetch configurations that other hosts have and this one lacks.
 
     :param holders: returns the hosts that are known to have a version, those of
@@ -148,7 +152,7 @@
         self.background = Background(decisions)
         self.fetching: asyncio.Task[None] | None = None
 
-    def heard(self, peer: HostRef, version: int) -> None:
+    def request_version(self, peer: HostRef, version: int) -> None:
         """Fetch a version that a host says it has, if it is newer."""
         self.wanted = max(self.wanted, version)
         if self.fetching is None or self.fetching.done():
@@ -160,13 +164,13 @@
 
     async def fetch(self, peer: HostRef) -> None:
         """Ask one host after the other until the wanted version is in force."""
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             wanted = self.wanted
             if self.announcements.table.version >= wanted:
                 return
-            if await self.ask(peer):
+            if await self.fetch_from(peer):
                 continue
-            await self.clock.sleep(PAUSE * self.random.uniform(0.5, 1.5))
+            await self.clock.sleep(RETRY_PAUSE_SECONDS * self.random.uniform(0.5, 1.5))
             peer = self.next(peer)
         self.decisions.note(
             "configuration_not_fetched",
@@ -179,7 +183,7 @@
         holders = self.holders(self.announcements.table.version + 1)
         return self.random.choice(holders) if holders else peer
 
-    async def ask(self, peer: HostRef) -> bool:
+    async def fetch_from(self, peer: HostRef) -> bool:
         """Ask a host; return whether a newer configuration came into force."""
         value = self.announcements.table_value
         before = self.announcements.table.version
@@ -188,7 +192,7 @@
             if delta is None:
                 return False
             base = b"" if delta.base == EMPTY else value
-            self.announcements.take_table(unpack(delta, base))
+            self.announcements.apply_table(unpack(delta, base))
         except (PeerError, RefusalError, WireError) as error:
             self.decisions.note(
                 "configuration_unanswered",
@@ -216,7 +220,9 @@
                 "digest": known,
                 "start": len(packed),
             }
-            answer = await self.peers.call(peer, PATH, body, TIMEOUT)
+            answer = await self.peers.call(
+                peer, TABLE_PATH, body, RESPONSE_TIMEOUT_SECONDS
+            )
             if "delta" not in answer:
                 return None
             portion = Delta.from_json(answer["delta"])
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/desk.py
@@ -20,9 +20,9 @@
 from ..version.registry import TargetEntry
 from ..wire import Json, text
 from .announced.announcements import Announcements
-from .lead.leads import Leads
-from .lead.user import HomeMaker, PrimaryUser
-from .rates.allowances import Allowances
+from .lead.leads import PrimaryLeaseManager
+from .lead.user import HomeFactory, PrimaryClient
+from .rates.allowances import WorkspaceRateLimiter
 
 WORK: Final = "work"
 END: Final = "end"
@@ -56,9 +56,9 @@
     def __init__(
         self,
         announcements: Announcements,
-        leads: Leads,
-        make_home: HomeMaker,
-        allowances: Allowances,
+        leads: PrimaryLeaseManager,
+        make_home: HomeFactory,
+        allowances: WorkspaceRateLimiter,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
@@ -193,7 +193,7 @@
 
     def end(self, service: str, target: str, name: str) -> None:
         """Roll a transaction back, if it is open here."""
-        lead = self.leads.user(service)
+        lead = self.leads.primary_client(service)
         home = self.holding(target, name)
         if not target and lead is not None:
             home = lead.home
@@ -207,12 +207,12 @@
         """
         return await self.leader(service).prove(younger_than)
 
-    def leader(self, service: str) -> PrimaryUser:
+    def leader(self, service: str) -> PrimaryClient:
         """Return what uses the primary of a service here.
 
         :raises Refusal: not run, if this host does not.
         """
-        user = self.leads.user(service)
+        user = self.leads.primary_client(service)
         if user is None:
             raise not_run(
                 RefusalReason.WRONG_HOME, f"this host does not lead {service}"
@@ -234,7 +234,7 @@
 
     async def tidy_homes(self) -> None:
         """Close homes of targets that lead, leave or have left."""
-        primaries = {one.primary for one in self.leads.book.records.values()}
+        primaries = {one.primary for one in self.leads.registry.records.values()}
         for target, home in list(self.homes.items()):
             home.connections.drop_unused()
             entry = self.announcements.targets.get(target)
--- a/src/reedhook/process/hosting_settings.py
+++ b/src/reedhook/process/hosting_settings.py
@@ -1,7 +1,7 @@
 """Settings of a host that serves sessions on a platform with a store."""
 
 from ..record import Record
-from .rates.terms import DEFAULT_TERMS, RateTerms
+from .rates.terms import DEFAULT_TOLERANCE, RateTolerance
 
 
 class HostingSettings(Record):
@@ -53,7 +53,7 @@
         cores: float,
         link_mbps: float,
         revoke: float | None = None,
-        rates: RateTerms = DEFAULT_TERMS,
+        rates: RateTolerance = DEFAULT_TOLERANCE,
     ) -> None:
         self.rates = rates
         self.revoke = revoke
--- a/src/reedhook/process/lead/book.py
+++ b/src/reedhook/process/lead/book.py
@@ -6,31 +6,31 @@
 from ...wire import Json, WireError
 from ..announced.announcements import Announcements
 from ..announced.keyspace import Item
-from .record import LEADS, LeadRecord
+from .record import LEASE_KEY_PREFIX, PrimaryLeaseRecord
 
 
-class LeadBook:
+class PrimaryLeaseRegistry:
     """Keep the newest record of each service, from the store or other hosts.
 
     :ivar on_change: called with each record that is news.
     """
 
     def __init__(self, announcements: Announcements, decisions: Decisions) -> None:
-        self.records: dict[str, LeadRecord] = {}
+        self.records: dict[str, PrimaryLeaseRecord] = {}
         self.decisions = decisions
-        self.on_change: list[Callable[[LeadRecord], None]] = []
-        announcements.on_own.append(self.announced)
+        self.on_change: list[Callable[[PrimaryLeaseRecord], None]] = []
+        announcements.on_host_item.append(self.handle_item)
 
-    def announced(self, item: Item) -> None:
+    def handle_item(self, item: Item) -> None:
         """Take over what the store tells."""
-        if not item.key.startswith(LEADS) or item.value is None:
+        if not item.key.startswith(LEASE_KEY_PREFIX) or item.value is None:
             return
         try:
-            self.learn(LeadRecord.from_item(item), "store")
+            self.update(PrimaryLeaseRecord.from_item(item), "store")
         except WireError as error:
             self.decisions.note("item_malformed", key=item.key, error=str(error))
 
-    def learn(self, record: LeadRecord, source: str) -> bool:
+    def update(self, record: PrimaryLeaseRecord, source: str) -> bool:
         """Keep a record if it is newer; return whether it is."""
         known = self.records.get(record.service)
         if known is not None and known.revision >= record.revision:
@@ -40,7 +40,7 @@
             "lead",
             service=record.service,
             holder=record.holder.ref.host,
-            life=record.holder.life,
+            life=record.holder.incarnation,
             primary=record.primary,
             term=record.term,
             successor=record.successor,
@@ -51,7 +51,7 @@
             callback(record)
         return True
 
-    def get(self, service: str) -> LeadRecord | None:
+    def get(self, service: str) -> PrimaryLeaseRecord | None:
         """Return the newest record that is known."""
         return self.records.get(service)
 
@@ -70,4 +70,6 @@
         for service, pair in message.items():
             if not isinstance(pair, list) or len(pair) != 2:
                 raise WireError("a revision and a record are expected")
-            self.learn(LeadRecord.from_json(service, pair[1], int(pair[0])), source)
+            self.update(
+                PrimaryLeaseRecord.from_json(service, pair[1], int(pair[0])), source
+            )
--- a/src/reedhook/process/lead/claim.py
+++ b/src/reedhook/process/lead/claim.py
@@ -5,30 +5,35 @@
 
 from ...clock import Clock
 from ...decisions import Decisions
-from ..announced.keyspace import Conflict, Item, Keyspace, KeyspaceError
-from .book import LeadBook
-from .record import Holder, LeadRecord, lead_key
-from .tenure import Tenure
-
-STORE_TIMEOUT: Final = 0.5
+from ..announced.keyspace import (
+    Item,
+    KeyValueStore,
+    KeyValueStoreError,
+    RevisionConflictError,
+)
+from .book import PrimaryLeaseRegistry
+from .record import HostIncarnation, PrimaryLeaseRecord, lease_key
+from .tenure import LeaseValidity
+
+STORE_TIMEOUT_SECONDS: Final = 0.5
 """Seconds for an answer of the store: 4 ms, or 240 ms when it is slow."""
 
 
-class Claim(ABC):
+class LeaseClaim(ABC):
     """Keep the record that names this host, and the permission it gives.
 
     :param record: as it stands in the store.
-    :param asked: when the question that found it was sent, by `Clock.elapsed`.
+    :param requested_at: when the question that found it was sent, by `Clock.elapsed`.
     :ivar saved: whether `record` stands in the store.
     """
 
     def __init__(
         self,
-        record: LeadRecord,
-        asked: float,
-        me: Holder,
-        keyspace: Keyspace,
-        book: LeadBook,
+        record: PrimaryLeaseRecord,
+        requested_at: float,
+        me: HostIncarnation,
+        keyspace: KeyValueStore,
+        registry: PrimaryLeaseRegistry,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
@@ -36,27 +41,29 @@
         self.service = record.service
         self.me = me
         self.keyspace = keyspace
-        self.book = book
+        self.registry = registry
         self.clock = clock
         self.decisions = decisions
-        self.tenure = Tenure(clock)
-        self.tenure.confirmed(asked)
+        self.validity = LeaseValidity(clock)
+        self.validity.extend(requested_at)
         self.saved = True
 
     @abstractmethod
-    def is_named(self, record: LeadRecord) -> bool:
+    def is_named(self, record: PrimaryLeaseRecord) -> bool:
         """Say whether a record gives this host its place."""
 
-    async def look(self) -> bool:
+    async def refresh(self) -> bool:
         """Look into the store; the permission counts from when that was asked.
 
         :returns: whether the store has answered.
         """
         asked = self.clock.elapsed()
         try:
-            item = await self.keyspace.get(lead_key(self.service), STORE_TIMEOUT)
-        except KeyspaceError as error:
-            left = round(self.tenure.until - asked, 2)
+            item = await self.keyspace.get(
+                lease_key(self.service), STORE_TIMEOUT_SECONDS
+            )
+        except KeyValueStoreError as error:
+            left = round(self.validity.expires_at - asked, 2)
             self.decisions.note(
                 "tenure_unconfirmed", service=self.service, left=left, error=str(error)
             )
@@ -68,51 +75,53 @@
         self.found(item, asked)
         return True
 
-    def found(self, item: Item, asked: float) -> None:
+    def found(self, item: Item, requested_at: float) -> None:
         """Take note of the record as the store has it."""
-        record = LeadRecord.from_item(item)
+        record = PrimaryLeaseRecord.from_item(item)
         if self.is_named(record):
-            self.tenure.confirmed(asked)
+            self.validity.extend(requested_at)
             if record.revision > self.record.revision:
                 self.record = record
-        self.book.learn(record, "look")
+        self.registry.update(record, "look")
 
-    async def write(self, record: LeadRecord) -> bool:
+    async def write(self, record: PrimaryLeaseRecord) -> bool:
         """Put a record into the store; return whether it stands there.
 
         A lost answer is resolved by a look: no two of our records are equal.
         """
-        key, value = lead_key(self.service), record.encoded()
+        key, value = lease_key(self.service), record.encoded()
         asked = self.clock.elapsed()
         try:
             revision = await self.keyspace.put(
-                key, value, record.revision, STORE_TIMEOUT
+                key, value, record.revision, STORE_TIMEOUT_SECONDS
             )
-        except Conflict:
+        except RevisionConflictError:
             return await self.resolve(value)
-        except KeyspaceError as error:
+        except KeyValueStoreError as error:
             self.decisions.note(
                 "lead_not_written", service=self.service, error=str(error)
             )
             return await self.resolve(value)
-        self.tenure.confirmed(asked)
-        self.written(record.at(revision))
+        self.validity.extend(asked)
+        self.written(record.with_revision(revision))
         return True
 
     async def resolve(self, value: bytes) -> bool:
         """Find out whether a record was written after all."""
         try:
-            item = await self.keyspace.get(lead_key(self.service), STORE_TIMEOUT)
-        except KeyspaceError as error:
+            item = await self.keyspace.get(
+                lease_key(self.service), STORE_TIMEOUT_SECONDS
+            )
+        except KeyValueStoreError as error:
             self.decisions.note(
                 "lead_write_unknown", service=self.service, error=str(error)
             )
             return False
         if item is None:
             return False
-        found = LeadRecord.from_item(item)
+        found = PrimaryLeaseRecord.from_item(item)
         if not self.is_named(found):
-            self.book.learn(found, "look")
+            self.registry.update(found, "look")
             return False
         if item.value == value:
             self.written(found)
@@ -120,30 +129,30 @@
         # An earlier write of this host took effect late. Whoever it named may
         # have seen it and counts as named; what this host knows of the primary
         # is newer, since no order follows a write that was not answered.
-        self.record = found.leading_as(self.record)
+        self.record = found.with_primary_of(self.record)
         return False
 
-    def unsaved(self, record: LeadRecord) -> None:
+    def unsaved(self, record: PrimaryLeaseRecord) -> None:
         """Go on from a record that is yet to be written down."""
         self.record = record
         self.saved = False
 
-    def written(self, record: LeadRecord) -> None:
+    def written(self, record: PrimaryLeaseRecord) -> None:
         """Go on from a record that stands in the store."""
         self.record = record
         self.saved = True
-        self.book.learn(record, "own")
+        self.registry.update(record, "own")
 
 
-class HolderClaim(Claim):
+class HolderClaim(LeaseClaim):
     """Hold the lead."""
 
-    def is_named(self, record: LeadRecord) -> bool:
+    def is_named(self, record: PrimaryLeaseRecord) -> bool:
         return record.holder == self.me
 
 
-class DeputyClaim(Claim):
+class BackupHolderClaim(LeaseClaim):
     """Stand in for the holder."""
 
-    def is_named(self, record: LeadRecord) -> bool:
-        return record.deputy == self.me
+    def is_named(self, record: PrimaryLeaseRecord) -> bool:
+        return record.backup_holder == self.me
--- a/src/reedhook/process/lead/deputy.py
+++ b/src/reedhook/process/lead/deputy.py
@@ -5,22 +5,22 @@
 from ...clock import Clock
 from ...decisions import Decisions
 from ..announced.announcements import Announcements
-from .claim import Claim
-from .states import TargetStates
-from .user import HomeMaker, PrimaryUser
+from .claim import LeaseClaim
+from .states import TargetStatusClient
+from .user import HomeFactory, PrimaryClient
 
-LOOK: Final = 4.0
+CHECK_INTERVAL_SECONDS: Final = 4.0
 """Seconds between two looks at whether this host is still the deputy; with a
 tenure of 12 s at least 8 s are left to act when the store goes silent."""
 
-LOOK_AGAIN: Final = 0.5
+RETRY_INTERVAL_SECONDS: Final = 0.5
 """Seconds until the next look while there is no permission."""
 
-LET_END: Final = 1.0
+DRAIN_TIMEOUT_SECONDS: Final = 1.0
 """Seconds for which transactions may end once the holder is back."""
 
 
-class Deputy(PrimaryUser):
+class BackupHolder(PrimaryClient):
     """Use the primary of a service in place of its holder.
 
     It promotes nobody. The holder, and whoever takes the lead over, asks for
@@ -31,16 +31,16 @@
 
     def __init__(
         self,
-        claim: Claim,
+        claim: LeaseClaim,
         announcements: Announcements,
-        states: TargetStates,
-        make_home: HomeMaker,
+        states: TargetStatusClient,
+        make_home: HomeFactory,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
         super().__init__(claim, states, make_home, clock, decisions)
         self.announcements = announcements
-        self.acting = False
+        self.active = False
 
     def start(self) -> None:
         """Begin to renew the permission."""
@@ -49,44 +49,50 @@
     async def renew(self) -> None:
         """Look into the store again and again whether this host is named."""
         while True:
-            await self.clock.sleep(LOOK if self.tenure.valid else LOOK_AGAIN)
-            await self.claim.look()
+            await self.clock.sleep(
+                CHECK_INTERVAL_SECONDS
+                if self.validity.valid
+                else RETRY_INTERVAL_SECONDS
+            )
+            await self.claim.refresh()
 
-    async def act(self) -> None:
+    async def activate(self) -> None:
         """Use the primary, if it leads as the record says."""
-        if self.acting or self.yielding or not self.tenure.valid:
+        if self.active or self.draining or not self.validity.valid:
             return
-        self.acting = True
+        self.active = True
         entry = self.announcements.targets.get(self.record.primary)
         status = None if entry is None else await self.states.status(entry)
         promoting = bool(self.record.successor)
         if entry is None or status is None or not status.is_primary or promoting:
-            self.acting = False
+            self.active = False
             return
-        same = status.term == self.record.term and entry.is_life(self.record.born)
-        if not same or self.yielding:
-            self.acting = False
+        same = status.term == self.record.term and entry.is_life(
+            self.record.primary_started_at_ms
+        )
+        if not same or self.draining:
+            self.active = False
             return
         self.decisions.note(
             "deputy_acts",
             service=self.service,
             holder=self.record.holder.ref.host,
             revision=self.record.revision,
-            left=round(self.tenure.until - self.clock.elapsed(), 2),
+            left=round(self.validity.expires_at - self.clock.elapsed(), 2),
         )
-        self.use(entry, status)
+        self.use_primary(entry, status)
 
-    async def rest(self) -> None:
+    async def deactivate(self) -> None:
         """Leave the primary to its holder, who is back."""
-        if not self.acting:
+        if not self.active:
             return
         self.decisions.note("deputy_rests", service=self.service)
         self.ready.clear()
         home, self.home = self.home, None
         if home is not None:
-            await self.until_quiet(home, LET_END)
+            await self.until_quiet(home, DRAIN_TIMEOUT_SECONDS)
             await home.close()
-        self.acting = False
+        self.active = False
 
-    def given_up(self) -> None:
+    def log_released(self) -> None:
         self.decisions.note("deputy_dismissed", service=self.service)
--- a/src/reedhook/process/lead/duty.py
+++ b/src/reedhook/process/lead/duty.py
@@ -10,27 +10,27 @@
 from ...peer import PeerError, PeerRoutes, Peers
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, WireError, decode, encode, text
-from ..announced.keyspace import Item, Keyspace, KeyspaceError
+from ..announced.keyspace import Item, KeyValueStore, KeyValueStoreError
 from ..fleet.membership_record import HostState
 from ..fleet.membership_table import MembershipTable
-from .record import DUTY_KEY, Holder
+from .record import PROMOTION_COORDINATOR_KEY, HostIncarnation
 
-PATH: Final = "promote"
+PROMOTE_PATH: Final = "promote"
 
-ANSWER_TIMEOUT: Final = 1.0
+RESPONSE_TIMEOUT_SECONDS: Final = 1.0
 """Seconds for an answer of the store or of the platform's promotion call."""
 
-ORDER_TIMEOUT: Final = 2.5
+ORDER_TIMEOUT_SECONDS: Final = 2.5
 """Seconds for the holder of the duty to look at the store and to order."""
 
-FRESH: Final = 0.5
+MAX_READ_AGE_SECONDS: Final = 0.5
 """Seconds for which the look that finds this host named permits an order."""
 
-REPLACE_AFTER: Final = 1.5
+REPLACE_SILENT_HOLDER_SECONDS: Final = 1.5
 """Seconds for which a holder that is not known to be gone must have been silent
 before another host takes the duty."""
 
-HOLD_BACK: Final = 1.5
+TAKEOVER_DELAY_SECONDS: Final = 1.5
 """Seconds for which a new holder orders nothing unless its predecessor is
 known to be gone: an order of its may be on the way since its last look."""
 
@@ -58,16 +58,16 @@
         """
 
 
-class Duty:
+class PromotionCoordinator:
     """Order promotions for all hosts, or have the holder of the duty do it.
 
-    :ivar over: lives of holders whose hosts have said that they are over.
+    :ivar ended_incarnations: lives of holders whose hosts have said that they are over.
     """
 
     def __init__(
         self,
-        me: Holder,
-        keyspace: Keyspace,
+        me: HostIncarnation,
+        keyspace: KeyValueStore,
         promoter: Promoter,
         peers: Peers,
         table: MembershipTable,
@@ -83,15 +83,15 @@
         self.decisions = decisions
         self.lock = asyncio.Lock()
         self.not_before = float("-inf")
-        self.over: set[str] = set()
-        self.silent: Holder | None = None
+        self.ended_incarnations: set[str] = set()
+        self.silent: HostIncarnation | None = None
         self.silent_since = 0.0
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(PROMOTE_PATH, self.handle_promote)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_promote(self, body: Json) -> Json:
         """Order a promotion for another host.
 
         :raises Refusal: if this host does not have the duty.
@@ -109,8 +109,10 @@
         """
         asked = self.clock.elapsed()
         try:
-            item = await self.keyspace.get(DUTY_KEY, ANSWER_TIMEOUT)
-        except KeyspaceError as error:
+            item = await self.keyspace.get(
+                PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
+            )
+        except KeyValueStoreError as error:
             self.decisions.note("duty_unknown", error=str(error))
             return OrderOutcome.UNANSWERED
         holder = None if item is None else read_holder(item)
@@ -121,38 +123,43 @@
             outcome = await self.order_at(holder, service, target)
             if outcome is not None:
                 return outcome
-            if not self.gone(holder) and not self.silent_for_long(holder):
+            if not self.gone(holder) and not self.is_silent_too_long(holder):
                 return OrderOutcome.UNANSWERED
-        if not await self.take(item):
+        if not await self.claim_role(item):
             return OrderOutcome.UNANSWERED
         return await self.order_here(service, target) or OrderOutcome.UNANSWERED
 
-    def silent_for_long(self, holder: Holder) -> bool:
+    def is_silent_too_long(self, holder: HostIncarnation) -> bool:
         """Say whether a holder has given no answer for long enough to replace it."""
         now = self.clock.monotonic()
         if self.silent != holder:
             self.silent, self.silent_since = holder, now
-        return now - self.silent_since >= REPLACE_AFTER
+        return now - self.silent_since >= REPLACE_SILENT_HOLDER_SECONDS
 
-    def gone(self, holder: Holder) -> bool:
+    def gone(self, holder: HostIncarnation) -> bool:
         """Say whether that life of a host is known to be over."""
-        if holder.ref.host == self.me.ref.host or holder.life in self.over:
+        if (
+            holder.ref.host == self.me.ref.host
+            or holder.incarnation in self.ended_incarnations
+        ):
             return True
         record = self.table.get(holder.ref.host)
         return record is not None and record.state >= HostState.DEAD
 
     async def order_at(
-        self, holder: Holder, service: str, target: str
+        self, holder: HostIncarnation, service: str, target: str
     ) -> OrderOutcome | None:
         """Have the holder order; None if it is not the holder, or is lost."""
         body: Json = {"service": service, "target": target}
         try:
-            answer = await self.peers.call(holder.ref, PATH, body, ORDER_TIMEOUT)
+            answer = await self.peers.call(
+                holder.ref, PROMOTE_PATH, body, ORDER_TIMEOUT_SECONDS
+            )
             return OrderOutcome(answer["outcome"])
         except RefusalError as refusal:
             # The store names that life, and the process there is another one.
             if refusal.reason is RefusalReason.WRONG_HOME:
-                self.over.add(holder.life)
+                self.ended_incarnations.add(holder.incarnation)
             cause = refusal.detail
         except (PeerError, LookupError, ValueError) as error:
             cause = str(error)
@@ -164,8 +171,10 @@
         async with self.lock:
             asked = self.clock.elapsed()
             try:
-                item = await self.keyspace.get(DUTY_KEY, ANSWER_TIMEOUT)
-            except KeyspaceError as error:
+                item = await self.keyspace.get(
+                    PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
+                )
+            except KeyValueStoreError as error:
                 self.decisions.note("duty_unknown", error=str(error))
                 return OrderOutcome.UNANSWERED
             if item is None or read_holder(item) != self.me:
@@ -173,14 +182,14 @@
             return await self.order_by(item, asked, service, target)
 
     async def order_by(
-        self, item: Item, asked: float, service: str, target: str
+        self, item: Item, read_at: float, service: str, target: str
     ) -> OrderOutcome:
         """Order by an item that names this host, if it was read just now.
 
-        :param asked: when the question that found it was sent.
+        :param read_at: when the question that found it was sent.
         """
         wait = self.not_before - self.clock.elapsed()
-        if wait > 0.0 or self.clock.elapsed() - asked > FRESH:
+        if wait > 0.0 or self.clock.elapsed() - read_at > MAX_READ_AGE_SECONDS:
             await self.clock.sleep(max(wait, 0.0))
             return OrderOutcome.UNANSWERED
         return await self.send(service, target, item.revision)
@@ -189,7 +198,7 @@
         """Send an order to the platform."""
         holder = self.me.ref.host
         outcome = await self.promoter.promote(
-            service, target, holder, token, ANSWER_TIMEOUT
+            service, target, holder, token, RESPONSE_TIMEOUT_SECONDS
         )
         self.decisions.note(
             "promotion_ordered",
@@ -200,7 +209,7 @@
         )
         return outcome
 
-    async def take(self, item: Item | None) -> bool:
+    async def claim_role(self, item: Item | None) -> bool:
         """Take the duty from who is named; return whether this host has it now.
 
         Each try has a value of its own, so that a lost answer is resolved by
@@ -210,21 +219,23 @@
         revision = 0 if item is None else item.revision
         value = encode(self.me.to_json())
         try:
-            await self.keyspace.put(DUTY_KEY, value, revision, ANSWER_TIMEOUT)
-        except KeyspaceError as error:
+            await self.keyspace.put(
+                PROMOTION_COORDINATOR_KEY, value, revision, RESPONSE_TIMEOUT_SECONDS
+            )
+        except KeyValueStoreError as error:
             self.decisions.note("duty_not_taken", error=str(error))
             return False
         if before is not None and not self.gone(before):
-            self.not_before = self.clock.elapsed() + HOLD_BACK
+            self.not_before = self.clock.elapsed() + TAKEOVER_DELAY_SECONDS
         self.decisions.note(
             "duty_taken", before=None if before is None else before.ref.host
         )
         return True
 
 
-def read_holder(item: Item) -> Holder | None:
+def read_holder(item: Item) -> HostIncarnation | None:
     """Return the holder that an item names, or None if it is malformed."""
     try:
-        return Holder.from_json(decode(item.value or b""))
+        return HostIncarnation.from_json(decode(item.value or b""))
     except WireError:
         return None
--- a/src/reedhook/process/lead/lead.py
+++ b/src/reedhook/process/lead/lead.py
@@ -19,78 +19,78 @@
 from ...request.refusal import RefusalError
 from ...version.registry import TargetEntry
 from ..announced.announcements import Announcements
-from .claim import Claim
-from .others import OtherUsers
-from .promotion import Promotion
-from .ranking import Ranking
-from .states import STATUS_TIMEOUT, TargetStates
-from .tenure import RENEW
-from .user import SIGHT_TIMEOUT, HomeMaker, PrimaryUser
-from .witness import Sighting, Witnesses
-
-TICK: Final = 0.1
+from .claim import LeaseClaim
+from .others import OtherHolders
+from .promotion import PrimaryReplacement
+from .ranking import LeaseHolderRanking
+from .states import STATUS_TIMEOUT_SECONDS, TargetStatusClient
+from .tenure import RENEWAL_INTERVAL_SECONDS
+from .user import PROBE_TIMEOUT_SECONDS, HomeFactory, PrimaryClient
+from .witness import IndirectProber, TargetObservation
+
+CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks at the primary."""
 
-QUIET: Final = 0.2
+PROBE_AFTER_SECONDS: Final = 0.2
 """Seconds without an answer after which the primary is asked for one; the
 longest usual statements take 110 ms."""
 
-SIGHT_PATIENCE: Final = 0.1
+INDIRECT_PROBE_DELAY_SECONDS: Final = 0.1
 """Seconds without that answer after which others are asked, too, while it is waited
 for. Both together bring the next primary 0.2 s sooner; in a cut zone writes waited
 1.4 s for it. Nothing is decided on less evidence."""
 
-GONE_AFTER: Final = 3.0
+GONE_AFTER_SECONDS: Final = 3.0
 """Seconds after which a target that announces itself no more counts as gone,
 while the store answers; entries that lapsed with the store are back in 2 s."""
 
-LET_END: Final = 1.5
+DRAIN_TIMEOUT_SECONDS: Final = 1.5
 """Seconds for which a planned change lets open transactions end."""
 
-STORE_LOOKS: Final = 3
-STORE_PAUSE: Final = 0.15
+MAX_STORE_CHECKS: Final = 3
+STORE_CHECK_PAUSE_SECONDS: Final = 0.15
 """Looks at a store that gave no answer, and seconds before each, until a primary
 in doubt is asked for again; a store that is busy refuses in 4 ms."""
 
-DEMOTE_EVERY: Final = 1.0
+DEMOTE_INTERVAL_SECONDS: Final = 1.0
 """Seconds between two orders to a target that wrongly believes to lead."""
 
-DEPUTIZE_EVERY: Final = 2.0
+PLACEMENT_INTERVAL_SECONDS: Final = 2.0
 """Seconds between two changes of the deputy, each one write."""
 
 
-class Finding(Record):
+class PrimaryProbeResult(Record):
     """Carry what is known of a primary that gives no answer.
 
-    :param reached: whether it accepts a new connection from here.
-    :param sightings: what other hosts say of it.
-    :param stored: whether the store answers this host.
+    :param reachable: whether it accepts a new connection from here.
+    :param observations: what other hosts say of it.
+    :param store_reachable: whether the store answers this host.
     """
 
-    __slots__ = ("entry", "reached", "sightings", "stored")
+    __slots__ = ("entry", "reachable", "observations", "store_reachable")
 
     def __init__(
         self,
         entry: TargetEntry,
-        reached: bool,
-        sightings: list[Sighting],
-        stored: bool,
+        reachable: bool,
+        observations: list[TargetObservation],
+        store_reachable: bool,
     ) -> None:
         self.entry = entry
-        self.reached = reached
-        self.sightings = sightings
-        self.stored = stored
+        self.reachable = reachable
+        self.observations = observations
+        self.store_reachable = store_reachable
 
     @property
-    def witness(self) -> HostRef | None:
+    def reaching_host(self) -> HostRef | None:
         """Return a host that reaches the target, or None."""
-        for one in self.sightings:
-            if one.reached:
+        for one in self.observations:
+            if one.target_reachable:
                 return one.host
         return None
 
 
-class Lead(PrimaryUser):
+class PrimaryLeaseHolder(PrimaryClient):
     """Use the primary of one service, watch over it and have it replaced.
 
     :param claim: names this host as the holder.
@@ -98,16 +98,16 @@
 
     def __init__(
         self,
-        claim: Claim,
-        others: OtherUsers,
-        promotion: Promotion,
-        ranking: Ranking,
-        witnesses: Witnesses,
+        claim: LeaseClaim,
+        others: OtherHolders,
+        promotion: PrimaryReplacement,
+        ranking: LeaseHolderRanking,
+        indirect_prober: IndirectProber,
         announcements: Announcements,
-        states: TargetStates,
+        states: TargetStatusClient,
         driver: SessionTargetDriver,
         phrases: StatementDialect,
-        make_home: HomeMaker,
+        make_home: HomeFactory,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
@@ -115,7 +115,7 @@
         self.others = others
         self.promotion = promotion
         self.ranking = ranking
-        self.witnesses = witnesses
+        self.indirect_prober = indirect_prober
         self.announcements = announcements
         self.driver = driver
         self.phrases = phrases
@@ -125,39 +125,39 @@
     def start(self) -> None:
         """Begin to renew the permission and to look after the primary."""
         self.background.spawn(self.renew())
-        self.background.spawn(self.look_after())
+        self.background.spawn(self.monitor_primary())
 
     async def renew(self) -> None:
         """Look into the store again and again whether this host is named."""
         while True:
-            await self.clock.sleep(RENEW)
-            await self.claim.look()
+            await self.clock.sleep(RENEWAL_INTERVAL_SECONDS)
+            await self.claim.refresh()
 
-    async def look_after(self) -> None:
+    async def monitor_primary(self) -> None:
         """Keep a primary in use until cancelled."""
         while True:
-            if not self.yielding and self.tenure.valid:
-                await self.look_once()
-            await self.clock.sleep(TICK)
+            if not self.draining and self.validity.valid:
+                await self.check_once()
+            await self.clock.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def look_once(self) -> None:
+    async def check_once(self) -> None:
         """Do what the state of the primary demands now."""
         if not self.claim.saved:
             await self.claim.write(self.record)
         if self.record.successor:
             await self.finish()
         elif self.home is None:
-            await self.establish()
+            await self.find_primary()
         else:
-            await self.judge(self.home)
-        await self.demote_others()
+            await self.check_primary(self.home)
+        await self.demote_false_primaries()
         if self.home is not None and self.ready.is_set():
-            await self.look_after_place(self.home)
+            await self.check_placement(self.home)
             await self.others.forget_former()
 
     # The primary in use
 
-    async def judge(self, home: SessionTargetHome) -> None:
+    async def check_primary(self, home: SessionTargetHome) -> None:
         """Decide whether the primary is to be replaced."""
         target = home.entry.target
         entry = self.announcements.targets.get(target)
@@ -170,36 +170,38 @@
         if entry is not None and not entry.is_life(home.entry.born):
             await self.change("reborn", home.entry, planned=False)
             return
-        if self.questioned and await self.leads_no_more(home.entry):
+        if self.questioned and await self.has_lost_leadership(home.entry):
             await self.change("leads no more", home.entry, planned=False)
             return
-        if self.clock.monotonic() - home.last_reply_at < QUIET:
-            self.usable_again()
+        if self.clock.monotonic() - home.last_reply_at < PROBE_AFTER_SECONDS:
+            self.mark_usable()
             return
         if not self.ready.is_set():
-            await self.act_on(await self.inquire(home.entry))
+            await self.handle_probe_result(await self.diagnose_primary(home.entry))
             return
-        await self.look_for(home)
+        await self.probe_primary(home)
 
-    async def look_for(self, home: SessionTargetHome) -> None:
+    async def probe_primary(self, home: SessionTargetHome) -> None:
         """Ask a quiet primary for an answer, and act if none comes."""
-        sighting = asyncio.ensure_future(self.sighted(home))
-        inquiry: asyncio.Future[Finding] | None = None
+        sighting = asyncio.ensure_future(self.is_responding(home))
+        inquiry: asyncio.Future[PrimaryProbeResult] | None = None
         try:
-            done, _ = await asyncio.wait({sighting}, timeout=SIGHT_PATIENCE)
+            done, _ = await asyncio.wait(
+                {sighting}, timeout=INDIRECT_PROBE_DELAY_SECONDS
+            )
             if not done or not sighting.result():
-                inquiry = asyncio.ensure_future(self.inquire(home.entry))
+                inquiry = asyncio.ensure_future(self.diagnose_primary(home.entry))
             if await sighting:
                 return
-            self.doubt()
+            self.mark_doubtful()
             assert inquiry is not None
-            await self.act_on(await inquiry)
+            await self.handle_probe_result(await inquiry)
         finally:
             sighting.cancel()
             if inquiry is not None:
                 inquiry.cancel()
 
-    async def leads_no_more(self, entry: TargetEntry) -> bool:
+    async def has_lost_leadership(self, entry: TargetEntry) -> bool:
         """Say whether the primary itself says that it does not lead, or holds less.
 
         Without an answer that is asked again at the next sign.
@@ -208,10 +210,12 @@
         status = await self.states.status(entry)
         if status is None:
             return False
-        holds = self.answered is None or status.received >= self.answered
+        holds = (
+            self.highest_answered is None or status.received >= self.highest_answered
+        )
         return not (status.is_primary and holds)
 
-    def usable_again(self) -> None:
+    def mark_usable(self) -> None:
         """Let statements through to the primary."""
         if not self.ready.is_set():
             self.decisions.note(
@@ -223,83 +227,90 @@
         """Say whether a target that announces itself no more has left."""
         now = self.clock.elapsed()
         announced = self.announcements
-        if not announced.reached or now - announced.back_at < GONE_AFTER:
+        if (
+            not announced.store_reached
+            or now - announced.reached_since < GONE_AFTER_SECONDS
+        ):
             return False
-        return now - announced.missing_since.get(target, now) >= GONE_AFTER
+        return now - announced.missing_since.get(target, now) >= GONE_AFTER_SECONDS
 
-    async def sighted(self, home: SessionTargetHome) -> bool:
+    async def is_responding(self, home: SessionTargetHome) -> bool:
         """Ask the primary for a sign of life, unless all connections are in use."""
         if home.connections.exhausted():
             return False
         try:
-            await home.probe_position(SIGHT_TIMEOUT)
+            await home.probe_position(PROBE_TIMEOUT_SECONDS)
         except (SessionTargetNoReplyError, SessionTargetUnreachableError, RefusalError):
             home.connections.drop_idle()
             return False
         return True
 
-    def doubt(self) -> None:
+    def mark_doubtful(self) -> None:
         """Let statements wait, and be refused soon, until more is known."""
         if self.ready.is_set():
             self.doubted_at = self.clock.monotonic()
             self.ready.clear()
 
-    async def inquire(self, entry: TargetEntry) -> Finding:
+    async def diagnose_primary(self, entry: TargetEntry) -> PrimaryProbeResult:
         """Look for a target on a new connection, by others, and for the store."""
         reached, sightings, stored = await asyncio.gather(
-            self.states.reached(entry),
-            self.witnesses.look(entry),
-            self.claim.look(),
+            self.states.is_reachable(entry),
+            self.indirect_prober.probe(entry),
+            self.claim.refresh(),
         )
-        return Finding(entry, reached, sightings, stored)
+        return PrimaryProbeResult(entry, reached, sightings, stored)
 
-    async def act_on(self, finding: Finding) -> None:
+    async def handle_probe_result(self, probe_result: PrimaryProbeResult) -> None:
         """Go on with a primary in doubt, pass the lead on, or replace it."""
-        if finding.reached:
-            self.usable_again()
+        if probe_result.reachable:
+            self.mark_usable()
             return
-        witness = finding.witness
+        witness = probe_result.reaching_host
         if witness is not None:
             self.decisions.note(
                 "primary_reached_by_other",
                 service=self.service,
-                primary=finding.entry.target,
+                primary=probe_result.entry.target,
                 host=witness.host,
             )
-            await self.witnesses.pass_on(self.service, witness)
+            await self.indirect_prober.transfer_lease(self.service, witness)
             return
-        if not finding.stored and not await self.stored_soon(finding):
+        if not probe_result.store_reachable and not await self.wait_for_store(
+            probe_result
+        ):
             return
-        await self.change("unreachable", finding.entry, planned=False)
+        await self.change("unreachable", probe_result.entry, planned=False)
 
-    async def stored_soon(self, finding: Finding) -> bool:
+    async def wait_for_store(self, probe_result: PrimaryProbeResult) -> bool:
         """Pass the lead on to who reaches the store; else wait for it a little.
 
         Without the store no promotion can be written down from here. What was
         found of the primary holds for as long: asking anew takes 0.45 s, by
         which writes would flow later once the store is back.
         """
-        if await self.witnesses.pass_on_to_any(self.service, finding.sightings):
+        if await self.indirect_prober.transfer_lease_to_any(
+            self.service, probe_result.observations
+        ):
             return False
-        for _ in range(STORE_LOOKS):
-            await self.clock.sleep(STORE_PAUSE)
-            if await self.claim.look():
-                return not self.yielding
+        for _ in range(MAX_STORE_CHECKS):
+            await self.clock.sleep(STORE_CHECK_PAUSE_SECONDS)
+            if await self.claim.refresh():
+                return not self.draining
         return False
 
-    async def establish(self) -> None:
+    async def find_primary(self) -> None:
         """Find out who leads, and use it; act on a primary that is not found.
 
         The primary in the record is used as soon as it says that it leads: no
         other can, since a promotion stands in the record before it is ordered.
         To wait for targets of a zone that is cut off would cost 0.45 s.
         """
-        known = self.states.known(self.record.primary)
+        known = self.states.last_entry(self.record.primary)
         survey = asyncio.ensure_future(self.survey(known))
         try:
             if known is not None:
                 status = await self.states.status(known)
-                if status is not None and await self.leads(known, status):
+                if status is not None and await self.use_if_leading(known, status):
                     return
             await self.choose(*await survey)
         finally:
@@ -307,42 +318,50 @@
 
     async def survey(
         self, known: TargetEntry | None
-    ) -> tuple[list[tuple[TargetEntry, SessionTargetStatus]], Finding | None]:
+    ) -> tuple[
+        list[tuple[TargetEntry, SessionTargetStatus]], PrimaryProbeResult | None
+    ]:
         """Ask all targets of the service, and others for the primary if known."""
         entries = self.states.announced(self.service)
         if known is None:
             return await self.states.all(entries), None
         if known not in entries:
             entries.append(known)
-        return await asyncio.gather(self.states.all(entries), self.inquire(known))
+        return await asyncio.gather(
+            self.states.all(entries), self.diagnose_primary(known)
+        )
 
     async def choose(
         self,
         found: list[tuple[TargetEntry, SessionTargetStatus]],
-        finding: Finding | None,
+        finding: PrimaryProbeResult | None,
     ) -> None:
         """Use the target that leads, or act on a primary that gives no answer."""
         leading = [pair for pair in found if pair[1].is_primary]
         if leading:
             entry, status = max(leading, key=lambda pair: pair[1].term)
-            if await self.leads(entry, status):
+            if await self.use_if_leading(entry, status):
                 return
         if finding is None:
             return
-        self.doubt()
+        self.mark_doubtful()
         if any(entry.target == finding.entry.target for entry, _ in found):
             # It answers, and says that it does not lead: no other was promoted, so
             # that it has started again and holds nothing.
             await self.change("leads no more", finding.entry, planned=False)
             return
-        await self.act_on(finding)
+        await self.handle_probe_result(finding)
 
-    async def leads(self, entry: TargetEntry, status: SessionTargetStatus) -> bool:
+    async def use_if_leading(
+        self, entry: TargetEntry, status: SessionTargetStatus
+    ) -> bool:
         """Use a target unless another one leads, or it has started again since."""
         record = self.record
         if not status.is_primary or status.term < record.term:
             return False
-        if entry.target == record.primary and not entry.is_life(record.born):
+        if entry.target == record.primary and not entry.is_life(
+            record.primary_started_at_ms
+        ):
             return False
         await self.established(entry, status)
         return True
@@ -352,10 +371,10 @@
     ) -> None:
         """Use the target that leads by its own word, of the highest term."""
         record = self.record
-        stands = (record.primary, record.term, record.born)
+        stands = (record.primary, record.term, record.primary_started_at_ms)
         if stands != (entry.target, status.term, entry.born):
             await self.claim.write(record.with_primary(entry, status.term))
-        self.use(entry, status)
+        self.use_primary(entry, status)
 
     # Change of primary
 
@@ -363,12 +382,14 @@
         """Have another target promoted."""
         self.ready.clear()
         if planned and self.home is not None:
-            await self.until_quiet(self.home, LET_END)
-        if await self.promotion.decide(cause, old, planned, self.top):
+            await self.until_quiet(self.home, DRAIN_TIMEOUT_SECONDS)
+        if await self.promotion.decide_successor(
+            cause, old, planned, self.highest_position
+        ):
             await self.finish()
 
-    def promising(self) -> bool:
-        return bool(self.record.successor) or super().promising()
+    def expects_primary(self) -> bool:
+        return bool(self.record.successor) or super().expects_primary()
 
     async def finish(self) -> None:
         """Have the promotion that was decided ordered, and use the new primary."""
@@ -377,17 +398,17 @@
         if home is not None:
             # Reads in progress are sent anew; writes are in doubt for good.
             await home.close()
-        promoted = await self.promotion.carry_out(lambda: not self.yielding)
+        promoted = await self.promotion.execute(lambda: not self.draining)
         if promoted is None:
             return
-        self.use(promoted.entry, promoted.status)
+        self.use_primary(promoted.entry, promoted.status)
         # The store learns of it as soon as it answers.
         await self.claim.write(self.record)
 
-    async def demote_others(self) -> None:
+    async def demote_false_primaries(self) -> None:
         """Tell targets that wrongly believe to lead that they do not."""
         now = self.clock.monotonic()
-        if now - self.demoted_at < DEMOTE_EVERY or not self.ready.is_set():
+        if now - self.demoted_at < DEMOTE_INTERVAL_SECONDS or not self.ready.is_set():
             return
         self.demoted_at = now
         for entry in self.states.announced(self.service):
@@ -397,12 +418,12 @@
     async def demote(self, entry: TargetEntry) -> None:
         """Make a former primary a replica."""
         try:
-            connection = await self.driver.connect(entry, STATUS_TIMEOUT)
+            connection = await self.driver.connect(entry, STATUS_TIMEOUT_SECONDS)
         except SessionTargetUnreachableError:
             return
         query = TargetQuery("", self.phrases.demote(self.record.term))
         try:
-            (reply,) = await connection.exchange([query], STATUS_TIMEOUT)
+            (reply,) = await connection.exchange([query], STATUS_TIMEOUT_SECONDS)
             self.decisions.note("demoted", target=entry.target, fault=reply.fault.value)
         except SessionTargetNoReplyError as error:
             self.decisions.note(
@@ -413,19 +434,19 @@
 
     # This host's place
 
-    async def look_after_place(self, home: SessionTargetHome) -> None:
+    async def check_placement(self, home: SessionTargetHome) -> None:
         """Pass the lead on to a host that is placed better, or name a deputy."""
-        deputy = self.record.deputy
+        deputy = self.record.backup_holder
         if deputy is not None:
-            self.others.vigil.watch(deputy.ref)
+            self.others.failure_detector.probe_if_due(deputy.ref)
         now = self.clock.monotonic()
-        if now - self.deputized_at < DEPUTIZE_EVERY:
+        if now - self.deputized_at < PLACEMENT_INTERVAL_SECONDS:
             return
         self.deputized_at = now
         better = self.ranking.better(self.service, home.entry)
-        if better is not None and await self.witnesses.pass_on(
-            self.service, better, self.others.former_over()
+        if better is not None and await self.indirect_prober.transfer_lease(
+            self.service, better, self.others.former_expired()
         ):
             self.decisions.note("lead_passed_on", service=self.service, to=better.host)
             return
-        await self.others.look_after_deputy(home)
+        await self.others.update_backup_holder(home)
--- a/src/reedhook/process/lead/others.py
+++ b/src/reedhook/process/lead/others.py
@@ -8,31 +8,31 @@
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, Peers
 from ...request.refusal import RefusalError
-from .claim import Claim
-from .ranking import Ranking
-from .record import Holder
-from .tenure import MARGIN, TENURE
-from .vigil import Vigil
+from .claim import LeaseClaim
+from .ranking import LeaseHolderRanking
+from .record import HostIncarnation
+from .tenure import EXPIRY_MARGIN_SECONDS, LEASE_VALIDITY_SECONDS
+from .vigil import HolderFailureDetector
 
-WORD_TIMEOUT: Final = 0.5
+STOP_CONFIRMATION_TIMEOUT_SECONDS: Final = 0.5
 """Seconds in which a former holder says that it has stopped."""
 
-PATH: Final = "lead"
-LIFE_PATH: Final = "life"
+LEASE_STATUS_PATH: Final = "lead"
+INCARNATION_PATH: Final = "life"
 
 
-class OtherUsers:
+class OtherHolders:
     """Name the deputy, and have former holders and deputies stop.
 
     :ivar former_at: when somebody last became a former holder.
-    :ivar spoken: lives of former holders that have said that they stopped.
+    :ivar stopped_incarnations: lives of former holders that have said that they stopped.
     """
 
     def __init__(
         self,
-        claim: Claim,
-        ranking: Ranking,
-        vigil: Vigil,
+        claim: LeaseClaim,
+        ranking: LeaseHolderRanking,
+        failure_detector: HolderFailureDetector,
         peers: Peers,
         clock: Clock,
         decisions: Decisions,
@@ -40,93 +40,112 @@
         self.claim = claim
         self.service = claim.service
         self.ranking = ranking
-        self.vigil = vigil
+        self.failure_detector = failure_detector
         self.peers = peers
         self.clock = clock
         self.decisions = decisions
         self.former_at = clock.elapsed()
-        self.spoken: set[str] = set()
+        self.stopped_incarnations: set[str] = set()
 
-    async def stopped(self) -> bool:
+    async def stop_all(self) -> bool:
         """Have all others stop; return whether none can use the primary.
 
         The deputy may do so at any time and is always asked.
         """
         record = self.claim.record
-        asked = [one for one in record.former if one.life not in self.spoken]
-        if self.former_over():
+        asked = [
+            one
+            for one in record.former
+            if one.incarnation not in self.stopped_incarnations
+        ]
+        if self.former_expired():
             asked = []
-        elif not record.complete:
+        elif not record.former_complete:
             return False
-        deputy = record.deputy
+        deputy = record.backup_holder
         if deputy is not None:
             asked.append(deputy)
-        words = await asyncio.gather(*(self.word(one) for one in asked))
+        words = await asyncio.gather(*(self.confirm_stopped(one) for one in asked))
         if deputy is not None and not words[-1]:
             # It cannot be told apart from one that acts until its time is over.
-            await self.appoint(None)
+            await self.set_backup_holder(None)
         return all(words)
 
-    def former_over(self) -> bool:
+    def former_expired(self) -> bool:
         """Say whether the permission of each former holder has ended by itself."""
-        return self.clock.elapsed() - self.former_at >= TENURE + MARGIN
+        return (
+            self.clock.elapsed() - self.former_at
+            >= LEASE_VALIDITY_SECONDS + EXPIRY_MARGIN_SECONDS
+        )
 
-    async def word(self, former: Holder) -> bool:
+    async def confirm_stopped(self, former: HostIncarnation) -> bool:
         """Ask a former holder whether it has stopped, or is another life."""
         record = self.claim.record
         body = {
             "service": self.service,
-            "records": self.claim.book.to_json(),
+            "records": self.claim.registry.to_json(),
             "revision": record.revision,
         }
         try:
-            answer = await self.peers.call(former.ref, PATH, body, WORD_TIMEOUT)
+            answer = await self.peers.call(
+                former.ref, LEASE_STATUS_PATH, body, STOP_CONFIRMATION_TIMEOUT_SECONDS
+            )
         except PeerError as error:
             self.decisions.note(
                 "former_holder_silent",
                 service=self.service,
                 host=former.ref.host,
-                wait=round(self.former_at + TENURE + MARGIN - self.clock.elapsed(), 2),
+                wait=round(
+                    self.former_at
+                    + LEASE_VALIDITY_SECONDS
+                    + EXPIRY_MARGIN_SECONDS
+                    - self.clock.elapsed(),
+                    2,
+                ),
                 error=str(error),
             )
             return False
-        stopped = answer.get("life") != former.life or answer.get("holds") is False
-        if stopped and former != self.claim.record.deputy:
-            self.spoken.add(former.life)
+        stopped = (
+            answer.get("life") != former.incarnation or answer.get("holds") is False
+        )
+        if stopped and former != self.claim.record.backup_holder:
+            self.stopped_incarnations.add(former.incarnation)
         return stopped
 
-    async def look_after_deputy(self, home: SessionTargetHome) -> None:
+    async def update_backup_holder(self, home: SessionTargetHome) -> None:
         """Have a living host in a third zone stand in, should this one be lost."""
-        deputy = self.claim.record.deputy
+        deputy = self.claim.record.backup_holder
         chosen = self.ranking.deputy(self.service, home.entry)
-        if deputy is not None and not self.vigil.is_lost(deputy.ref):
+        if deputy is not None and not self.failure_detector.is_lost(deputy.ref):
             if chosen is None or deputy.ref.zone == chosen.zone:
                 chosen = deputy.ref
         if chosen is None:
             return
-        life = await self.life(chosen)
+        life = await self.query_incarnation(chosen)
         if life is not None:
-            await self.appoint(Holder(chosen, life))
+            await self.set_backup_holder(HostIncarnation(chosen, life))
 
-    async def life(self, host: HostRef) -> str | None:
+    async def query_incarnation(self, host: HostRef) -> str | None:
         """Ask a host for the life of its process; None without an answer."""
         try:
-            answer = await self.peers.call(host, LIFE_PATH, {}, WORD_TIMEOUT)
+            answer = await self.peers.call(
+                host, INCARNATION_PATH, {}, STOP_CONFIRMATION_TIMEOUT_SECONDS
+            )
         except (PeerError, RefusalError):
             return None
         life = answer.get("life")
         return life if isinstance(life, str) else None
 
-    async def appoint(self, deputy: Holder | None) -> None:
+    async def set_backup_holder(self, backup_holder: HostIncarnation | None) -> None:
         """Write down who stands in from now on."""
         record = self.claim.record
-        if deputy == record.deputy:
+        if backup_holder == record.backup_holder:
             return
-        if await self.claim.write(record.with_deputy(deputy)):
+        if await self.claim.write(record.with_backup_holder(backup_holder)):
             self.former_at = self.clock.elapsed()
 
     async def forget_former(self) -> None:
         """Write down that nobody but the deputy can still use the primary."""
         record = self.claim.record
-        if (record.former or not record.complete) and self.former_over():
+        if (record.former or not record.former_complete) and self.former_expired():
             await self.claim.write(record.without_former())
--- a/src/reedhook/process/lead/promotion.py
+++ b/src/reedhook/process/lead/promotion.py
@@ -9,27 +9,27 @@
 from ...record import Record
 from ...request.position import ORIGIN, Position
 from ...version.registry import TargetEntry
-from .claim import Claim
-from .duty import Duty, OrderOutcome
-from .others import OtherUsers
-from .states import TargetStates
+from .claim import LeaseClaim
+from .duty import OrderOutcome, PromotionCoordinator
+from .others import OtherHolders
+from .states import TargetStatusClient
 
-CATCH_UP: Final = 2.0
+CATCH_UP_TIMEOUT_SECONDS: Final = 2.0
 """Seconds for which a planned change waits for a replica to hold everything."""
 
-LEADING_TIMEOUT: Final = 3.0
+LEADING_TIMEOUT_SECONDS: Final = 3.0
 """Seconds in which an ordered promotion takes effect; it needs 0.3 to 0.6."""
 
-POLL: Final = 0.05
+CATCH_UP_POLL_SECONDS: Final = 0.05
 """Seconds between two looks at how far replicas are before a planned change."""
 
-LEADING_POLL: Final = 0.02
+LEADING_POLL_SECONDS: Final = 0.02
 """Seconds between two questions whether an ordered promotion has taken effect, in
 which all writes of the service wait. With 0.05 they wait 0.03 s longer, in the mean
 of 49 simulated losses; 15 to 30 questions of under 1 KB each go to one target."""
 
 
-class Promoted(Record):
+class LeadingTarget(Record):
     """Name a target that leads now, with its state."""
 
     __slots__ = ("entry", "status")
@@ -39,15 +39,15 @@
         self.status = status
 
 
-class Promotion:
+class PrimaryReplacement:
     """Replace the primary of one service."""
 
     def __init__(
         self,
-        claim: Claim,
-        others: OtherUsers,
-        states: TargetStates,
-        duty: Duty,
+        claim: LeaseClaim,
+        others: OtherHolders,
+        states: TargetStatusClient,
+        coordinator: PromotionCoordinator,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
@@ -55,23 +55,27 @@
         self.service = claim.service
         self.others = others
         self.states = states
-        self.duty = duty
+        self.coordinator = coordinator
         self.clock = clock
         self.decisions = decisions
 
-    async def decide(
-        self, cause: str, old: TargetEntry, planned: bool, top: Position | None
+    async def decide_successor(
+        self,
+        cause: str,
+        old: TargetEntry,
+        planned: bool,
+        highest_position: Position | None,
     ) -> bool:
         """Choose a successor and write it down; return whether that was done.
 
         Nothing is lost by a planned change: a replica holds everything first.
 
         :param planned: whether the primary still serves.
-        :param top: the highest position that the primary has answered with.
+        :param highest_position: the highest position that the primary has answered with.
         """
-        if not await self.others.stopped():
+        if not await self.others.stop_all():
             return False
-        successor = await self.successor(old, planned, top)
+        successor = await self.choose_successor(old, planned, highest_position)
         if successor is None:
             self.decisions.note("no_change", service=self.service, cause=cause)
             return False
@@ -84,16 +88,20 @@
         )
         return await self.claim.write(self.claim.record.with_successor(successor))
 
-    async def successor(
-        self, old: TargetEntry, planned: bool, top: Position | None
+    async def choose_successor(
+        self, old: TargetEntry, planned: bool, highest_position: Position | None
     ) -> TargetEntry | None:
         """Return the target that holds the most of those that answer.
 
         One that holds nothing has started again; it is left out unless all answer
         and none holds more, since what was acknowledged may be at the others.
         """
-        deadline = self.clock.monotonic() + (CATCH_UP if planned else 0.0)
-        goal = await self.goal(old, top) if planned else ORIGIN
+        deadline = self.clock.monotonic() + (
+            CATCH_UP_TIMEOUT_SECONDS if planned else 0.0
+        )
+        goal = (
+            await self.required_position(old, highest_position) if planned else ORIGIN
+        )
         while True:
             others = [
                 one
@@ -102,19 +110,21 @@
             ]
             found = await self.states.all(others)
             complete = len(found) == len(others)
-            if not found or not (complete or any(map(holds_something, found))):
+            if not found or not (complete or any(map(has_commits, found))):
                 return None
             entry, status = max(found, key=self.fitness)
             if status.received >= goal or self.clock.monotonic() >= deadline:
                 return entry
-            await self.clock.sleep(POLL)
+            await self.clock.sleep(CATCH_UP_POLL_SECONDS)
 
-    async def goal(self, old: TargetEntry, top: Position | None) -> Position:
+    async def required_position(
+        self, old: TargetEntry, highest_position: Position | None
+    ) -> Position:
         """Return what a successor must hold, as far as it can be known."""
         status = await self.states.status(old)
         if status is not None:
             return status.received
-        return ORIGIN if top is None else top
+        return ORIGIN if highest_position is None else highest_position
 
     def fitness(
         self, pair: tuple[TargetEntry, SessionTargetStatus]
@@ -127,20 +137,24 @@
         entry, status = pair
         return status.received, entry.zone != self.claim.me.ref.zone
 
-    async def carry_out(self, wanted: Callable[[], bool]) -> Promoted | None:
+    async def execute(
+        self, should_continue: Callable[[], bool]
+    ) -> LeadingTarget | None:
         """Have the successor that is written down ordered, and wait for it.
 
-        :param wanted: whether to go on waiting.
+        :param should_continue: whether to go on waiting.
         :returns: None while it does not lead; to be tried again then.
         """
         target = self.claim.record.successor
-        entry = self.states.known(target)
-        if entry is not None and not entry.is_life(self.claim.record.successor_born):
+        entry = self.states.last_entry(target)
+        if entry is not None and not entry.is_life(
+            self.claim.record.successor_started_at_ms
+        ):
             # It holds nothing by now, and was chosen since it held the most.
             self.decisions.note("successor_reborn", target=target, born=entry.born)
             await self.choose_again()
             return None
-        outcome = await self.duty.order(self.service, target)
+        outcome = await self.coordinator.order(self.service, target)
         if outcome is OrderOutcome.NOT_RUNNING:
             await self.choose_again()
             return None
@@ -148,14 +162,14 @@
             # The order may have taken effect; another target would be wrong.
             self.decisions.note("successor_unknown", target=target)
             return None
-        deadline = self.clock.monotonic() + LEADING_TIMEOUT
-        while self.clock.monotonic() < deadline and wanted():
+        deadline = self.clock.monotonic() + LEADING_TIMEOUT_SECONDS
+        while self.clock.monotonic() < deadline and should_continue():
             status = await self.states.status(entry)
             if status is not None and status.is_primary:
-                return self.promoted(entry, status)
+                return self.record_promoted(entry, status)
             if outcome is OrderOutcome.UNANSWERED:
                 return None
-            await self.clock.sleep(LEADING_POLL)
+            await self.clock.sleep(LEADING_POLL_SECONDS)
         return None
 
     async def choose_again(self) -> None:
@@ -168,7 +182,9 @@
         entry, _ = max(usable, key=self.fitness)
         await self.claim.write(record.with_successor(entry))
 
-    def promoted(self, entry: TargetEntry, status: SessionTargetStatus) -> Promoted:
+    def record_promoted(
+        self, entry: TargetEntry, status: SessionTargetStatus
+    ) -> LeadingTarget:
         """Take note of the new primary; it is yet to be written down."""
         self.decisions.note(
             "primary_promoted",
@@ -178,9 +194,9 @@
             received=status.received.to_json(),
         )
         self.claim.unsaved(self.claim.record.with_primary(entry, status.term))
-        return Promoted(entry, status)
+        return LeadingTarget(entry, status)
 
 
-def holds_something(pair: tuple[TargetEntry, SessionTargetStatus]) -> bool:
+def has_commits(pair: tuple[TargetEntry, SessionTargetStatus]) -> bool:
     """Say whether anything was ever committed in the log of a target."""
     return pair[1].received.index > 0
--- a/src/reedhook/process/lead/ranking.py
+++ b/src/reedhook/process/lead/ranking.py
@@ -6,12 +6,12 @@
 from ...version.registry import TargetEntry
 from ..announced.announcements import Announcements
 from ..fleet.directory import MembershipDirectory
-from .book import LeadBook
-from .record import lead_key
-from .vigil import Vigil
+from .book import PrimaryLeaseRegistry
+from .record import lease_key
+from .vigil import HolderFailureDetector
 
 
-class Ranking:
+class LeaseHolderRanking:
     """Order hosts for each service, by rank and availability zone.
 
     :param is_weak: whether the host named is weaker than others.
@@ -22,15 +22,15 @@
         me: HostRef,
         directory: MembershipDirectory,
         announcements: Announcements,
-        book: LeadBook,
-        vigil: Vigil,
+        registry: PrimaryLeaseRegistry,
+        failure_detector: HolderFailureDetector,
         is_weak: Callable[[str], bool],
     ) -> None:
         self.me = me
         self.directory = directory
         self.announcements = announcements
-        self.book = book
-        self.vigil = vigil
+        self.registry = registry
+        self.failure_detector = failure_detector
         self.is_weak = is_weak
 
     def ranked(self, service: str) -> list[HostRef]:
@@ -41,13 +41,13 @@
         these the weak come last.
         """
         zone = self.primary_zone(service)
-        key = lead_key(service)
+        key = lease_key(service)
         order = self.directory.live(key, zone, False)
         order += self.directory.live(key, zone, True)
-        order.sort(key=lambda ref: self.drawback(ref, zone))
+        order.sort(key=lambda ref: self.placement_penalty(ref, zone))
         return order
 
-    def drawback(self, ref: HostRef, zone: str) -> tuple[bool, bool]:
+    def placement_penalty(self, ref: HostRef, zone: str) -> tuple[bool, bool]:
         """Return what speaks against a host, the worst first.
 
         :param zone: of the primary.
@@ -56,9 +56,9 @@
 
     def primary_zone(self, service: str) -> str:
         """Return the availability zone of the primary; empty if unknown."""
-        record = self.book.get(service)
+        record = self.registry.get(service)
         if record is not None and record.primary:
-            known = self.announcements.known(record.primary)
+            known = self.announcements.last_entry(record.primary)
             return "" if known is None else known.zone
         for entry in self.announcements.targets.values():
             if entry.service == service and entry.claims_lead:
@@ -74,9 +74,9 @@
         ranked = [ref for ref in self.ranked(service) if ref.host != holder.host]
         chosen = ranked[:1]
         chosen += [ref for ref in ranked if ref.zone != ranked[0].zone][:1]
-        record = self.book.get(service)
-        if record is not None and record.deputy is not None:
-            chosen.append(record.deputy.ref)
+        record = self.registry.get(service)
+        if record is not None and record.backup_holder is not None:
+            chosen.append(record.backup_holder.ref)
         return chosen
 
     def deputy(self, service: str, primary: TargetEntry) -> HostRef | None:
@@ -89,7 +89,7 @@
         zones = (self.me.zone, primary.zone)
         others.sort(key=lambda ref: (ref.zone in zones, ref.zone == primary.zone))
         for ref in others:
-            if not self.vigil.is_lost(ref):
+            if not self.failure_detector.is_lost(ref):
                 return ref
         return None
 
@@ -99,9 +99,9 @@
         That is a host in another zone than the primary, if this one is not, and
         a strong one, if this one is weak.
         """
-        mine = self.drawback(self.me, primary.zone)
+        mine = self.placement_penalty(self.me, primary.zone)
         for ref in self.ranked(service):
-            if self.vigil.is_lost(ref):
+            if self.failure_detector.is_lost(ref):
                 continue
-            return ref if self.drawback(ref, primary.zone) < mine else None
+            return ref if self.placement_penalty(ref, primary.zone) < mine else None
         return None
--- a/src/reedhook/process/lead/record.py
+++ b/src/reedhook/process/lead/record.py
@@ -6,160 +6,180 @@
 from ...record import Record
 from ...version.registry import TargetEntry
 from ...wire import Json, decode, encode, reader
-from ..announced.announcements import OWN_PREFIX
+from ..announced.announcements import SYSTEM_KEY_PREFIX
 from ..announced.keyspace import Item
 
-LEADS: Final = f"{OWN_PREFIX}lead/"
-DUTY_KEY: Final = f"{OWN_PREFIX}duty"
+LEASE_KEY_PREFIX: Final = f"{SYSTEM_KEY_PREFIX}lead/"
+PROMOTION_COORDINATOR_KEY: Final = f"{SYSTEM_KEY_PREFIX}duty"
 
-MOST_FORMER: Final = 6
+MAX_FORMER_HOLDERS: Final = 6
 """Former holders that are named; with more the successor waits them all out."""
 
 
-class Holder(Record):
+class HostIncarnation(Record):
     """Name one life of the process of a host.
 
-    :param life: chosen at random at the start of the process.
+    :param incarnation: chosen at random at the start of the process.
     """
 
-    __slots__ = ("ref", "life")
+    __slots__ = ("ref", "incarnation")
 
-    def __init__(self, ref: HostRef, life: str) -> None:
+    def __init__(self, ref: HostRef, incarnation: str) -> None:
         self.ref = ref
-        self.life = life
+        self.incarnation = incarnation
 
     def to_json(self) -> Json:
         """Return the holder as it stands in the store."""
-        return {"ref": self.ref.to_json(), "life": self.life}
+        return {"ref": self.ref.to_json(), "life": self.incarnation}
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "Holder":
+    def from_json(cls, message: Json) -> "HostIncarnation":
         """Read a holder from the store."""
         return cls(HostRef.from_json(message["ref"]), message["life"])
 
 
-class LeadRecord(Record):
+class PrimaryLeaseRecord(Record):
     """Say who may use the primary of a service.
 
-    :param deputy: stands in for the holder, but for promotions, while the
+    :param backup_holder: stands in for the holder, but for promotions, while the
         holder is lost and the store gives no answer.
     :param former: earlier holders that may still believe to be allowed.
-    :param complete: whether `former` names all of them.
+    :param former_complete: whether `former` names all of them.
     :param primary: the target that leads; empty if it was never known.
     :param term: its term.
-    :param born: when its process started; see `TargetEntry`. Another process
+    :param primary_started_at_ms: when its process started; see `TargetEntry`. Another process
         under its id holds nothing and is not the primary.
     :param successor: the target whose promotion was decided; it may take
         effect at any time from then on.
-    :param successor_born: when the process that was chosen started.
+    :param successor_started_at_ms: when the process that was chosen started.
     :param revision: of the item in the store.
     """
 
     __slots__ = (
         "service",
         "holder",
-        "deputy",
+        "backup_holder",
         "former",
-        "complete",
+        "former_complete",
         "primary",
         "term",
         "successor",
         "revision",
-        "born",
-        "successor_born",
+        "primary_started_at_ms",
+        "successor_started_at_ms",
     )
 
     def __init__(
         self,
         service: str,
-        holder: Holder,
-        deputy: Holder | None,
-        former: list[Holder],
-        complete: bool,
+        holder: HostIncarnation,
+        backup_holder: HostIncarnation | None,
+        former: list[HostIncarnation],
+        former_complete: bool,
         primary: str,
         term: int,
         successor: str,
         revision: int,
-        born: int = 0,
-        successor_born: int = 0,
+        primary_started_at_ms: int = 0,
+        successor_started_at_ms: int = 0,
     ) -> None:
         self.service = service
         self.holder = holder
-        self.deputy = deputy
+        self.backup_holder = backup_holder
         self.former = former
-        self.complete = complete
+        self.former_complete = former_complete
         self.primary = primary
         self.term = term
         self.successor = successor
         self.revision = revision
-        self.born = born
-        self.successor_born = successor_born
+        self.primary_started_at_ms = primary_started_at_ms
+        self.successor_started_at_ms = successor_started_at_ms
 
-    def taken_by(self, holder: Holder, alone: bool = False) -> "LeadRecord":
+    def claimed_by(
+        self, holder: HostIncarnation, no_former_holders: bool = False
+    ) -> "PrimaryLeaseRecord":
         """Return the record with which `holder` takes the lead over.
 
-        :param alone: whether the present holder says that no earlier one can
+        :param no_former_holders: whether the present holder says that no earlier one can
             still use the primary.
         """
-        former = [] if alone else list(self.former)
-        former += [self.holder] if self.deputy is None else [self.holder, self.deputy]
+        former = [] if no_former_holders else list(self.former)
+        former += (
+            [self.holder]
+            if self.backup_holder is None
+            else [self.holder, self.backup_holder]
+        )
         found = self.copy()
         found.holder = holder
-        found.deputy = None
-        found.complete = alone or self.complete
-        found.set_former([one for one in former if not replaced(one, holder)])
+        found.backup_holder = None
+        found.former_complete = no_former_holders or self.former_complete
+        found.set_former([one for one in former if not is_superseded(one, holder)])
         return found
 
-    def with_deputy(self, deputy: Holder | None) -> "LeadRecord":
+    def with_backup_holder(
+        self, backup_holder: HostIncarnation | None
+    ) -> "PrimaryLeaseRecord":
         """Return the record with another deputy, or with none."""
         found = self.copy()
-        found.deputy = deputy
-        if self.deputy is not None:
-            if deputy is None or not replaced(self.deputy, deputy):
-                found.set_former([*self.former, self.deputy])
+        found.backup_holder = backup_holder
+        if self.backup_holder is not None:
+            if backup_holder is None or not is_superseded(
+                self.backup_holder, backup_holder
+            ):
+                found.set_former([*self.former, self.backup_holder])
         return found
 
-    def without_former(self) -> "LeadRecord":
+    def without_former(self) -> "PrimaryLeaseRecord":
         """Return the record once no earlier holder can use the primary."""
         found = self.copy()
         found.former = []
-        found.complete = True
+        found.former_complete = True
         return found
 
-    def with_primary(self, primary: TargetEntry, term: int) -> "LeadRecord":
+    def with_primary(self, primary: TargetEntry, term: int) -> "PrimaryLeaseRecord":
         """Return the record with the target that leads now."""
         found = self.copy()
-        found.primary, found.born, found.term = primary.target, primary.born, term
-        found.successor, found.successor_born = "", 0
+        found.primary, found.primary_started_at_ms, found.term = (
+            primary.target,
+            primary.born,
+            term,
+        )
+        found.successor, found.successor_started_at_ms = "", 0
         return found
 
-    def with_successor(self, successor: TargetEntry) -> "LeadRecord":
+    def with_successor(self, successor: TargetEntry) -> "PrimaryLeaseRecord":
         """Return the record with the target that is to lead."""
         found = self.copy()
         found.successor = successor.target
-        found.successor_born = successor.born
+        found.successor_started_at_ms = successor.born
         return found
 
-    def leading_as(self, other: "LeadRecord") -> "LeadRecord":
+    def with_primary_of(self, other: "PrimaryLeaseRecord") -> "PrimaryLeaseRecord":
         """Return the record with what another one says of the primary."""
         found = self.copy()
-        found.primary, found.born, found.term = other.primary, other.born, other.term
+        found.primary, found.primary_started_at_ms, found.term = (
+            other.primary,
+            other.primary_started_at_ms,
+            other.term,
+        )
         found.successor = other.successor
-        found.successor_born = other.successor_born
+        found.successor_started_at_ms = other.successor_started_at_ms
         return found
 
-    def set_former(self, former: list[Holder]) -> None:
+    def set_former(self, former: list[HostIncarnation]) -> None:
         """Name earlier holders, each once; too many are not named."""
         unique = list(dict.fromkeys(former))
-        self.complete = self.complete and len(unique) <= MOST_FORMER
-        self.former = unique[-MOST_FORMER:]
+        self.former_complete = (
+            self.former_complete and len(unique) <= MAX_FORMER_HOLDERS
+        )
+        self.former = unique[-MAX_FORMER_HOLDERS:]
 
-    def copy(self) -> "LeadRecord":
+    def copy(self) -> "PrimaryLeaseRecord":
         """Return a record that may be changed."""
-        return LeadRecord(*self.values())
+        return PrimaryLeaseRecord(*self.values())
 
-    def at(self, revision: int) -> "LeadRecord":
+    def with_revision(self, revision: int) -> "PrimaryLeaseRecord":
         """Return the record as it stands in the store at `revision`."""
         found = self.copy()
         found.revision = revision
@@ -169,14 +189,16 @@
         """Return the record as it stands in the store."""
         return {
             "holder": self.holder.to_json(),
-            "deputy": None if self.deputy is None else self.deputy.to_json(),
+            "deputy": (
+                None if self.backup_holder is None else self.backup_holder.to_json()
+            ),
             "former": [one.to_json() for one in self.former],
-            "complete": self.complete,
+            "complete": self.former_complete,
             "primary": self.primary,
             "term": self.term,
             "successor": self.successor,
-            "born": self.born,
-            "successor_born": self.successor_born,
+            "born": self.primary_started_at_ms,
+            "successor_born": self.successor_started_at_ms,
         }
 
     def encoded(self) -> bytes:
@@ -185,14 +207,16 @@
 
     @classmethod
     @reader
-    def from_json(cls, service: str, message: Json, revision: int) -> "LeadRecord":
+    def from_json(
+        cls, service: str, message: Json, revision: int
+    ) -> "PrimaryLeaseRecord":
         """Read a record."""
         deputy = message["deputy"]
         return cls(
             service,
-            Holder.from_json(message["holder"]),
-            None if deputy is None else Holder.from_json(deputy),
-            [Holder.from_json(one) for one in message["former"]],
+            HostIncarnation.from_json(message["holder"]),
+            None if deputy is None else HostIncarnation.from_json(deputy),
+            [HostIncarnation.from_json(one) for one in message["former"]],
             bool(message["complete"]),
             message["primary"],
             int(message["term"]),
@@ -203,20 +227,20 @@
         )
 
     @classmethod
-    def from_item(cls, item: Item) -> "LeadRecord":
+    def from_item(cls, item: Item) -> "PrimaryLeaseRecord":
         """Read a record from the store.
 
         :raises WireError: if it is malformed.
         """
-        service = item.key[len(LEADS) :]
+        service = item.key[len(LEASE_KEY_PREFIX) :]
         return cls.from_json(service, decode(item.value or b""), item.revision)
 
 
-def replaced(old: Holder, new: Holder) -> bool:
+def is_superseded(old: HostIncarnation, new: HostIncarnation) -> bool:
     """Say whether the life of `new` proves that of `old` over."""
     return old.ref.host == new.ref.host
 
 
-def lead_key(service: str) -> str:
+def lease_key(service: str) -> str:
     """Return the key of the record of a service."""
-    return LEADS + service
+    return LEASE_KEY_PREFIX + service
--- a/src/reedhook/process/lead/states.py
+++ b/src/reedhook/process/lead/states.py
@@ -13,12 +13,12 @@
 from ...version.registry import TargetEntry
 from ..announced.announcements import Announcements
 
-STATUS_TIMEOUT: Final = 0.4
+STATUS_TIMEOUT_SECONDS: Final = 0.4
 """Seconds to connect to a target and to learn its state; both wait for a slot
 behind statements of 9 to 110 ms."""
 
 
-class TargetStates:
+class TargetStatusClient:
     """Ask targets for their states, each on a connection of its own."""
 
     def __init__(
@@ -27,9 +27,9 @@
         self.announcements = announcements
         self.driver = driver
 
-    def known(self, target: str) -> TargetEntry | None:
+    def last_entry(self, target: str) -> TargetEntry | None:
         """Return what a target announces, or announced last; None if never."""
-        return self.announcements.known(target)
+        return self.announcements.last_entry(target)
 
     def announced(self, service: str) -> list[TargetEntry]:
         """Return the targets of a service that announce themselves."""
@@ -50,16 +50,16 @@
     async def status(self, entry: TargetEntry) -> SessionTargetStatus | None:
         """Ask one target for its state; None if it gives no answer."""
         try:
-            async with asyncio.timeout(STATUS_TIMEOUT):
-                connection = await self.driver.connect(entry, STATUS_TIMEOUT)
+            async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
+                connection = await self.driver.connect(entry, STATUS_TIMEOUT_SECONDS)
                 try:
-                    return await connection.status(STATUS_TIMEOUT)
+                    return await connection.status(STATUS_TIMEOUT_SECONDS)
                 finally:
                     connection.close()
         except (TimeoutError, SessionTargetUnreachableError, SessionTargetNoReplyError):
             return None
 
-    async def reached(
+    async def is_reachable(
         self, entry: TargetEntry, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> bool:
         """Say whether a target accepts a new connection from here in time."""
--- a/src/reedhook/process/lead/tenure.py
+++ b/src/reedhook/process/lead/tenure.py
@@ -5,22 +5,22 @@
 from ...clock import Clock
 from ...request.refusal import RefusalReason, not_run
 
-TENURE: Final = 12.0
+LEASE_VALIDITY_SECONDS: Final = 12.0
 """Seconds for which a look at the store permits the use of a primary. Longer
 than the store is silent for at a time (9 s) with a renewal before; a successor
 that gets no word from its predecessor waits as long before it promotes."""
 
-RENEW: Final = 2.5
+RENEWAL_INTERVAL_SECONDS: Final = 2.5
 """Seconds between two looks; each is one reading call."""
 
-MARGIN: Final = 0.5
+EXPIRY_MARGIN_SECONDS: Final = 0.5
 """Seconds by which a successor waits longer, for statements on their way."""
 
 RETRY_MS: Final = 100
 """When to come back to a host that lost its permission, in milliseconds."""
 
 
-class Tenure:
+class LeaseValidity:
     """Keep until when this host may use a primary, by `Clock.elapsed`.
 
     The look that permits it was sent at a moment when the record named this
@@ -28,27 +28,29 @@
     is over, or this host has said that it has stopped.
     """
 
-    __slots__ = ("clock", "until", "over")
+    __slots__ = ("clock", "expires_at", "revoked")
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.until = float("-inf")
-        self.over = False
+        self.expires_at = float("-inf")
+        self.revoked = False
 
-    def confirmed(self, asked: float) -> None:
+    def extend(self, requested_at: float) -> None:
         """Take note that a question sent at `asked` found this host named."""
-        if not self.over:
-            self.until = max(self.until, asked + TENURE)
+        if not self.revoked:
+            self.expires_at = max(
+                self.expires_at, requested_at + LEASE_VALIDITY_SECONDS
+            )
 
-    def end(self) -> None:
+    def revoke(self) -> None:
         """Give the permission up for good, whatever a later look finds."""
-        self.over = True
-        self.until = float("-inf")
+        self.revoked = True
+        self.expires_at = float("-inf")
 
     @property
     def valid(self) -> bool:
         """Say whether the primary may be used right now."""
-        return self.clock.elapsed() < self.until
+        return self.clock.elapsed() < self.expires_at
 
     def check(self) -> None:
         """Raise unless the primary may be used right now.
--- a/src/reedhook/process/lead/witness.py
+++ b/src/reedhook/process/lead/witness.py
@@ -12,39 +12,41 @@
 from ...wire import Json, text
 from ..announced.announcements import Announcements
 from ..fleet.membership_table import MembershipTable
-from .states import TargetStates
+from .states import TargetStatusClient
 
-PATH: Final = "sight"
-TAKE_PATH: Final = "take"
+PROBE_TARGET_PATH: Final = "sight"
+CLAIM_PATH: Final = "take"
 
-COUNT: Final = 9
+MAX_PROBERS: Final = 9
 """Hosts that are asked at most; a primary may be cut off from most hosts and
 still serve the others."""
 
-ANSWER_TIMEOUT: Final = 0.45
+RESPONSE_TIMEOUT_SECONDS: Final = 0.45
 """Seconds for the host's answer."""
 
-TAKE_TIMEOUT: Final = 1.0
+CLAIM_TIMEOUT_SECONDS: Final = 1.0
 """Seconds in which a host takes a lead over at the store: two calls of 4 ms, or
 of 240 ms at a slow store."""
 
 
-class Sighting(Record):
+class TargetObservation(Record):
     """Carry what another host says of its surroundings.
 
-    :param reached: whether it reaches the target.
-    :param stored: whether it reaches the store.
+    :param target_reachable: whether it reaches the target.
+    :param store_reachable: whether it reaches the store.
     """
 
-    __slots__ = ("host", "reached", "stored")
+    __slots__ = ("host", "target_reachable", "store_reachable")
 
-    def __init__(self, host: HostRef, reached: bool, stored: bool) -> None:
+    def __init__(
+        self, host: HostRef, target_reachable: bool, store_reachable: bool
+    ) -> None:
         self.host = host
-        self.reached = reached
-        self.stored = stored
+        self.target_reachable = target_reachable
+        self.store_reachable = store_reachable
 
 
-class Witnesses:
+class IndirectProber:
     """Ask other hosts for targets, and answer such questions."""
 
     def __init__(
@@ -53,7 +55,7 @@
         table: MembershipTable,
         peers: Peers,
         announcements: Announcements,
-        states: TargetStates,
+        states: TargetStatusClient,
         random: Random,
     ) -> None:
         self.me = me
@@ -65,18 +67,20 @@
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(PROBE_TARGET_PATH, self.handle_probe)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_probe(self, body: Json) -> Json:
         """Say whether this host reaches a target, and the store."""
         entry = self.announcements.targets.get(text(body, "target"))
-        reached = entry is not None and await self.states.reached(entry)
-        return {"reached": reached, "stored": self.announcements.reached}
+        reached = entry is not None and await self.states.is_reachable(entry)
+        return {"reached": reached, "stored": self.announcements.store_reached}
 
-    async def look(self, entry: TargetEntry) -> list[Sighting]:
+    async def probe(self, entry: TargetEntry) -> list[TargetObservation]:
         """Return what hosts that answer say of a target and the store."""
         asked = self.chosen(entry.zone)
-        answers = await asyncio.gather(*(self.ask(one, entry) for one in asked))
+        answers = await asyncio.gather(
+            *(self.request_probe(one, entry) for one in asked)
+        )
         return [one for one in answers if one is not None]
 
     def chosen(self, zone: str) -> list[HostRef]:
@@ -89,34 +93,44 @@
             turns[ref.host] = seen[ref.zone]
             seen[ref.zone] += 1
         others.sort(key=lambda ref: (turns[ref.host], ref.zone == zone))
-        return others[:COUNT]
+        return others[:MAX_PROBERS]
 
-    async def ask(self, host: HostRef, entry: TargetEntry) -> Sighting | None:
+    async def request_probe(
+        self, host: HostRef, entry: TargetEntry
+    ) -> TargetObservation | None:
         """Ask one host; None if it gives no answer."""
         body: Json = {"target": entry.target}
         try:
-            answer = await self.peers.call(host, PATH, body, ANSWER_TIMEOUT)
+            answer = await self.peers.call(
+                host, PROBE_TARGET_PATH, body, RESPONSE_TIMEOUT_SECONDS
+            )
         except (PeerError, RefusalError):
             return None
-        return Sighting(
+        return TargetObservation(
             host, answer.get("reached") is True, answer.get("stored") is True
         )
 
-    async def pass_on_to_any(self, service: str, sightings: list[Sighting]) -> bool:
+    async def transfer_lease_to_any(
+        self, service: str, observations: list[TargetObservation]
+    ) -> bool:
         """Have the first host that reaches the store take a lead over."""
-        for one in sightings:
-            if one.stored and await self.pass_on(service, one.host):
+        for one in observations:
+            if one.store_reachable and await self.transfer_lease(service, one.host):
                 return True
         return False
 
-    async def pass_on(self, service: str, host: HostRef, alone: bool = False) -> bool:
+    async def transfer_lease(
+        self, service: str, host: HostRef, no_former_holders: bool = False
+    ) -> bool:
         """Have a host take the lead of a service over.
 
-        :param alone: whether no earlier holder can still use the primary.
+        :param no_former_holders: whether no earlier holder can still use the primary.
         """
-        body: Json = {"service": service, "alone": alone}
+        body: Json = {"service": service, "alone": no_former_holders}
         try:
-            answer = await self.peers.call(host, TAKE_PATH, body, TAKE_TIMEOUT)
+            answer = await self.peers.call(
+                host, CLAIM_PATH, body, CLAIM_TIMEOUT_SECONDS
+            )
         except (PeerError, RefusalError):
             return False
         return answer.get("taken") is True
--- a/src/reedhook/process/partition.py
+++ b/src/reedhook/process/partition.py
@@ -10,8 +10,8 @@
 from ..peer import HostRef
 from .announced.announcements import Announcements
 from .fleet.membership_table import MembershipTable
-from .lead.states import TargetStates
-from .lead.vigil import Vigil
+from .lead.states import TargetStatusClient
+from .lead.vigil import HolderFailureDetector
 from .network.heard_peers import HeardPeers
 
 TICK: Final = 0.1
@@ -50,8 +50,8 @@
         me: HostRef,
         table: MembershipTable,
         announcements: Announcements,
-        states: TargetStates,
-        vigil: Vigil,
+        states: TargetStatusClient,
+        vigil: HolderFailureDetector,
         peers: HeardPeers,
         clock: Clock,
         random: Random,
@@ -94,7 +94,7 @@
             self.decide(True)
             return
         one = self.random.choice(list(self.others.values()))
-        if not self.cut_off and await self.vigil.reaches(one, FIRST_PATIENCE):
+        if not self.cut_off and await self.vigil.is_reachable(one, FIRST_PATIENCE):
             return
         answers = await asyncio.gather(*self.questions())
         self.decide(any(answers) or self.heard())
@@ -124,8 +124,8 @@
         self.random.shuffle(targets)
         chosen = {entry.zone: entry for entry in targets}
         return [
-            *(self.vigil.reaches(host, PATIENCE) for host in self.others.values()),
-            *(self.states.reached(target, PATIENCE) for target in chosen.values()),
+            *(self.vigil.is_reachable(host, PATIENCE) for host in self.others.values()),
+            *(self.states.is_reachable(target, PATIENCE) for target in chosen.values()),
         ]
 
     def decide(self, reached: bool) -> None:
--- a/src/reedhook/process/rates/allowances.py
+++ b/src/reedhook/process/rates/allowances.py
@@ -12,34 +12,34 @@
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.workspace import Workspace
 from ...wire import WireError
-from .allowance import Allowance
-from .owner import PATH, Ask, Grant, RateOwner
-from .terms import RateTerms
+from .allowance import OperationAllowance
+from .owner import RATE_PATH, Grant, GrantRequest, RateOwner
+from .terms import RateTolerance
 
-ASK_TIMEOUT: Final = 0.15
+REQUEST_TIMEOUT_SECONDS: Final = 0.15
 """Seconds for the answer of the host that counts, which takes some 3 ms."""
 
-AVOIDED_FOR: Final = 1.0
+AVOID_SECONDS: Final = 1.0
 """Seconds for which a silent host is not asked; until then it is known to be lost."""
 
-TRIES: Final = 2
+MAX_TRIES: Final = 2
 """Hosts in rank that are asked for one grant."""
 
-BUSY: Final = 2.0
+PREFETCH_OPERATIONS: Final = 2.0
 """Operations expected in the life of a grant from which on the next one is asked
 for before it is needed."""
 
-SHORTEST_PAUSE: Final = 0.02
-LONGEST_PAUSE: Final = 0.5
+MIN_PAUSE_SECONDS: Final = 0.02
+MAX_PAUSE_SECONDS: Final = 0.5
 """Seconds after which a host that had nothing to grant is asked again."""
 
-RETRY_MS: Final = 50
+MIN_RETRY_MS: Final = 50
 """The least time after which callers come back, in milliseconds."""
 
-MILLISECONDS: Final = 1000.0
+MS_PER_SECOND: Final = 1000.0
 
 
-class Allowances:
+class WorkspaceRateLimiter:
     """Admit operations at the homes of this host, each counted once.
 
     Operations are granted in portions by the host that counts a workspace. They
@@ -51,7 +51,7 @@
         self,
         owner: RateOwner,
         peers: Peers,
-        terms: RateTerms,
+        tolerance: RateTolerance,
         clock: Clock,
         decisions: Decisions,
         metrics: Metrics,
@@ -59,11 +59,11 @@
         self.owner = owner
         self.me = owner.directory.me
         self.peers = peers
-        self.terms = terms
+        self.tolerance = tolerance
         self.clock = clock
         self.decisions = decisions
         self.metrics = metrics
-        self.by_name: dict[str, Allowance] = {}
+        self.by_name: dict[str, OperationAllowance] = {}
         self.avoided: dict[str, float] = {}
         self.background = Background(decisions)
 
@@ -78,17 +78,20 @@
         now = self.clock.elapsed()
         allowance = self.by_name.get(name)
         if allowance is None:
-            allowance = self.by_name[name] = Allowance(now)
-        allowance.arrive(now)
+            allowance = self.by_name[name] = OperationAllowance(now)
+        allowance.record_operation(now)
         if workspace.rate <= 0.0:
             raise self.limited(name, 1.0)
-        if not allowance.take(now):
+        if not allowance.try_admit(now):
             await self.wait(workspace, workspace.rate, allowance)
-        elif not allowance.left and self.expected(workspace, allowance) >= BUSY:
-            self.ask(workspace, workspace.rate, allowance)
+        elif (
+            not allowance.left
+            and self.expected(workspace, allowance) >= PREFETCH_OPERATIONS
+        ):
+            self.start_request(workspace, workspace.rate, allowance)
 
     async def wait(
-        self, workspace: Workspace, rate: float, allowance: Allowance
+        self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> None:
         """Wait for a grant and take one operation of it.
 
@@ -100,11 +103,11 @@
                 now = self.clock.elapsed()
                 if now < allowance.limited_until:
                     left = allowance.limited_until - now
-                    if allowance.unanswered:
+                    if allowance.owner_unreachable:
                         raise self.unknown(workspace.name, left)
                     raise self.limited(workspace.name, left)
-                await asyncio.shield(self.ask(workspace, rate, allowance))
-                if allowance.take(self.clock.elapsed()):
+                await asyncio.shield(self.start_request(workspace, rate, allowance))
+                if allowance.try_admit(self.clock.elapsed()):
                     return
         finally:
             allowance.waiting -= 1
@@ -128,66 +131,68 @@
     def refusal(self, reason: RefusalReason, detail: str, wait: float) -> RefusalError:
         """Return a refusal, with when to come back."""
         self.metrics.increment(reason.value)
-        back = max(RETRY_MS, math.ceil(wait * MILLISECONDS))
+        back = max(MIN_RETRY_MS, math.ceil(wait * MS_PER_SECOND))
         return not_run(reason, detail, back)
 
-    def expected(self, workspace: Workspace, allowance: Allowance) -> float:
+    def expected(self, workspace: Workspace, allowance: OperationAllowance) -> float:
         """Return the operations that are expected in the life of a grant."""
         assert workspace.rate
-        return allowance.demand * self.terms.grant_lasts(workspace, workspace.rate)
+        return allowance.demand * self.tolerance.grant_seconds(
+            workspace, workspace.rate
+        )
 
-    def ask(
-        self, workspace: Workspace, rate: float, allowance: Allowance
+    def start_request(
+        self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> "asyncio.Task[None]":
         """Ask for the next portion, once for all who wait for it."""
-        if allowance.asking is None or allowance.asking.done():
+        if allowance.request_task is None or allowance.request_task.done():
             work = self.refill(workspace, rate, allowance)
-            allowance.asking = self.background.spawn(work)
-        return allowance.asking
+            allowance.request_task = self.background.spawn(work)
+        return allowance.request_task
 
     async def refill(
-        self, workspace: Workspace, rate: float, allowance: Allowance
+        self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> None:
         """Ask the host that counts, or the next one in rank if it is silent."""
         asked = self.clock.elapsed()
-        unused = allowance.void(asked)
+        unused = allowance.discard_expired(asked)
         count = max(1, allowance.waiting, int(self.expected(workspace, allowance)))
-        for _ in range(TRIES):
-            host = self.host(workspace.name)
+        for _ in range(MAX_TRIES):
+            host = self.choose_owner(workspace.name)
             if host is None:
                 break
-            ask = Ask(workspace.name, count)
+            ask = GrantRequest(workspace.name, count)
             ask.unused = unused if host.host == allowance.owner else 0
-            ask.elsewhere = allowance.untold.get(host.host, 0)
+            ask.elsewhere = allowance.unreported.get(host.host, 0)
             try:
-                grant = await self.granted(host, ask)
+                grant = await self.fetch_grant(host, ask)
             except (PeerError, RefusalError, WireError) as error:
                 self.avoid(host, workspace.name, error)
                 continue
-            self.take_over(workspace, rate, allowance, host, grant, asked)
+            self.apply_grant(workspace, rate, allowance, host, grant, asked)
             return
-        allowance.limited_until = self.clock.elapsed() + LONGEST_PAUSE
-        allowance.unanswered = True
+        allowance.limited_until = self.clock.elapsed() + MAX_PAUSE_SECONDS
+        allowance.owner_unreachable = True
 
-    def take_over(
+    def apply_grant(
         self,
         workspace: Workspace,
         rate: float,
-        allowance: Allowance,
+        allowance: OperationAllowance,
         host: HostRef,
         grant: Grant,
-        asked: float,
+        requested_at: float,
     ) -> None:
         """Use what was granted."""
         now = self.clock.elapsed()
-        until = asked + self.terms.grant_lasts(workspace, rate)
-        allowance.granted(host.host, grant.count, until)
+        until = requested_at + self.tolerance.grant_seconds(workspace, rate)
+        allowance.add_grant(host.host, grant.count, until)
         if not grant.count:
-            pause = min(max(grant.wait, SHORTEST_PAUSE), LONGEST_PAUSE)
+            pause = min(max(grant.wait, MIN_PAUSE_SECONDS), MAX_PAUSE_SECONDS)
             allowance.limited_until = now + pause
-            allowance.unanswered = False
+            allowance.owner_unreachable = False
 
-    def host(self, name: str) -> HostRef | None:
+    def choose_owner(self, name: str) -> HostRef | None:
         """Return the first host in rank that was not silent of late, or None."""
         now = self.clock.monotonic()
         first = self.owner.first(name)
@@ -198,7 +203,7 @@
                 return one
         return None
 
-    async def granted(self, host: HostRef, ask: Ask) -> Grant:
+    async def fetch_grant(self, host: HostRef, request: GrantRequest) -> Grant:
         """Return what a host grants.
 
         :raises PeerError: if it gives no answer.
@@ -206,14 +211,16 @@
         :raises WireError: if its answer has another form.
         """
         if host.host == self.me.host:
-            return self.owner.grant(ask)
-        answer = await self.peers.call(host, PATH, ask.to_json(), ASK_TIMEOUT)
+            return self.owner.grant(request)
+        answer = await self.peers.call(
+            host, RATE_PATH, request.to_json(), REQUEST_TIMEOUT_SECONDS
+        )
         return Grant.from_json(answer)
 
     def avoid(self, host: HostRef, name: str, error: Exception) -> None:
         """Ask a host that gave no answer for nothing for a while."""
-        self.avoided[host.host] = self.clock.monotonic() + AVOIDED_FOR
-        self.owner.doubt(host.host)
+        self.avoided[host.host] = self.clock.monotonic() + AVOID_SECONDS
+        self.owner.report_silent(host.host)
         self.decisions.note(
             "rate_unanswered", workspace=name, owner=host.host, error=str(error)
         )
--- a/src/reedhook/process/rates/owner.py
+++ b/src/reedhook/process/rates/owner.py
@@ -12,24 +12,24 @@
 from ...request.rate import TokenBucket
 from ...version.workspace import Workspace, Workspaces
 from ...wire import Json, reader, text, whole
-from ..announced.freshness import Freshness
-from .terms import RateTerms
+from ..announced.freshness import ConfigurationFreshness
+from .terms import RateTolerance
 
-PATH: Final = "rate"
+RATE_PATH: Final = "rate"
 
-RESTRICTED: Final = 0.1
+RESTRICTED_FRACTION: Final = 0.1
 """Share of a rate that a host grants which may not be the only one to count. Two
 that count grant that much more together, which the slack of a window bears."""
 
-SURE_FOR: Final = 2.5
+SOLE_OWNER_SECONDS: Final = 2.5
 """Seconds after which a host that heard nothing of the store, and sees no more than
 half of the hosts, may have been replaced unnoticed, and grants the restricted share."""
 
-MOST_ASKED: Final = 100_000
-MILLISECONDS: Final = 1000.0
+MAX_REQUESTED_OPERATIONS: Final = 100_000
+MS_PER_SECOND: Final = 1000.0
 
 
-class Ask(Record):
+class GrantRequest(Record):
     """Carry the question of a home for the next operations of a workspace.
 
     :param count: operations that are asked for.
@@ -53,10 +53,13 @@
 
     @classmethod
     @reader
-    def from_json(cls, message: Json) -> "Ask":
+    def from_json(cls, message: Json) -> "GrantRequest":
         """Read a question of another host."""
         counts = [whole(message, name) for name in cls.__slots__[1:]]
-        return cls(text(message, "workspace"), *(min(n, MOST_ASKED) for n in counts))
+        return cls(
+            text(message, "workspace"),
+            *(min(n, MAX_REQUESTED_OPERATIONS) for n in counts),
+        )
 
 
 class Grant(Record):
@@ -74,13 +77,13 @@
 
     def to_json(self) -> Json:
         """Return the grant as it stands between hosts."""
-        return {"count": self.count, "wait_ms": math.ceil(self.wait * MILLISECONDS)}
+        return {"count": self.count, "wait_ms": math.ceil(self.wait * MS_PER_SECOND)}
 
     @classmethod
     @reader
     def from_json(cls, message: Json) -> "Grant":
         """Read a grant of another host."""
-        return cls(whole(message, "count"), whole(message, "wait_ms") / MILLISECONDS)
+        return cls(whole(message, "count"), whole(message, "wait_ms") / MS_PER_SECOND)
 
 
 class RateOwner:
@@ -91,7 +94,7 @@
 
     :param cut_off: says whether no other availability zone is reached.
     :param sees_most: says whether most hosts are seen to live.
-    :param doubt: has a host looked at that others found silent.
+    :param report_silent: has a host looked at that others found silent.
     :ivar buckets: what is left to grant, by workspace.
     :ivar restricted: workspaces of which others may count the rate as well.
     """
@@ -100,11 +103,11 @@
         self,
         directory: Directory,
         workspaces: Callable[[], Workspaces],
-        freshness: Freshness,
+        freshness: ConfigurationFreshness,
         cut_off: Callable[[], bool],
         sees_most: Callable[[], bool],
-        doubt: Callable[[str], None],
-        terms: RateTerms,
+        report_silent: Callable[[str], None],
+        tolerance: RateTolerance,
         clock: Clock,
         decisions: Decisions,
     ) -> None:
@@ -113,8 +116,8 @@
         self.freshness = freshness
         self.cut_off = cut_off
         self.sees_most = sees_most
-        self.doubt = doubt
-        self.terms = terms
+        self.report_silent = report_silent
+        self.tolerance = tolerance
         self.clock = clock
         self.decisions = decisions
         self.buckets: dict[str, TokenBucket] = {}
@@ -122,34 +125,35 @@
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(RATE_PATH, self.handle_request)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_request(self, body: Json) -> Json:
         """Grant operations of a `workspace` to the home of a target.
 
         See `Ask` for the body.
         """
-        return self.grant(Ask.from_json(body)).to_json()
+        return self.grant(GrantRequest.from_json(body)).to_json()
 
     def owners(self, name: str) -> list[HostRef]:
         """Return the hosts that may count the operations of a workspace, in rank."""
-        return self.directory.ranked(f"{PATH} {name}", "")
+        return self.directory.ranked(f"{RATE_PATH} {name}", "")
 
     def first(self, name: str) -> HostRef | None:
         """Return the host that counts the operations of a workspace."""
-        return self.directory.home(f"{PATH} {name}", "")
+        return self.directory.home(f"{RATE_PATH} {name}", "")
 
-    def grant(self, ask: Ask) -> Grant:
+    def grant(self, request: GrantRequest) -> Grant:
         """Grant as many operations of a workspace as there are left."""
-        workspace = self.workspaces().by_name.get(ask.workspace)
+        workspace = self.workspaces().by_name.get(request.workspace)
         if workspace is None or workspace.rate is None or workspace.rate <= 0.0:
             return Grant(0, 1.0)
         now = self.clock.elapsed()
         bucket = self.bucket(workspace, workspace.rate, now)
-        bucket.deduct(ask.elsewhere - ask.unused)
-        granted = bucket.acquire_up_to(ask.count, now)
+        bucket.deduct(request.elsewhere - request.unused)
+        granted = bucket.acquire_up_to(request.count, now)
         return Grant(
-            granted, bucket.seconds_until_available() if granted < ask.count else 0.0
+            granted,
+            bucket.seconds_until_available() if granted < request.count else 0.0,
         )
 
     def reset(self, cause: str) -> None:
@@ -162,10 +166,10 @@
     def bucket(self, workspace: Workspace, rate: float, now: float) -> TokenBucket:
         """Return what is left to grant, by the rate that holds here now."""
         name = workspace.name
-        start = self.terms.start(workspace, rate)
+        start = self.tolerance.start(workspace, rate)
         sole = self.is_sole(name)
-        allowed = rate if sole else rate * RESTRICTED
-        burst = self.terms.most(workspace, rate)
+        allowed = rate if sole else rate * RESTRICTED_FRACTION
+        burst = self.tolerance.burst_limit(workspace, rate)
         bucket = self.buckets.get(name)
         if bucket is None:
             bucket = self.buckets[name] = TokenBucket(allowed, burst, now, start)
@@ -186,8 +190,8 @@
         first = self.first(name)
         if first is not None and first != self.directory.me:
             # Who asks here has found the first one silent.
-            self.doubt(first.host)
+            self.report_silent(first.host)
             return False
         if self.cut_off():
             return False
-        return self.sees_most() or self.freshness.age() < SURE_FOR
+        return self.sees_most() or self.freshness.age() < SOLE_OWNER_SECONDS
--- a/src/reedhook/process/rates/terms.py
+++ b/src/reedhook/process/rates/terms.py
@@ -5,22 +5,22 @@
 from ...record import Record
 from ...version.workspace import Workspace
 
-LONGEST_GRANT: Final = 2.0
+MAX_GRANT_SECONDS: Final = 2.0
 """Seconds for which operations that were granted may be admitted at the most."""
 
-GRANT_SHARE: Final = 0.5
+GRANT_SLACK_FRACTION: Final = 0.5
 """Share of the slack that grants which are not used at once may take up."""
 
-START_SHARE: Final = 0.25
+INITIAL_SLACK_FRACTION: Final = 0.25
 """Share of the slack that a host may grant at once as it begins to count: what the
 one before it has granted of late is not known to it."""
 
-BURST_SHARE: Final = 0.2
+BURST_SLACK_FRACTION: Final = 0.2
 """Share of the slack by which the host that counts allows more at once, since what
 it grants is not used at once everywhere."""
 
 
-class RateTerms(Record):
+class RateTolerance(Record):
     """Say by how much a workspace may exceed its rate in any window.
 
     In a window, (rate * window + burst) * (1 + overshoot) + slack operations may run.
@@ -43,20 +43,22 @@
 
     def start(self, workspace: Workspace, rate: float) -> float:
         """Return the operations that a host may grant as it begins to count."""
-        return START_SHARE * self.spare(workspace, rate)
+        return INITIAL_SLACK_FRACTION * self.spare(workspace, rate)
 
-    def most(self, workspace: Workspace, rate: float) -> float:
+    def burst_limit(self, workspace: Workspace, rate: float) -> float:
         """Return the operations that may be granted at once after a pause."""
-        extra = BURST_SHARE * self.spare(workspace, rate)
+        extra = BURST_SLACK_FRACTION * self.spare(workspace, rate)
         return max(workspace.burst + extra, self.start(workspace, rate), 1.0)
 
-    def grant_lasts(self, workspace: Workspace, rate: float) -> float:
+    def grant_seconds(self, workspace: Workspace, rate: float) -> float:
         """Return the seconds for which a grant may be used.
 
         What is granted in a window and used in the next one is beyond the rate there.
         """
-        return min(LONGEST_GRANT, GRANT_SHARE * self.spare(workspace, rate) / rate)
+        return min(
+            MAX_GRANT_SECONDS, GRANT_SLACK_FRACTION * self.spare(workspace, rate) / rate
+        )
 
 
-DEFAULT_TERMS: Final = RateTerms(5.0, 0.1, 20.0)
+DEFAULT_TOLERANCE: Final = RateTolerance(5.0, 0.1, 20.0)
 """Hold where the platform states nothing else."""
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -22,15 +22,15 @@
 from ..version.registry import RouteTable, TargetEntry
 from ..wire import Json
 from .announced.announcements import Announcements
-from .announced.capacities import Capacities, capacity
-from .announced.documents import Documents
-from .announced.freshness import Freshness
-from .announced.keyspace import Keyspace
-from .announced.news import NewsDesk, NewsSource
-from .announced.proving import Proving
-from .announced.registration import Registration
-from .announced.tables import TableDesk, TableSource
-from .announced.watch import StoreWatch
+from .announced.capacities import HostCapacities, capacity
+from .announced.documents import StoreValueParser
+from .announced.freshness import ConfigurationFreshness
+from .announced.keyspace import KeyValueStore
+from .announced.news import PeerUpdateSource, UpdateServer
+from .announced.proving import FreshnessProver
+from .announced.registration import HostRegistration
+from .announced.tables import RouteTableFetcher, RouteTableServer
+from .announced.watch import StoreWatcher
 from .callers import Callers
 from .desk import Desk
 from .events.timeline import Timeline
@@ -40,23 +40,23 @@
 from .fleet.rendezvous import kept, share
 from .histograms import HistogramMetrics
 from .hosting_settings import HostingSettings
-from .lead.book import LeadBook
-from .lead.claim import Claim, DeputyClaim, HolderClaim
-from .lead.deputies import Deputies
-from .lead.deputy import Deputy
-from .lead.duty import Duty, Promoter
-from .lead.lead import Lead
-from .lead.leads import Leads
-from .lead.others import OtherUsers
-from .lead.promotion import Promotion
-from .lead.ranking import Ranking
-from .lead.record import Holder, LeadRecord
-from .lead.states import TargetStates
-from .lead.vigil import Vigil
-from .lead.witness import Witnesses
+from .lead.book import PrimaryLeaseRegistry
+from .lead.claim import BackupHolderClaim, HolderClaim, LeaseClaim
+from .lead.deputies import BackupHolders
+from .lead.deputy import BackupHolder
+from .lead.duty import Promoter, PromotionCoordinator
+from .lead.lead import PrimaryLeaseHolder
+from .lead.leads import PrimaryLeaseManager
+from .lead.others import OtherHolders
+from .lead.promotion import PrimaryReplacement
+from .lead.ranking import LeaseHolderRanking
+from .lead.record import HostIncarnation, PrimaryLeaseRecord
+from .lead.states import TargetStatusClient
+from .lead.vigil import HolderFailureDetector
+from .lead.witness import IndirectProber
 from .network.heard_peers import HeardPeers
 from .partition import Partition
-from .rates.allowances import Allowances
+from .rates.allowances import WorkspaceRateLimiter
 from .rates.owner import RateOwner
 
 LIFE_BITS: Final = 48
@@ -94,8 +94,8 @@
         settings: HostingSettings,
         clock: Clock,
         random: Random,
-        keyspace: Keyspace,
-        documents: Documents,
+        keyspace: KeyValueStore,
+        documents: StoreValueParser,
         promoter: Promoter,
         driver: SessionTargetDriver,
         phrases: StatementDialect,
@@ -115,16 +115,16 @@
         self.decisions = decisions
         self.metrics = metrics
         self.me = HostRef(settings.host, settings.zone, settings.peer_listen)
-        self.holder = Holder(self.me, f"{random.getrandbits(LIFE_BITS):x}")
+        self.holder = HostIncarnation(self.me, f"{random.getrandbits(LIFE_BITS):x}")
         self.routes = PeerRoutes()
         self.leaving = False
         self.background = Background(decisions)
         self.announcements = Announcements(documents, clock, decisions)
-        self.freshness = Freshness(self.announcements, clock)
-        self.capacities = Capacities(self.announcements)
+        self.freshness = ConfigurationFreshness(self.announcements, clock)
+        self.capacities = HostCapacities(self.announcements)
         self.make_membership(timeline)
         self.make_news()
-        self.registration = Registration(
+        self.registration = HostRegistration(
             self.me,
             capacity(settings.cores, settings.link_mbps),
             keyspace,
@@ -149,9 +149,9 @@
 
     def make_news(self) -> None:
         """Make what learns from the store, and hands on what it has learned."""
-        self.news = NewsDesk(self.announcements, self.clock, self.freshness)
-        self.table_desk = TableDesk(self.announcements, self.clock)
-        self.tables = TableSource(
+        self.news = UpdateServer(self.announcements, self.clock, self.freshness)
+        self.table_desk = RouteTableServer(self.announcements, self.clock)
+        self.tables = RouteTableFetcher(
             self.me,
             self.peers,
             self.announcements,
@@ -160,18 +160,18 @@
             self.random,
             self.decisions,
         )
-        source = NewsSource(
+        source = PeerUpdateSource(
             self.me,
             lambda: self.directory.relays(self.me.zone),
             self.peers,
             self.announcements,
-            self.tables.heard,
+            self.tables.request_version,
             self.clock,
             self.random,
             self.decisions,
             self.freshness,
         )
-        self.watch = StoreWatch(
+        self.watch = StoreWatcher(
             self.keyspace,
             self.announcements,
             source,
@@ -179,7 +179,7 @@
             self.random,
             self.freshness,
         )
-        self.proving = Proving(
+        self.proving = FreshnessProver(
             self.keyspace,
             self.announcements,
             self.freshness,
@@ -194,8 +194,8 @@
     def make_leads(self) -> None:
         """Make what holds and passes on the leads of services."""
         table = self.membership.table
-        self.book = LeadBook(self.announcements, self.decisions)
-        self.duty = Duty(
+        self.book = PrimaryLeaseRegistry(self.announcements, self.decisions)
+        self.duty = PromotionCoordinator(
             self.holder,
             self.keyspace,
             self.promoter,
@@ -204,11 +204,11 @@
             self.clock,
             self.decisions,
         )
-        self.states = TargetStates(self.announcements, self.driver)
-        self.witnesses = Witnesses(
+        self.states = TargetStatusClient(self.announcements, self.driver)
+        self.witnesses = IndirectProber(
             self.me, table, self.peers, self.announcements, self.states, self.random
         )
-        self.vigil = Vigil(
+        self.vigil = HolderFailureDetector(
             self.me, table, self.peers, self.clock, self.random, self.decisions
         )
         self.partition = Partition(
@@ -222,7 +222,7 @@
             self.random,
             self.decisions,
         )
-        self.ranking = Ranking(
+        self.ranking = LeaseHolderRanking(
             self.me,
             self.directory,
             self.announcements,
@@ -230,14 +230,14 @@
             self.vigil,
             self.capacities.is_weak,
         )
-        self.leads = Leads(
+        self.leads = PrimaryLeaseManager(
             self.holder,
             self.keyspace,
             self.announcements,
             self.book,
             table,
             self.ranking,
-            Deputies(self.holder, self.make_deputy, self.decisions),
+            BackupHolders(self.holder, self.make_deputy, self.decisions),
             self.witnesses,
             self.vigil,
             self.peers,
@@ -259,7 +259,7 @@
             self.clock,
             self.decisions,
         )
-        allowances = Allowances(
+        allowances = WorkspaceRateLimiter(
             self.rate_owner,
             self.peers,
             self.settings.rates,
@@ -310,7 +310,7 @@
             self.metrics,
         )
         self.callers = Callers(
-            self.holder.life,
+            self.holder.incarnation,
             self.steering,
             self.announcements,
             authorization,
@@ -331,13 +331,13 @@
         self.news.register(self.routes)
         self.table_desk.register(self.routes)
         self.hops.on_host_lost = self.host_lost
-        self.membership.on_version = self.tables.heard
+        self.membership.on_version = self.tables.request_version
         self.membership.on_answer = self.state_age
-        self.heartbeats.on_answer = self.freshness.read
+        self.heartbeats.on_answer = self.freshness.read_age
         self.heartbeats.on_replaced = self.rate_owner.reset
         self.announcements.on_table.append(self.configured)
-        self.announcements.on_news.append(self.learned)
-        self.announcements.on_reborn.append(self.replicas.forget_target)
+        self.announcements.on_update.append(self.learned)
+        self.announcements.on_restart.append(self.replicas.forget_target)
 
     def make_home(
         self,
@@ -363,16 +363,16 @@
             kept(connections),
         )
 
-    def make_lead(self, record: LeadRecord, asked: float) -> Lead:
+    def make_lead(self, record: PrimaryLeaseRecord, asked: float) -> PrimaryLeaseHolder:
         """Return a lead that this host has taken."""
         claim = self.claim(HolderClaim, record, asked)
-        others = OtherUsers(
+        others = OtherHolders(
             claim, self.ranking, self.vigil, self.peers, self.clock, self.decisions
         )
-        promotion = Promotion(
+        promotion = PrimaryReplacement(
             claim, others, self.states, self.duty, self.clock, self.decisions
         )
-        return Lead(
+        return PrimaryLeaseHolder(
             claim,
             others,
             promotion,
@@ -387,10 +387,10 @@
             self.decisions,
         )
 
-    def make_deputy(self, record: LeadRecord, asked: float) -> Deputy:
+    def make_deputy(self, record: PrimaryLeaseRecord, asked: float) -> BackupHolder:
         """Return what stands in for the holder of a lead."""
-        return Deputy(
-            self.claim(DeputyClaim, record, asked),
+        return BackupHolder(
+            self.claim(BackupHolderClaim, record, asked),
             self.announcements,
             self.states,
             self.make_home,
@@ -398,7 +398,9 @@
             self.decisions,
         )
 
-    def claim(self, kind: type[Claim], record: LeadRecord, asked: float) -> Claim:
+    def claim(
+        self, kind: type[LeaseClaim], record: PrimaryLeaseRecord, asked: float
+    ) -> LeaseClaim:
         """Return this host's place in a record."""
         return kind(
             record,
@@ -415,7 +417,10 @@
     async def start(self) -> None:
         """Begin to learn, to announce this host and to take leads."""
         self.decisions.note(
-            "start", zone=self.me.zone, life=self.holder.life, peers=self.me.address
+            "start",
+            zone=self.me.zone,
+            life=self.holder.incarnation,
+            peers=self.me.address,
         )
         for work in (
             self.watch.run(),
@@ -457,7 +462,7 @@
         """Have other hosts take the leads over."""
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT):
-                await self.leads.pass_all_on()
+                await self.leads.transfer_all()
         except TimeoutError:
             self.decisions.note("leads_not_passed_on", left=list(self.leads.held))
 
@@ -493,12 +498,12 @@
 
     def learned(self) -> None:
         """Have heartbeats look for hosts that announce themselves."""
-        if addresses := self.registration.take_fresh():
+        if addresses := self.registration.pop_new_addresses():
             self.heartbeats.greeter.offer(addresses)
 
     def state_age(self, answer: Json) -> None:
         """Say in the answer to a heartbeat how surely the version is the newest."""
-        self.freshness.state(answer, self.clock.elapsed())
+        self.freshness.add_age(answer, self.clock.elapsed())
 
     def configured(self, table: RouteTable) -> None:
         """State the version in force with the heartbeats."""
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -5,7 +5,7 @@
 from ..decisions import Decisions
 from ..metrics import Metrics
 from ..process.announced.announcements import Announcements
-from ..process.announced.freshness import Freshness
+from ..process.announced.freshness import ConfigurationFreshness
 from ..version.registry import Route
 from ..version.workspace import LONGEST_KEY, Workspace, key_digest, shown
 from .refusal import RefusalError, RefusalReason, not_run
@@ -33,7 +33,7 @@
     def __init__(
         self,
         announcements: Announcements,
-        freshness: Freshness,
+        freshness: ConfigurationFreshness,
         revocation_seconds: float | None,
         decisions: Decisions,
         metrics: Metrics,
--- a/src/reedhook/request/hop.py
+++ b/src/reedhook/request/hop.py
@@ -8,8 +8,8 @@
 from ..decisions import Decisions
 from ..peer import HostRef, PeerError
 from ..process.desk import END, WORK, Desk
-from ..process.lead.record import LeadRecord
-from ..process.lead.vigil import PATH as ALIVE
+from ..process.lead.record import PrimaryLeaseRecord
+from ..process.lead.vigil import ALIVE_PATH as ALIVE
 from ..process.network.heard_peers import HeardPeers
 from ..record import Record
 from ..wire import Json, WireError
@@ -107,13 +107,15 @@
         self.rate_limits = RemoteRateLimits(clock)
         self.on_host_lost: Callable[[HostRef], None] = lambda host: None
 
-    def acting_holder(self, record: LeadRecord, refused_by_backup: bool) -> HostRef:
+    def acting_holder(
+        self, record: PrimaryLeaseRecord, refused_by_backup: bool
+    ) -> HostRef:
         """Return the host that uses the primary: the holder, or its deputy.
 
         :param refused_by_backup: whether the deputy was asked for this
             statement and does not act.
         """
-        holder, deputy = record.holder.ref, record.deputy
+        holder, deputy = record.holder.ref, record.backup_holder
         if refused_by_backup or deputy is None or holder.host not in self.lost_since:
             return holder
         return holder if deputy.ref.host in self.lost_since else deputy.ref
--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replicas.py
@@ -9,7 +9,7 @@
 from ..peer import PeerError, Peers
 from ..process.announced.announcements import Announcements
 from ..process.desk import PROOF, Desk
-from ..process.lead.book import LeadBook
+from ..process.lead.book import PrimaryLeaseRegistry
 from ..record import Record
 from ..version.registry import Route, TargetEntry
 from ..wire import Json, WireError
@@ -70,7 +70,7 @@
         self,
         forwarder: StatementForwarder,
         local_handler: Desk,
-        lease_registry: LeadBook,
+        lease_registry: PrimaryLeaseRegistry,
         directory: Directory,
         peers: Peers,
         announcements: Announcements,
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/steering.py
@@ -8,7 +8,7 @@
 from ..decisions import Decisions
 from ..directory import Directory
 from ..peer import PeerError, Peers
-from ..process.lead.book import LeadBook
+from ..process.lead.book import PrimaryLeaseRegistry
 from ..process.lead.leads import RECORDS_PATH
 from ..version.registry import Route, RouteKind
 from ..wire import WireError
@@ -50,7 +50,7 @@
         self,
         forwarder: StatementForwarder,
         replica_reader: ReplicaReader,
-        lease_registry: LeadBook,
+        lease_registry: PrimaryLeaseRegistry,
         directory: Directory,
         peers: Peers,
         clock: Clock,
--- a/tests/fakes_keyspace.py
+++ b/tests/fakes_keyspace.py
@@ -12,14 +12,14 @@
 import asyncio
 
 from reedhook.process.announced.keyspace import (
-    Conflict,
-    Declined,
-    HistoryGone,
+    HistoryCompactedError,
     Item,
     Items,
-    Keyspace,
-    LeaseEnded,
-    Unanswered,
+    KeyValueStore,
+    RevisionConflictError,
+    StoreLeaseExpiredError,
+    StoreRejectedError,
+    StoreUnansweredError,
 )
 
 
@@ -73,9 +73,9 @@
         known = self.items.get(key)
         revision = 0 if known is None else known.revision
         if expected is not None and expected != revision:
-            raise Conflict(f"{key} is at {revision}")
+            raise RevisionConflictError(f"{key} is at {revision}")
         if lease and lease not in self.leases:
-            raise LeaseEnded(str(lease))
+            raise StoreLeaseExpiredError(str(lease))
         return self.write(key, value, lease)
 
     def forget(self) -> None:
@@ -100,7 +100,7 @@
             await asyncio.sleep(s)
             try:
                 self.put(key, value, expected, 0)
-            except Conflict:
+            except RevisionConflictError:
                 return
 
         task = asyncio.get_running_loop().create_task(put())
@@ -108,7 +108,7 @@
         task.add_done_callback(self.tasks.discard)
 
 
-class FakeKeyspace(Keyspace):
+class FakeKeyspace(KeyValueStore):
     """Reach a `FakeStore` as one host does."""
 
     def __init__(self, store: FakeStore, host: str) -> None:
@@ -120,14 +120,14 @@
         self.store.calls.append(method)
         if self.host in self.store.silent:
             await asyncio.sleep(timeout)
-            raise Unanswered("silent")
+            raise StoreUnansweredError("silent")
         delay = self.store.delay.get(self.host, 0.004)
         if delay > timeout:
             await asyncio.sleep(timeout)
-            raise Unanswered("slow")
+            raise StoreUnansweredError("slow")
         await asyncio.sleep(delay)
         if self.host in self.store.declining:
-            raise Declined("busy")
+            raise StoreRejectedError("busy")
 
     async def get(self, key: str, timeout: float) -> Item | None:
         await self.reach("get", timeout)
@@ -145,7 +145,7 @@
     ) -> Items:
         await self.reach("changes", hold + margin)
         if after < self.store.forgotten:
-            raise HistoryGone("forgotten")
+            raise HistoryCompactedError("forgotten")
         deadline = asyncio.get_running_loop().time() + hold
         watches = self.store.watches
         while True:
@@ -165,7 +165,7 @@
         if self.host in self.store.silent or watches != self.store.watches:
             late = deadline + margin - asyncio.get_running_loop().time()
             await asyncio.sleep(max(late, 0.0))
-            raise Unanswered("silent")
+            raise StoreUnansweredError("silent")
         return Items(found, self.store.revision)
 
     async def put(
@@ -181,25 +181,25 @@
         if later is not None:
             self.store.put_later(key, value, expected, later)
             await asyncio.sleep(timeout)
-            raise Unanswered("late")
+            raise StoreUnansweredError("late")
         revision = self.store.put(key, value, expected, lease)
         if self.host in self.store.losing:
             await asyncio.sleep(timeout)
-            raise Unanswered("the answer is lost")
+            raise StoreUnansweredError("the answer is lost")
         return revision
 
-    async def grant(self, seconds: float, timeout: float) -> int:
+    async def grant_lease(self, seconds: float, timeout: float) -> int:
         await self.reach("grant", timeout)
         lease = len(self.store.leases) + self.store.revision + 1000
         self.store.leases[lease] = set()
         return lease
 
-    async def keep(self, lease: int, timeout: float) -> None:
+    async def renew_lease(self, lease: int, timeout: float) -> None:
         await self.reach("keep", timeout)
         if lease not in self.store.leases:
-            raise LeaseEnded(str(lease))
+            raise StoreLeaseExpiredError(str(lease))
 
-    async def end(self, lease: int, timeout: float) -> None:
+    async def revoke_lease(self, lease: int, timeout: float) -> None:
         await self.reach("end", timeout)
         self.store.end_lease(lease)
 
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -16,7 +16,7 @@
 from reedhook.connection.state import SessionState
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.process.announced.documents import Documents
+from reedhook.process.announced.documents import StoreValueParser
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.histograms import HistogramMetrics
 from reedhook.process.hosting_settings import HostingSettings
@@ -59,7 +59,7 @@
 }
 
 
-class PlainDocuments(Documents):
+class PlainDocuments(StoreValueParser):
     """Read the documents that a world writes."""
 
     def is_table(self, key: str) -> bool:
@@ -219,7 +219,10 @@
         host = self.hosts.pop(name)
         self.network.crash(name)
         host.background.cancel()
-        for lead in [*host.leads.held.values(), *host.leads.deputies.found.values()]:
+        for lead in [
+            *host.leads.held.values(),
+            *host.leads.backup_holders.found.values(),
+        ]:
             lead.stop()
         for member in self.group.members.values():
             for connection in list(member.connections):
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -7,9 +7,13 @@
 
 from reedhook.decisions import Decisions
 from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import Freshness
+from reedhook.process.announced.freshness import ConfigurationFreshness
 from reedhook.process.announced.keyspace import Item, Items
-from reedhook.process.announced.watch import MARGIN, Source, StoreWatch
+from reedhook.process.announced.watch import (
+    HOLD_MARGIN_SECONDS,
+    StoreWatcher,
+    UpdateSource,
+)
 from reedhook.version.registry import TargetEntry
 from reedhook.wire import encode
 
@@ -30,25 +34,25 @@
 async def test_questions_end_in_time_and_apart(seed: int) -> None:
     clock = LoopClock()
     known = Announcements(PlainDocuments(), clock, Decisions("h1", clock, out=None))
-    watch = StoreWatch(
+    watch = StoreWatcher(
         FakeStore().client("h1"),
         known,
         Alone(),
         clock,
         Random(seed),
-        Freshness(known, clock),
+        ConfigurationFreshness(known, clock),
     )
     holds = [watch.hold() for _ in range(ASKED)]
     # Of a question that ends without a word, a version is in force in time, and a
     # target that leaves is left out.
-    assert max(holds) + MARGIN < IN_FORCE < LEFT_OUT
+    assert max(holds) + HOLD_MARGIN_SECONDS < IN_FORCE < LEFT_OUT
     assert max(holds) - min(holds) > IN_FORCE / 10
 
 
-class Alone(Source):
+class Alone(UpdateSource):
     """Leave a host to the store."""
 
-    async def follow(self) -> bool:
+    async def fetch_updates(self) -> bool:
         return False
 
 
@@ -78,14 +82,14 @@
         self.noted = Noted(clock)
         self.announcements = Announcements(PlainDocuments(), clock, self.noted)
         self.reborn: list[str] = []
-        self.announcements.on_reborn.append(lambda one: self.reborn.append(one.target))
+        self.announcements.on_restart.append(lambda one: self.reborn.append(one.target))
         self.revision = 0
 
     def hear(self, key: str, value: bytes | None) -> None:
         """Take over one change."""
         self.revision += 1
         item = Item(key, value, self.revision)
-        self.announcements.take(Items([item], self.revision))
+        self.announcements.apply_changes(Items([item], self.revision))
 
     def announce(self, one: TargetEntry) -> None:
         """Take over what a target announces."""
--- a/tests/test_capacities.py
+++ b/tests/test_capacities.py
@@ -3,8 +3,8 @@
 import pytest
 
 from reedhook.decisions import Decisions
-from reedhook.process.announced.announcements import HOSTS, Announcements
-from reedhook.process.announced.capacities import Capacities, capacity
+from reedhook.process.announced.announcements import HOSTS_KEY_PREFIX, Announcements
+from reedhook.process.announced.capacities import HostCapacities, capacity
 from reedhook.process.announced.keyspace import Item
 from reedhook.wire import encode
 
@@ -30,12 +30,12 @@
         clock,
         Decisions("h1", clock, out=None),
     )
-    capacities = Capacities(announcements)
+    capacities = HostCapacities(announcements)
     assert not capacities.is_weak("h1")
     values = {"h1": 0.5, "h2": 0.6, "h3": 1.1}
     for revision, (host, value) in enumerate(values.items(), 1):
         entry = encode({"capacity": value})
-        announcements.take_own(Item(HOSTS + host, entry, revision))
-    announcements.take_own(Item(HOSTS + "h4", b"{}", 9))
+        announcements.apply_host_item(Item(HOSTS_KEY_PREFIX + host, entry, revision))
+    announcements.apply_host_item(Item(HOSTS_KEY_PREFIX + "h4", b"{}", 9))
     weak = [host for host in ("h1", "h2", "h3", "h4") if capacities.is_weak(host)]
     assert weak == ["h1"]
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -80,7 +80,7 @@
     await asyncio.sleep(4.0)
     world.write_table(30)
     await asyncio.sleep(15.0)
-    reached = [one for one in world.hosts.values() if one.announcements.reached]
+    reached = [one for one in world.hosts.values() if one.announcements.store_reached]
     others = [one for one in world.hosts.values() if one.ref not in cut]
     if silent == "relays":
         assert world.lateness(world.version) < IN_FORCE
@@ -109,7 +109,7 @@
         world.store.write(f"reedhook/hosts/n{number}", b"{}")
     await asyncio.sleep(6.0)
     for host in world.hosts.values():
-        assert len(host.announcements.own) == 20
+        assert len(host.announcements.host_items) == 20
     for number in range(20):
         world.store.write(f"reedhook/hosts/n{number}", None)
     # The first deletion has answered the questions; those after it are forgotten.
@@ -117,7 +117,7 @@
     world.store.forget()
     await asyncio.sleep(8.0)
     for host in world.hosts.values():
-        assert host.announcements.own == {}
+        assert host.announcements.host_items == {}
     world.stop()
 
 
@@ -135,6 +135,6 @@
     world.store.calls.clear()
     await asyncio.sleep(5.0)
     for host in world.hosts.values():
-        assert "reedhook/hosts/new" in host.announcements.own
+        assert "reedhook/hosts/new" in host.announcements.host_items
     assert world.calls()["list"] <= 2 * len(relays)
     world.stop()
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,10 +9,10 @@
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef
 from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import Freshness
-from reedhook.process.announced.news import NewsDesk
-from reedhook.process.announced.proving import ALONE, Proving
-from reedhook.process.announced.watch import Source, StoreWatch
+from reedhook.process.announced.freshness import ConfigurationFreshness
+from reedhook.process.announced.news import UpdateServer
+from reedhook.process.announced.proving import FALLBACK_AGE_SECONDS, FreshnessProver
+from reedhook.process.announced.watch import StoreWatcher, UpdateSource
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.work import (
     SessionStatement,
@@ -40,8 +40,8 @@
         self.store = FakeStore()
         self.decisions = Decisions("h1", self.clock, out=None)
         self.announcements = Announcements(PlainDocuments(), self.clock, self.decisions)
-        self.freshness = Freshness(self.announcements, self.clock)
-        self.watch = StoreWatch(
+        self.freshness = ConfigurationFreshness(self.announcements, self.clock)
+        self.watch = StoreWatcher(
             self.store.client("h1"),
             self.announcements,
             Alone(),
@@ -52,7 +52,7 @@
 
     def put(self, version: int) -> None:
         """Put a version in force."""
-        self.announcements.take_table(self.value(version))
+        self.announcements.apply_table(self.value(version))
 
     def value(self, version: int) -> bytes:
         """Return a configuration with a workspace."""
@@ -60,13 +60,13 @@
             encode({"version": version, "routes": [], "workspaces": [FARM]})
         )
 
-    def proving(self, first: HostRef = ME) -> Proving:
+    def proving(self, first: HostRef = ME) -> FreshnessProver:
         """Return what has the configuration proved; other hosts say nothing."""
 
         async def silent(ref: HostRef) -> bool:
             return False
 
-        return Proving(
+        return FreshnessProver(
             self.store.client("h1"),
             self.announcements,
             self.freshness,
@@ -79,10 +79,10 @@
         )
 
 
-class Alone(Source):
+class Alone(UpdateSource):
     """Leave a host to the store."""
 
-    async def follow(self) -> bool:
+    async def fetch_updates(self) -> bool:
         return False
 
 
@@ -91,7 +91,7 @@
     known = Known()
     assert known.freshness.age() == float("inf")
     answer: Json = {}
-    known.freshness.state(answer, known.clock.elapsed())
+    known.freshness.add_age(answer, known.clock.elapsed())
     assert answer == {}
 
 
@@ -100,7 +100,7 @@
     known = Known()
     known.put(2)
     await asyncio.sleep(1.0)
-    known.freshness.read({"a": 0}, 3, known.clock.elapsed(), "h2")
+    known.freshness.read_age({"a": 0}, 3, known.clock.elapsed(), "h2")
     assert known.freshness.age() == float("inf")
     await asyncio.sleep(1.0)
     known.put(3)
@@ -114,7 +114,7 @@
     known.put(2)
     asked = known.clock.elapsed()
     await asyncio.sleep(3.0)
-    known.freshness.read({"a": 500}, 2, asked, "h2")
+    known.freshness.read_age({"a": 500}, 2, asked, "h2")
     assert known.freshness.age() == pytest.approx(3.5)
 
 
@@ -123,8 +123,8 @@
     known = Known()
     known.put(2)
     await asyncio.sleep(9.0)
-    known.freshness.read({"a": 100}, 2, known.clock.elapsed(), "h2")
-    known.freshness.read({"a": 4000}, 2, known.clock.elapsed(), "h3")
+    known.freshness.read_age({"a": 100}, 2, known.clock.elapsed(), "h2")
+    known.freshness.read_age({"a": 4000}, 2, known.clock.elapsed(), "h3")
     assert known.freshness.age() == pytest.approx(0.1)
     assert known.freshness.source == "h2"
 
@@ -136,7 +136,7 @@
     known.put(2)
     await asyncio.sleep(1.0)
     try:
-        known.freshness.read({"a": age}, 2, known.clock.elapsed(), "h2")
+        known.freshness.read_age({"a": age}, 2, known.clock.elapsed(), "h2")
     except WireError:
         assert known.freshness.age() == float("inf")
     assert known.freshness.age() >= 0.0
@@ -159,30 +159,30 @@
 async def test_an_answer_that_may_be_a_part_proves_nothing() -> None:
     known = Known()
     await known.watch.read_all()
-    proved = known.freshness.proved_at
+    proved = known.freshness.as_of
     await asyncio.sleep(1.0)
     for index in range(150):
         known.store.write(f"x{index}", b"1")
     await known.watch.follow_store()
-    assert known.freshness.proved_at == proved
+    assert known.freshness.as_of == proved
 
 
 @in_virtual_time
 async def test_held_news_states_the_age_at_which_it_was_asked() -> None:
     known = Known()
     known.put(2)
-    desk = NewsDesk(known.announcements, known.clock, known.freshness)
+    desk = UpdateServer(known.announcements, known.clock, known.freshness)
     asked = known.clock.elapsed()
     question = asyncio.create_task(
-        desk.answer({"after": 0, "version": 2, "hold_ms": 2000})
+        desk.handle_request({"after": 0, "version": 2, "hold_ms": 2000})
     )
     await asyncio.sleep(1.5)
-    known.freshness.prove(known.clock.elapsed())
+    known.freshness.record_proof(known.clock.elapsed())
     answer = await question
     # Two seconds have passed; half a second ago all was known.
     other = Known()
     other.put(2)
-    other.freshness.read(answer, answer["version"], asked, "h1")
+    other.freshness.read_age(answer, answer["version"], asked, "h1")
     assert other.freshness.age() == pytest.approx(0.5, abs=0.01)
 
 
@@ -191,15 +191,15 @@
     known = Known()
     known.store.write(TABLE_KEY, known.value(1))
     await known.watch.read_all()
-    proved = known.freshness.proved_at
+    proved = known.freshness.as_of
     await asyncio.sleep(1.0)
     known.store.write(TABLE_KEY, known.value(2))
     proving = known.proving()
-    await proving.ask()
+    await proving.query()
     # The store is ahead: the change is not known here.
-    assert known.freshness.proved_at == proved
+    assert known.freshness.as_of == proved
     await known.watch.follow_store()
-    proving.settle()
+    proving.apply_awaited_proof()
     assert known.freshness.age() < 1.0
 
 
@@ -214,8 +214,8 @@
         await asyncio.sleep(0.1)
         ages.append(known.freshness.age())
     task.cancel()
-    assert max(ages) < 2 * ALONE
-    assert known.store.calls.count("list") < 1 + 20.0 / ALONE + 1
+    assert max(ages) < 2 * FALLBACK_AGE_SECONDS
+    assert known.store.calls.count("list") < 1 + 20.0 / FALLBACK_AGE_SECONDS + 1
 
 
 @in_virtual_time
