--- a/tests/test_lead_claim.py
+++ b/tests/test_lead_claim.py
@@ -5,17 +5,17 @@
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef
 from reedhook.process.announced.announcements import Announcements
-from reedhook.process.lead.book import LeadBook
+from reedhook.process.lead.book import PrimaryLeaseRegistry
 from reedhook.process.lead.claim import HolderClaim
-from reedhook.process.lead.record import Holder, LeadRecord, lead_key
+from reedhook.process.lead.record import HostIncarnation, PrimaryLeaseRecord, lease_key
 from reedhook.version.registry import TargetEntry
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_keyspace import FakeStore
 from .session_world import PlainDocuments
 
-ME = Holder(HostRef("h1", "z1", "10.0.0.1:1"), "a")
-DEPUTY = Holder(HostRef("h2", "z2", "10.0.0.2:1"), "b")
+ME = HostIncarnation(HostRef("h1", "z1", "10.0.0.1:1"), "a")
+DEPUTY = HostIncarnation(HostRef("h2", "z2", "10.0.0.2:1"), "b")
 
 
 def claim_at(store: FakeStore) -> HolderClaim:
@@ -23,12 +23,18 @@
     clock = LoopClock()
     decisions = Decisions("h1", clock, out=None)
     keyspace = store.client("h1")
-    record = LeadRecord("db", ME, None, [], True, "m1", 3, "", 0)
-    revision = store.write(lead_key("db"), record.encoded())
+    record = PrimaryLeaseRecord("db", ME, None, [], True, "m1", 3, "", 0)
+    revision = store.write(lease_key("db"), record.encoded())
     announcements = Announcements(PlainDocuments(), clock, decisions)
-    book = LeadBook(announcements, decisions)
+    book = PrimaryLeaseRegistry(announcements, decisions)
     return HolderClaim(
-        record.at(revision), clock.elapsed(), ME, keyspace, book, clock, decisions
+        record.with_revision(revision),
+        clock.elapsed(),
+        ME,
+        keyspace,
+        book,
+        clock,
+        decisions,
     )
 
 
@@ -37,9 +43,9 @@
     return TargetEntry(target, "db", "10.0.0.9:1", "z1", False, False, 7, 2, 1)
 
 
-def stored(store: FakeStore) -> LeadRecord:
+def stored(store: FakeStore) -> PrimaryLeaseRecord:
     """Return the record that stands in the store."""
-    return LeadRecord.from_item(store.items[lead_key("db")])
+    return PrimaryLeaseRecord.from_item(store.items[lease_key("db")])
 
 
 @in_virtual_time
@@ -48,15 +54,15 @@
     store = FakeStore()
     claim = claim_at(store)
     store.late["h1"] = 2.0
-    assert not await claim.write(claim.record.with_deputy(DEPUTY))
+    assert not await claim.write(claim.record.with_backup_holder(DEPUTY))
     store.late.clear()
     await asyncio.sleep(3.0)
-    assert stored(store).deputy == DEPUTY
+    assert stored(store).backup_holder == DEPUTY
     record = claim.record
     assert not await claim.write(record.with_successor(entry_of("m2")))
     assert await claim.write(claim.record.with_successor(entry_of("m2")))
     found = stored(store)
-    assert found.deputy == DEPUTY or DEPUTY in found.former
+    assert found.backup_holder == DEPUTY or DEPUTY in found.former
 
 
 @in_virtual_time
@@ -64,7 +70,7 @@
     store = FakeStore()
     claim = claim_at(store)
     store.late["h1"] = 2.0
-    assert not await claim.write(claim.record.with_deputy(DEPUTY))
+    assert not await claim.write(claim.record.with_backup_holder(DEPUTY))
     store.late.clear()
     await asyncio.sleep(3.0)
     claim.record = claim.record.with_primary(entry_of("m2"), 4)
@@ -72,8 +78,8 @@
     assert not await claim.write(claim.record)
     assert await claim.write(claim.record)
     found = stored(store)
-    assert (found.primary, found.term, found.deputy) == ("m2", 4, DEPUTY)
-    assert found.born == entry_of("m2").born
+    assert (found.primary, found.term, found.backup_holder) == ("m2", 4, DEPUTY)
+    assert found.primary_started_at_ms == entry_of("m2").born
 
 
 @in_virtual_time
@@ -81,7 +87,7 @@
     store = FakeStore()
     claim = claim_at(store)
     store.losing.add("h1")
-    assert await claim.write(claim.record.with_deputy(DEPUTY))
+    assert await claim.write(claim.record.with_backup_holder(DEPUTY))
     assert claim.record == stored(store)
 
 
@@ -89,8 +95,8 @@
 async def test_a_permission_that_was_given_up_is_not_renewed_by_a_look() -> None:
     store = FakeStore()
     claim = claim_at(store)
-    looking = asyncio.create_task(claim.look())
+    looking = asyncio.create_task(claim.refresh())
     await asyncio.sleep(0.001)
-    claim.tenure.end()
+    claim.validity.revoke()
     assert await looking
-    assert not claim.tenure.valid
+    assert not claim.validity.valid
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -6,13 +6,13 @@
 from hypothesis import given, strategies as st
 
 from reedhook.process.announced import mirror as module
-from reedhook.process.announced.keyspace import HistoryGone, Item, Items
-from reedhook.process.announced.mirror import Mirror
+from reedhook.process.announced.keyspace import HistoryCompactedError, Item, Items
+from reedhook.process.announced.mirror import StoreMirror
 
 CHANGES = st.lists(st.tuples(st.sampled_from("abcd"), st.booleans()), max_size=30)
 
 
-def items_of(mirror: Mirror) -> dict[str, bytes | None]:
+def items_of(mirror: StoreMirror) -> dict[str, bytes | None]:
     """Return the values that a mirror holds."""
     return {key: item.value for key, item in mirror.items.items()}
 
@@ -21,32 +21,32 @@
 def test_who_follows_holds_the_same(
     changes: list[tuple[str, bool]], first: int, again: int
 ) -> None:
-    relay, follower = Mirror(), Mirror()
+    relay, follower = StoreMirror(), StoreMirror()
     for revision, (key, kept) in enumerate(changes, 2):
         value = b"%d" % revision if kept else None
-        relay.take(Items([Item(key, value, revision)], revision))
+        relay.apply(Items([Item(key, value, revision)], revision))
         if revision in (first, again):
             follow(follower, relay)
     follow(follower, relay)
     assert items_of(follower) == items_of(relay)
 
 
-def follow(follower: Mirror, relay: Mirror) -> None:
+def follow(follower: StoreMirror, relay: StoreMirror) -> None:
     """Learn what is new, as hosts do from each other."""
     try:
-        follower.take(Items(relay.changes(follower.at), relay.at))
-    except HistoryGone:
-        follower.take(Items(relay.written(follower.at), relay.at))
-        follower.take(Items(follower.missing(set(relay.items)), relay.at))
+        follower.apply(Items(relay.changes(follower.revision), relay.revision))
+    except HistoryCompactedError:
+        follower.apply(Items(relay.written(follower.revision), relay.revision))
+        follower.apply(Items(follower.missing(set(relay.items)), relay.revision))
 
 
 def test_an_older_state_is_no_news() -> None:
-    mirror = Mirror()
-    assert mirror.take(Items([Item("a", b"2", 5)], 5))
-    assert not mirror.take(Items([Item("a", b"1", 4)], 6))
-    assert not mirror.take(Items([Item("a", None, 5)], 6))
-    assert mirror.take(Items([Item("a", None, 7)], 7))
-    assert not mirror.take(Items([Item("a", b"1", 6)], 7))
+    mirror = StoreMirror()
+    assert mirror.apply(Items([Item("a", b"2", 5)], 5))
+    assert not mirror.apply(Items([Item("a", b"1", 4)], 6))
+    assert not mirror.apply(Items([Item("a", None, 5)], 6))
+    assert mirror.apply(Items([Item("a", None, 7)], 7))
+    assert not mirror.apply(Items([Item("a", b"1", 6)], 7))
     assert items_of(mirror) == {}
 
 
@@ -54,21 +54,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(module, "KEPT_DELETIONS", 2)
-    mirror = Mirror()
-    mirror.take(Items([Item(key, b"v", 2) for key in "abcd"], 2))
+    mirror = StoreMirror()
+    mirror.apply(Items([Item(key, b"v", 2) for key in "abcd"], 2))
     for revision, key in enumerate("abc", 3):
-        mirror.take(Items([Item(key, None, revision)], revision))
+        mirror.apply(Items([Item(key, None, revision)], revision))
     assert [item.key for item in mirror.changes(3)] == ["b", "c"]
-    with pytest.raises(HistoryGone):
+    with pytest.raises(HistoryCompactedError):
         mirror.changes(2)
 
 
-@pytest.mark.parametrize("read", [Mirror.written, Mirror.changes])
+@pytest.mark.parametrize("read", [StoreMirror.written, StoreMirror.changes])
 def test_nothing_is_new_after_the_newest(
-    read: Callable[[Mirror, int], list[Item]],
+    read: Callable[[StoreMirror, int], list[Item]],
 ) -> None:
-    mirror = Mirror()
-    mirror.take(Items([Item("a", b"v", 2), Item("b", None, 3)], 3))
+    mirror = StoreMirror()
+    mirror.apply(Items([Item("a", b"v", 2), Item("b", None, 3)], 3))
     assert read(mirror, 3) == []
     assert not mirror.changed_after(3)
     assert mirror.changed_after(2)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -15,7 +15,7 @@
     read_position,
     write_position,
 )
-from reedhook.process.rates.terms import DEFAULT_TERMS, RateTerms
+from reedhook.process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
 from reedhook.request.command import SessionCommandKind
 from reedhook.request.position import Position
 from reedhook.version.registry import RouteKind, TargetEntry
@@ -267,14 +267,14 @@
 def test_bounds_of_keys_and_rates_are_read() -> None:
     settings = read(SETTINGS)
     assert settings.revoke is None
-    assert settings.rates == DEFAULT_TERMS
+    assert settings.rates == DEFAULT_TOLERANCE
     bounds = (
         "bounds.strict_revoke=true\nbounds.revoke_ms=4000\n"
         "bounds.quota_window_s=10\nbounds.quota_overshoot=0.2\nbounds.quota_slack=5\n"
     )
     settings = read(SETTINGS + bounds)
     assert settings.revoke == 4.0
-    assert settings.rates == RateTerms(10.0, 0.2, 5.0)
+    assert settings.rates == RateTolerance(10.0, 0.2, 5.0)
     assert read(SETTINGS + bounds.replace("true", "false")).revoke is None
 
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -8,11 +8,11 @@
 from reedhook.clock import SystemClock
 from reedhook.platform.store import PlatformStore
 from reedhook.process.announced.keyspace import (
-    Conflict,
-    Declined,
-    HistoryGone,
-    LeaseEnded,
-    Unanswered,
+    HistoryCompactedError,
+    RevisionConflictError,
+    StoreLeaseExpiredError,
+    StoreRejectedError,
+    StoreUnansweredError,
 )
 from reedhook_standins.keyvalue import KeyValueStandIn
 
@@ -44,7 +44,7 @@
         item = await store.get("a", TIMEOUT)
         assert item is not None
         assert (item.value, item.revision) == (b"1", revision)
-        with pytest.raises(Conflict):
+        with pytest.raises(RevisionConflictError):
             await store.put("a", b"2", 0, TIMEOUT)
         await store.put("a", b"3", None, TIMEOUT)
 
@@ -57,7 +57,7 @@
             stand_in.write(f"k{number}", b"v")
         found = await store.list("k", TIMEOUT)
         assert [item.key for item in found.items] == ["k0", "k1", "k2", "k3", "k4"]
-        assert found.at == stand_in.revision
+        assert found.revision == stand_in.revision
 
     with_store(test)
 
@@ -80,7 +80,7 @@
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.write("a", b"1")
         stand_in.forget()
-        with pytest.raises(HistoryGone):
+        with pytest.raises(HistoryCompactedError):
             await store.changes("", 0, TIMEOUT, TIMEOUT)
 
     with_store(test)
@@ -88,14 +88,14 @@
 
 def test_leases_are_granted_kept_and_ended() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
-        lease = await store.grant(5.0, TIMEOUT)
+        lease = await store.grant_lease(5.0, TIMEOUT)
         await store.put("a", b"1", None, TIMEOUT, lease)
-        await store.keep(lease, TIMEOUT)
-        await store.end(lease, TIMEOUT)
+        await store.renew_lease(lease, TIMEOUT)
+        await store.revoke_lease(lease, TIMEOUT)
         assert await store.get("a", TIMEOUT) is None
-        with pytest.raises(LeaseEnded):
-            await store.keep(lease, TIMEOUT)
-        with pytest.raises(LeaseEnded):
+        with pytest.raises(StoreLeaseExpiredError):
+            await store.renew_lease(lease, TIMEOUT)
+        with pytest.raises(StoreLeaseExpiredError):
             await store.put("a", b"1", None, TIMEOUT, lease)
 
     with_store(test)
@@ -105,9 +105,9 @@
 def test_a_call_that_is_turned_away_has_done_nothing(status: int) -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.status = status
-        with pytest.raises(Declined):
+        with pytest.raises(StoreRejectedError):
             await store.put("a", b"1", None, TIMEOUT)
-        with pytest.raises(Declined):
+        with pytest.raises(StoreRejectedError):
             await store.changes("", 0, TIMEOUT, TIMEOUT)
 
     with_store(test)
@@ -116,10 +116,10 @@
 def test_silence_and_refused_connections_leave_a_call_unanswered() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.silent = True
-        with pytest.raises(Unanswered):
+        with pytest.raises(StoreUnansweredError):
             await store.get("a", 0.05)
         store.move("127.0.0.1:9")
-        with pytest.raises(Unanswered):
+        with pytest.raises(StoreUnansweredError):
             await store.get("a", TIMEOUT)
 
     with_store(test)
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -17,11 +17,11 @@
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import Freshness
+from reedhook.process.announced.freshness import ConfigurationFreshness
 from reedhook.process.fleet.rendezvous import ranked_hosts
-from reedhook.process.rates.allowances import Allowances
-from reedhook.process.rates.owner import Ask, RateOwner
-from reedhook.process.rates.terms import DEFAULT_TERMS
+from reedhook.process.rates.allowances import WorkspaceRateLimiter
+from reedhook.process.rates.owner import GrantRequest, RateOwner
+from reedhook.process.rates.terms import DEFAULT_TOLERANCE
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.version.workspace import Workspace, Workspaces
 
@@ -70,7 +70,7 @@
         clock = world.network.clock(ref.host)
         decisions = Decisions(ref.host, clock, out=None)
         announcements = Announcements(PlainDocuments(), clock, decisions)
-        self.freshness = Freshness(announcements, clock)
+        self.freshness = ConfigurationFreshness(announcements, clock)
         self.directory = FixedDirectory(ref, world.refs)
         self.cut_off = False
         self.doubted: list[str] = []
@@ -83,13 +83,13 @@
             lambda: self.cut_off,
             lambda: 2 * len(self.directory.lost) < len(world.refs),
             self.doubted.append,
-            DEFAULT_TERMS,
+            DEFAULT_TOLERANCE,
             clock,
             decisions,
         )
         self.owner.register(routes)
-        self.allowances = Allowances(
-            self.owner, peers, DEFAULT_TERMS, clock, decisions, MemoryMetrics()
+        self.allowances = WorkspaceRateLimiter(
+            self.owner, peers, DEFAULT_TOLERANCE, clock, decisions, MemoryMetrics()
         )
 
 
@@ -118,7 +118,7 @@
         """Let the configuration of all hosts be proved."""
         self.begun = asyncio.get_running_loop().time()
         for host in self.hosts:
-            host.freshness.prove(1e9)
+            host.freshness.record_proof(1e9)
 
     async def arrive(self, name: str, home: CountingHost) -> None:
         """Bring an operation to a home."""
@@ -161,7 +161,7 @@
 
 def bound(workspace: Workspace) -> float:
     """Return the operations that may run in any window."""
-    terms = DEFAULT_TERMS
+    terms = DEFAULT_TOLERANCE
     assert workspace.rate is not None
     allowed = workspace.rate * terms.window + workspace.burst
     return allowed * (1 + terms.overshoot) + terms.slack
@@ -172,7 +172,7 @@
     times = sorted(times)
     first, most = 0, 0
     for index, at in enumerate(times):
-        while at - times[first] > DEFAULT_TERMS.window:
+        while at - times[first] > DEFAULT_TOLERANCE.window:
             first += 1
         most = max(most, index - first + 1)
     return most
@@ -268,7 +268,7 @@
                     host.directory.lost = {first.host}
                 index = int(first.host[1:])
                 again = CountingHost(world, first)
-                again.freshness.prove(1e9)
+                again.freshness.record_proof(1e9)
                 world.hosts[index] = again
                 if index < len(world.homes):
                     world.homes[index] = again
@@ -326,7 +326,7 @@
                 for index, host in enumerate(world.hosts):
                     world.network.crash(host.ref.host)
                     again = CountingHost(world, host.ref)
-                    again.freshness.prove(1e9)
+                    again.freshness.record_proof(1e9)
                     world.hosts[index] = again
                 world.homes[:] = world.hosts[: len(world.homes)]
 
@@ -347,7 +347,7 @@
     world.workspaces = Workspaces([Workspace("w0", frozenset(), 1, 5.0, 5.0)])
     sunk = asyncio.get_running_loop().time()
     await load
-    late = [at for at in world.ran["w0"] if at > sunk + DEFAULT_TERMS.window]
+    late = [at for at in world.ran["w0"] if at > sunk + DEFAULT_TOLERANCE.window]
     assert most_in_window(late) <= bound(world.workspaces.by_name["w0"])
     # It takes effect at once: portions are small.
     soon = [at for at in world.ran["w0"] if at > sunk + 1.0]
@@ -373,13 +373,13 @@
     first = world.hosts[0].owner.first("w0")
     assert first is not None
     host = next(one for one in world.hosts if one.ref == first)
-    granted = host.owner.grant(Ask("w0", 1000)).count
-    host.freshness.proved_at = asyncio.get_running_loop().time()
+    granted = host.owner.grant(GrantRequest("w0", 1000)).count
+    host.freshness.as_of = asyncio.get_running_loop().time()
     # Neither the store is heard of, nor most of the hosts.
     host.directory.lost = {ref.host for ref in world.refs[:8]} - {first.host}
     await asyncio.sleep(5.0)
-    granted = host.owner.grant(Ask("w0", 1000)).count
-    assert granted <= DEFAULT_TERMS.spare(world.workspaces.by_name["w0"], 100.0)
+    granted = host.owner.grant(GrantRequest("w0", 1000)).count
+    assert granted <= DEFAULT_TOLERANCE.spare(world.workspaces.by_name["w0"], 100.0)
 
 
 @in_virtual_time
@@ -387,7 +387,7 @@
     """The pattern: all hosts live, and none has heard of the store for 4 s."""
     world = RateWorld(unequal(20, 400.0), hosts=24)
     for host in world.hosts:
-        host.freshness.proved_at = asyncio.get_running_loop().time() - 4.0
+        host.freshness.as_of = asyncio.get_running_loop().time() - 4.0
     rng = random.Random(1)
     loads = [
         world.load(name, usual(one), 5.0, random.Random(rng.random()))
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -10,7 +10,7 @@
 from reedhook.connection.member import StatementFault
 from reedhook.connection.state import SessionState
 from reedhook.peer import HostRef
-from reedhook.process.lead.record import Holder
+from reedhook.process.lead.record import HostIncarnation
 from reedhook.request.command import SessionCommandKind
 from reedhook.request.hop import StatementLocation
 from reedhook.request.refusal import RefusalReason, not_run
@@ -550,7 +550,7 @@
 ) -> None:
     lead = world.leader().me.host
     other = next(ref.host for ref in world.refs if ref.host != lead)
-    assert await world.hosts[other].duty.take(None)
+    assert await world.hosts[other].duty.claim_role(None)
     await world.restart(other)
     await asyncio.sleep(4.0)
     caller = await world.caller(world.leader().me.host, "tickets")
@@ -617,9 +617,9 @@
     other.vigil.lost_at[lead.host] = other.clock.monotonic()
     record = other.book.get("db")
     assert record is not None
-    news = record.at(record.revision + 1)
-    news.holder = Holder(lead, "another life")
-    other.book.learn(news, "peer")
+    news = record.with_revision(record.revision + 1)
+    news.holder = HostIncarnation(lead, "another life")
+    other.book.update(news, "peer")
     assert not other.vigil.is_lost(lead)
 
 
@@ -740,7 +740,7 @@
     host = await world.start_host(ref)
     await asyncio.sleep(2.0)
     # It hears of a version that nobody can give it, and goes on asking.
-    host.tables.heard(world.refs[0], 99)
+    host.tables.request_version(world.refs[0], 99)
     await asyncio.sleep(0.1)
     await host.close()
     world.hosts.pop("h09")
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -128,13 +128,13 @@
     promotion = host.leads.held["db"].promotion
     ordered: list[str] = []
     chosen: list[str] = []
-    order = promotion.duty.order
+    order = promotion.coordinator.order
 
     async def late_order(service: str, target: str) -> object:
         ordered.append(target)
         return await order(service, target)
 
-    decide = promotion.decide
+    decide = promotion.decide_successor
 
     async def decide_and_lose(*arguments: object) -> bool:
         found = await decide(*arguments)  # type: ignore[arg-type]
@@ -144,8 +144,8 @@
             await asyncio.sleep(0.7)
         return found
 
-    promotion.duty.order = late_order  # type: ignore[assignment, method-assign]
-    promotion.decide = decide_and_lose  # type: ignore[assignment, method-assign]
+    promotion.coordinator.order = late_order  # type: ignore[assignment, method-assign]
+    promotion.decide_successor = decide_and_lose  # type: ignore[assignment, method-assign]
     world.group.primary.down = True
     caller = await world.caller("h00", "tickets")
     await first_success(caller, 20.0)
--- a/tests/thin_links.py
+++ b/tests/thin_links.py
@@ -16,11 +16,11 @@
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef, PeerError, PeerRoutes
 from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import Freshness
+from reedhook.process.announced.freshness import ConfigurationFreshness
 from reedhook.process.announced.keyspace import Items
-from reedhook.process.announced.news import NewsDesk, NewsSource
-from reedhook.process.announced.tables import TableDesk, TableSource
-from reedhook.process.announced.watch import StoreWatch
+from reedhook.process.announced.news import PeerUpdateSource, UpdateServer
+from reedhook.process.announced.tables import RouteTableFetcher, RouteTableServer
+from reedhook.process.announced.watch import StoreWatcher
 from reedhook.process.fleet.rendezvous import ranked_hosts
 from reedhook.version.registry import RouteTable
 from reedhook.wire import Json, decode, encode, reader
@@ -111,7 +111,7 @@
         asked = asyncio.get_running_loop().time()
         await self.link.carry(HEAD + sum(map(stored_size, found.items)))
         now = asyncio.get_running_loop().time()
-        return Items(found.items, found.at, now - asked)
+        return Items(found.items, found.revision, now - asked)
 
 
 def stored_size(item: object) -> int:
@@ -144,10 +144,10 @@
         self.in_force: dict[int, float] = {}
         self.announcements = Announcements(LongDocuments(), clock, decisions)
         self.announcements.on_table.append(self.put_in_force)
-        freshness = Freshness(self.announcements, clock)
-        NewsDesk(self.announcements, clock, freshness).register(self.routes)
-        TableDesk(self.announcements, clock).register(self.routes)
-        self.tables = TableSource(
+        freshness = ConfigurationFreshness(self.announcements, clock)
+        UpdateServer(self.announcements, clock, freshness).register(self.routes)
+        RouteTableServer(self.announcements, clock).register(self.routes)
+        self.tables = RouteTableFetcher(
             ref,
             self.peers,
             self.announcements,
@@ -156,12 +156,12 @@
             self.random,
             decisions,
         )
-        source = NewsSource(
+        source = PeerUpdateSource(
             ref,
             lambda: world.relays(ref.zone),
             self.peers,
             self.announcements,
-            self.tables.heard,
+            self.tables.request_version,
             clock,
             self.random,
             decisions,
@@ -169,7 +169,7 @@
         )
         down = world.network.link(world.network.down, ref.host)
         keyspace = ThinKeyspace(world.store, ref.host, down)
-        self.watch = StoreWatch(
+        self.watch = StoreWatcher(
             keyspace, self.announcements, source, clock, self.random, freshness
         )
         self.routes.add("beat", self.answer_beat)
@@ -203,7 +203,7 @@
         """Take note of a host's version."""
         self.versions[ref.host] = version
         if version > self.announcements.table.version:
-            self.tables.heard(ref, version)
+            self.tables.request_version(ref, version)
 
     async def beat(self) -> None:
         """Exchange versions with hosts of the zone."""
