--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -20,9 +20,9 @@
 
 from reedhook.process.worker import ThreadWorker
 from reedhook.version.catalog import Catalog
-from reedhook.version.check import check
-from reedhook.version.document import BASE_FILE, Documents, parse
-from reedhook.version.edition import Edition, make_edition
+from reedhook.version.check import validate_documents
+from reedhook.version.document import BASE_FILE, ConfigurationDocuments, parse_document
+from reedhook.version.edition import ConfigurationSnapshot, build_snapshot
 from reedhook.version.merge import merge_site
 from tests.config_fleet import Fleet, FleetHost
 from tests.fakes_clock import run_virtual
@@ -54,7 +54,7 @@
 """
 
 
-def large_documents(members: int) -> Documents:
+def large_documents(members: int) -> ConfigurationDocuments:
     """Return documents with so many members in groups of 3, over all sites."""
     lines = ["services:"]
     for service in range(SERVICES):
@@ -65,7 +65,7 @@
             lines += [member_line(group, one) for one in range(3)]
     lines += ["workspaces: {}", "limits: {queue: 64}", ""]
     overlays = {f"zone-{n}": f"limits: {{queue: {n + 1}}}\n" for n in range(SITES)}
-    return Documents("\n".join(lines), overlays)
+    return ConfigurationDocuments("\n".join(lines), overlays)
 
 
 def member_line(group: int, member: int) -> str:
@@ -78,39 +78,41 @@
 def edition_cost(members: int) -> dict[str, Any]:
     """Return what one edition of so many members costs."""
     edition = large_documents(members)
-    first = make_edition(edition, None, "one", "bench", "", 0.0)
+    first = build_snapshot(edition, None, "one", "bench", "", 0.0)
     text = edition.base.replace("10.0.9.1:17101", "10.9.9.9:17101")
-    changed = Documents(text, edition.overlays)
-    second = make_edition(changed, first.head, "two", "bench", "", 0.0)
-    base = parse(BASE_FILE, edition.base, [])
-    overlay = parse("overlay", edition.overlays["zone-1"], [])
+    changed = ConfigurationDocuments(text, edition.overlays)
+    second = build_snapshot(changed, first.manifest, "two", "bench", "", 0.0)
+    base = parse_document(BASE_FILE, edition.base, [])
+    overlay = parse_document("overlay", edition.overlays["zone-1"], [])
     return {
         "members": members,
         "text_bytes": len(edition.base),
-        "parts": len(first.head.parts),
+        "parts": len(first.manifest.parts),
         "packed_bytes": packed_size(first, 0),
-        "head_bytes": len(first.head.encode()),
+        "head_bytes": len(first.manifest.encode()),
         "changed_line_parts": fresh_parts(second),
         "changed_line_packed_bytes": packed_size(second, 1),
-        "check_all_sites_ms": cpu_ms(lambda: check(edition)),
-        "check_one_site_ms": cpu_ms(lambda: check(edition, only="zone-1")),
+        "check_all_sites_ms": cpu_ms(lambda: validate_documents(edition)),
+        "check_one_site_ms": cpu_ms(
+            lambda: validate_documents(edition, only_site="zone-1")
+        ),
         "merge_one_site_ms": cpu_ms(lambda: merge_site("zone-1", base, overlay)),
         "make_edition_ms": cpu_ms(
-            lambda: make_edition(changed, first.head, "two", "bench", "", 0.0)
+            lambda: build_snapshot(changed, first.manifest, "two", "bench", "", 0.0)
         ),
         "unpack_ms": cpu_ms(first.documents),
         "longest_block_of_loop_ms": longest_block_ms(edition),
     }
 
 
-def fresh_parts(edition: Edition) -> int:
+def fresh_parts(edition: ConfigurationSnapshot) -> int:
     """Return how many parts an edition adds."""
-    return sum(part.version == edition.version for part in edition.head.parts)
+    return sum(part.version == edition.version for part in edition.manifest.parts)
 
 
-def packed_size(edition: Edition, after: int) -> int:
+def packed_size(edition: ConfigurationSnapshot, after: int) -> int:
     """Return the packed size of the parts that came after a version."""
-    fresh = {part.digest for part in edition.head.parts if part.version > after}
+    fresh = {part.digest for part in edition.manifest.parts if part.version > after}
     return sum(len(edition.packed[digest]) for digest in fresh)
 
 
@@ -124,11 +126,13 @@
     return round(statistics.median(times) * 1000, 2)
 
 
-def longest_block_ms(edition: Documents) -> float:
+def longest_block_ms(edition: ConfigurationDocuments) -> float:
     """Return the longest pause of an event loop beside a check in a thread."""
 
     async def watch() -> float:
-        check_task = asyncio.create_task(ThreadWorker().run(check, edition))
+        check_task = asyncio.create_task(
+            ThreadWorker().run(validate_documents, edition)
+        )
         longest, last = 0.0, time.perf_counter()
         while not check_task.done():
             await asyncio.sleep(0)
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -21,7 +21,7 @@
 from reedhook.process.host import Host
 from reedhook.record import Record
 from reedhook.request.statement import Consistency
-from reedhook.version.document import Documents
+from reedhook.version.document import ConfigurationDocuments
 from reedhook.wire import Json
 from reedhook_standins.deployment import Deployment, credential
 from reedhook_standins.log import Change
@@ -225,7 +225,7 @@
     host = process.host
     assert isinstance(host, Host)
     if zone == ZONE:
-        documents = Documents(platform["base"], platform["overlays"])
+        documents = ConfigurationDocuments(platform["base"], platform["overlays"])
         await host.editor.apply(documents, 0, OPERATOR, "benchmark", "benchmark")
     await host.configuration.ready.wait()
     spare_collector()
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from reedhook.process.io_uring import forbid_io_uring
-from reedhook.version.document import Documents
+from reedhook.version.document import ConfigurationDocuments
 from reedhook_standins.deployment import Deployment
 from reedhook_standins.world import OPERATOR, World
 
@@ -47,7 +47,9 @@
     """Apply one edit; return the seconds from its acceptance on."""
     deployment = world.deployment
     deployment.base["limits"] = {"queue": 64 + number}
-    documents = Documents(deployment.base_text(), deployment.overlay_texts())
+    documents = ConfigurationDocuments(
+        deployment.base_text(), deployment.overlay_texts()
+    )
     editor = world.any_host().editor
     await editor.apply(documents, number, OPERATOR, "bench", f"bench-edit-{number}")
     began = world.clock.monotonic()
--- a/src/reedhook/connection/lanes.py
+++ b/src/reedhook/connection/lanes.py
@@ -8,7 +8,7 @@
 from ..clock import Clock
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
-from ..version.registry import TargetEntry
+from ..version.registry import TargetAnnouncement
 from .lane import PooledConnection, Waiter, is_granted, reset_cost
 from .member import (
     SessionTargetDataLossError,
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        entry: TargetEntry,
+        entry: TargetAnnouncement,
         driver: SessionTargetDriver,
         dialect: StatementDialect,
         max_in_use: int,
--- a/src/reedhook/connection/member.py
+++ b/src/reedhook/connection/member.py
@@ -6,7 +6,7 @@
 
 from ..record import Record
 from ..request.position import Position
-from ..version.registry import TargetEntry
+from ..version.registry import TargetAnnouncement
 from .state import SessionState
 
 
@@ -156,7 +156,7 @@
 
     @abstractmethod
     async def connect(
-        self, entry: TargetEntry, timeout: float, workspace: str = ""
+        self, entry: TargetAnnouncement, timeout: float, workspace: str = ""
     ) -> SessionTargetConnection:
         """Open a connection to the target and check that it is the one.
 
--- a/src/reedhook/connection/memberhome.py
+++ b/src/reedhook/connection/memberhome.py
@@ -8,7 +8,7 @@
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
 from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
-from ..version.registry import TargetEntry
+from ..version.registry import TargetAnnouncement
 from .homerefusals import (
     RETRY_MS,
     home_closed_refusal,
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        entry: TargetEntry,
+        entry: TargetAnnouncement,
         driver: SessionTargetDriver,
         dialect: StatementDialect,
         max_in_use: int,
--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -17,7 +17,7 @@
 from ..request.steering import SessionRouter
 from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
 from ..version.registry import Route
-from ..version.workspace import shown
+from ..version.workspace import short_digest
 from .lanes import PREPARED, VALUE
 from .member import SessionTargetReply, StatementFault
 from .state import SessionState
@@ -164,7 +164,7 @@
         kind = command.kind.value
         self.metrics.timing(f"statement.{kind}", seconds)
         limit = (
-            self.route.objective * SLOW_OBJECTIVE_FACTOR
+            self.route.latency_objective_seconds * SLOW_OBJECTIVE_FACTOR
             if self.route is not None
             else 1.0
         )
@@ -187,7 +187,7 @@
             database=self.database,
             service=None if self.route is None else self.route.service,
             workspace=self.workspace,
-            key=shown(self.key_digest),
+            key=short_digest(self.key_digest),
             cause=failure,
             verdict=verdict,
             detail=reply.detail if reply.refusal is None else reply.refusal.detail,
@@ -300,7 +300,7 @@
         route = table.routes.get(self.database)
         if route is None or route.public:
             return False
-        return table.workspaces.holder(self.key_digest) is None
+        return table.workspaces.find_by_digest(self.key_digest) is None
 
     def check_workspace(self, transaction: SessionTransaction) -> None:
         """Keep a transaction to the workspace that began it.
@@ -420,8 +420,8 @@
             kind=kind,
             id=id,
             text=command.text,
-            remaining=route.timeout,
-            soft_deadline_seconds=route.objective,
+            remaining=route.statement_timeout_seconds,
+            soft_deadline_seconds=route.latency_objective_seconds,
             database=route.database,
             priority=route.priority,
             workspace=self.workspace,
--- a/src/reedhook/connection/targethome.py
+++ b/src/reedhook/connection/targethome.py
@@ -138,7 +138,7 @@
         self.slots.refuse_waiting(refusal)
         self.transactions.permits.refuse_waiting(refusal)
         if not await self.wait_until_idle(grace):
-            log.warning("work on {} was cut after the grace", self.member.member)
+            log.warning("work on {} was cut after the grace", self.member.member_id)
             self.transactions.end_all(SHUTDOWN_DETAIL)
             self.calls.drop_all()
             await self.wait_until_idle(ABORT_TIMEOUT_SECONDS)
@@ -262,27 +262,27 @@
         """Take note of what a refusal of the target says of it."""
         if error.code == "leaving" and not self.leaving:
             self.leaving = True
-            self.timeline.record(EventKind.TARGET_LEAVING, self.member.member)
+            self.timeline.record(EventKind.TARGET_LEAVING, self.member.member_id)
 
     def handle_reachability_change(self, since: float | None) -> None:
         """Take note that the target became unreachable or answers again."""
         self.unreachable_since = since
         if since is None:
-            log.info("target {} answers again", self.member.member)
+            log.info("target {} answers again", self.member.member_id)
             return
-        log.warning("target {} answers nothing", self.member.member)
+        log.warning("target {} answers nothing", self.member.member_id)
         self.calls.drop_all()
         self.pool.suspect_idle()
 
     def handle_silent_connection(self) -> None:
         """Take note that a connection went silent though the target lives."""
-        log.info("a connection to {} went silent", self.member.member)
-        self.timeline.record(EventKind.CONNECTION_SILENT, self.member.member)
+        log.info("a connection to {} went silent", self.member.member_id)
+        self.timeline.record(EventKind.CONNECTION_SILENT, self.member.member_id)
         self.pool.suspect_idle()
 
     def handle_write_stall(self, since: float | None) -> None:
         """Take note that writes stay unanswered, or are answered again."""
-        member, group = self.member.member, self.group.name
+        member, group = self.member.member_id, self.group.name
         if since is None:
             self.timeline.record(EventKind.WRITES_ANSWERED, member, group=group)
             return
@@ -310,7 +310,7 @@
             return
         self.reported = now
         self.pool.close_unused()
-        name = f"target.{self.member.member}"
+        name = f"target.{self.member.member_id}"
         self.metrics.gauge(f"{name}.queued", self.slots.queued)
         self.metrics.gauge(f"{name}.busy", self.slots.busy)
         self.metrics.gauge(f"{name}.connections", self.pool.open)
--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -6,18 +6,18 @@
 from ..process.announced.documents import StoreValueParser
 from ..version.registry import (
     Route,
-    RouteKind,
+    RouteConsistency,
     RouteTable,
-    ServiceTerms,
-    TargetEntry,
+    ServiceLimits,
+    TargetAnnouncement,
 )
 from ..version.workspace import (
-    LONGEST_KEY,
+    MAX_KEY_CHARACTERS,
     Workspace,
     Workspaces,
-    checked_number,
-    checked_rate,
     key_digest,
+    sanitize_number,
+    sanitize_rate,
 )
 from ..wire import Json, WireError, decode, encode, reader, text, whole
 
@@ -25,9 +25,9 @@
 TARGET_PREFIX: Final = "servers/"
 
 KINDS: Final = {
-    "primary": RouteKind.PRIMARY,
-    "bounded_staleness": RouteKind.BOUNDED,
-    "own_writes": RouteKind.OWN_WRITES,
+    "primary": RouteConsistency.PRIMARY,
+    "bounded_staleness": RouteConsistency.BOUNDED,
+    "own_writes": RouteConsistency.OWN_WRITES,
 }
 LEAVING: Final = {"ready": False, "draining": True}
 CLAIMS_LEAD: Final = {"primary": True, "replica": False}
@@ -79,18 +79,18 @@
         database=message["host"],
         service=message["service"],
         kind=kind,
-        timeout=message["timeout_ms"] / MILLISECONDS,
-        objective=message["target_latency_ms"] / MILLISECONDS,
+        statement_timeout_seconds=message["timeout_ms"] / MILLISECONDS,
+        latency_objective_seconds=message["target_latency_ms"] / MILLISECONDS,
         priority=int(message.get("priority", 1)),
         max_age=None if max_age is None else max_age / MILLISECONDS,
         public=not keyed or message.get("public") is True,
     )
 
 
-def read_terms(message: Any) -> ServiceTerms:
+def read_terms(message: Any) -> ServiceLimits:
     """Read what the targets of a service bear."""
     connections = message.get("connection_limit", DEFAULT_CONNECTIONS)
-    return ServiceTerms(message["name"], int(connections))
+    return ServiceLimits(message["name"], int(connections))
 
 
 def read_workspaces(message: Any) -> list[Workspace]:
@@ -111,7 +111,7 @@
     name = message.get("name")
     if not isinstance(name, str) or not is_one_word(name):
         return None
-    rate = checked_rate(message.get("rate_per_s"))
+    rate = sanitize_rate(message.get("rate_per_s"))
     burst = message.get("burst")
     priority = message.get("priority")
     return Workspace(
@@ -119,7 +119,7 @@
         read_digests(message),
         priority if type(priority) is int else DEFAULT_PRIORITY,
         rate,
-        (rate or 0.0) if burst is None else checked_number(burst),
+        (rate or 0.0) if burst is None else sanitize_number(burst),
     )
 
 
@@ -136,7 +136,7 @@
 
 def is_key(key: object) -> bool:
     """Say whether callers can present it as a key."""
-    return isinstance(key, str) and 0 < len(key) <= LONGEST_KEY
+    return isinstance(key, str) and 0 < len(key) <= MAX_KEY_CHARACTERS
 
 
 @reader
@@ -156,7 +156,7 @@
 
 
 @reader
-def read_target(key: str, value: bytes) -> TargetEntry:
+def read_target(key: str, value: bytes) -> TargetAnnouncement:
     """Read what a target announces; its id is in the key only.
 
     Others may write there, so each field is looked at. `born` is unknown where
@@ -168,14 +168,14 @@
         raise WireError(f"{key} names no target")
     message = decode(value)
     split_address(text(message, "address"))
-    return TargetEntry(
+    return TargetAnnouncement(
         target=one_word(key[len(TARGET_PREFIX) :]),
         service=one_word(text(message, "service")),
         address=message["address"],
         zone=one_word(text(message, "zone")),
         leaving=LEAVING[message["state"]],
-        claims_lead=CLAIMS_LEAD[message["database_role"]],
-        born=read_born(message),
+        claims_primary=CLAIMS_LEAD[message["database_role"]],
+        started_at_ms=read_born(message),
         slots=read_slots(message),
         sequence=whole(message, "sequence"),
     )
@@ -230,5 +230,5 @@
     def read_table(self, value: bytes) -> RouteTable:
         return read_table(value)
 
-    def read_target(self, key: str, value: bytes) -> TargetEntry:
+    def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
         return read_target(key, value)
--- a/src/reedhook/platform/driver.py
+++ b/src/reedhook/platform/driver.py
@@ -19,7 +19,7 @@
 from ..connection.reset import reset_transport
 from ..connection.state import SessionState
 from ..request.position import ORIGIN, Position
-from ..version.registry import TargetEntry
+from ..version.registry import TargetAnnouncement
 from . import text
 from .line import LineError, LineReader, encoded
 
@@ -161,7 +161,7 @@
         self.host = host
 
     async def connect(
-        self, entry: TargetEntry, timeout: float, workspace: str = ""
+        self, entry: TargetAnnouncement, timeout: float, workspace: str = ""
     ) -> SessionTargetConnection:
         host, _, port = entry.address.rpartition(":")
         loop = asyncio.get_running_loop()
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -85,8 +85,8 @@
         """Return a group as it stands on the wire."""
         homes: dict[str, str | None] = {}
         for member in group.members:
-            home = self.source.home(member.member, member.zone)
-            homes[member.member] = None if home is None else home.host
+            home = self.source.home(member.member_id, member.zone)
+            homes[member.member_id] = None if home is None else home.host
         return group_json(group, view, homes, self.source.now())
 
     async def events(self, request: web.Request) -> web.Response:
@@ -150,7 +150,7 @@
 
     def names(self, group: str) -> frozenset[str]:
         """Return the names of a group and its targets."""
-        members = (member.member for member in self.group(group).members)
+        members = (member.member_id for member in self.group(group).members)
         return frozenset({group, *members})
 
 
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -7,9 +7,9 @@
 
 from ...request.api import respond
 from ...request.verdict import Verdict
-from ...version.document import Documents
-from ...version.edition import Head
-from ...version.fault import InvalidConfiguration
+from ...version.document import ConfigurationDocuments
+from ...version.edition import SnapshotManifest
+from ...version.fault import InvalidConfigurationError
 from ...wire import Json, WireError
 from ..configuring.editor import ConfigurationEditor
 from .admin import OPERATOR, Admin
@@ -74,7 +74,7 @@
         documents = documents_of(body, {"base", "overlays"})
         try:
             await self.editor.check(documents)
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             return respond_invalid(error)
         return respond(200, {"verdict": Verdict.DONE.value, "valid": True})
 
@@ -94,7 +94,7 @@
                 text_of(body, "comment"),
                 text_of(body, "edit_id"),
             )
-        except InvalidConfiguration as error:
+        except InvalidConfigurationError as error:
             return respond_invalid(error)
         log.notice("{} applied version {}.", operator, head.version)
         return respond(200, applied(head))
@@ -116,7 +116,7 @@
     ]
 
 
-def documents_of(body: Json, known: set[str]) -> Documents:
+def documents_of(body: Json, known: set[str]) -> ConfigurationDocuments:
     """Return the documents in a body.
 
     :raises Refusal: if the body has another form.
@@ -125,7 +125,7 @@
     if odd:
         raise bad(f"unknown field: {odd}")
     try:
-        return Documents.from_json(body)
+        return ConfigurationDocuments.from_json(body)
     except WireError as error:
         raise bad(str(error)) from error
 
@@ -141,12 +141,12 @@
     return value
 
 
-def applied(head: Head) -> Json:
+def applied(head: SnapshotManifest) -> Json:
     """Return the answer to an accepted edit."""
     return {"verdict": Verdict.DONE.value, "head": head.summary()}
 
 
-def respond_invalid(error: InvalidConfiguration) -> web.Response:
+def respond_invalid(error: InvalidConfigurationError) -> web.Response:
     """Return the response that names every fault; nothing was changed."""
     count = len(error.exceptions)
     message = {
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -133,13 +133,13 @@
 ) -> Iterable[Json]:
     """Give what is known of each member."""
     for member in group.members:
-        known = view.members.get(member.member)
+        known = view.members.get(member.member_id)
         line: Json = {
-            "member": member.member,
+            "member": member.member_id,
             "zone": member.zone,
             "address": member.address,
-            "home": homes.get(member.member),
-            "role": role_of(member.member, view),
+            "home": homes.get(member.member_id),
+            "role": role_of(member.member_id, view),
             "known": known is not None,
         }
         if known is not None:
--- a/src/reedhook/process/administration/hostsource.py
+++ b/src/reedhook/process/administration/hostsource.py
@@ -9,7 +9,7 @@
 from ...request.view import GroupView
 from ...request.views import GroupViewCache
 from ...version.catalog import Catalog, Group
-from ..configuring.configuration import ConfigurationKeeper
+from ..configuring.configuration import ConfigurationManager
 from ..events.timeline import Timeline
 from ..fleet.membership import Membership
 from ..groups.homes import LocalHomes
@@ -30,7 +30,7 @@
         self,
         timeline: Timeline,
         membership: Membership,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         homes: LocalHomes,
         views: GroupViewCache,
         api: Api,
@@ -83,7 +83,7 @@
         """Return the version that `host` last stated, or None."""
         if host == self.me.host:
             return self.configuration.version
-        return self.membership.versions.get(host)
+        return self.membership.configuration_versions.get(host)
 
     def others(self) -> list[HostRef]:
         return [
--- a/src/reedhook/process/announced/announcements.py
+++ b/src/reedhook/process/announced/announcements.py
@@ -6,7 +6,7 @@
 
 from ...clock import Clock
 from ...decisions import Decisions
-from ...version.registry import NO_ROUTES, RouteTable, TargetEntry
+from ...version.registry import EMPTY_ROUTE_TABLE, RouteTable, TargetAnnouncement
 from ...wire import WireError
 from .documents import StoreValueParser
 from .keyspace import Item, Items
@@ -51,10 +51,10 @@
         self.parser = parser
         self.clock = clock
         self.decisions = decisions
-        self.table = NO_ROUTES
+        self.table = EMPTY_ROUTE_TABLE
         self.table_value = b""
-        self.targets: dict[str, TargetEntry] = {}
-        self.missing: dict[str, TargetEntry] = {}
+        self.targets: dict[str, TargetAnnouncement] = {}
+        self.missing: dict[str, TargetAnnouncement] = {}
         self.missing_since: dict[str, float] = {}
         self.malformed: set[str] = set()
         self.host_items: dict[str, Item] = {}
@@ -66,7 +66,7 @@
         self.updated = asyncio.Event()
         self.on_table: list[Callable[[RouteTable], None]] = []
         self.on_targets: list[Callable[[], None]] = []
-        self.on_restart: list[Callable[[TargetEntry], None]] = []
+        self.on_restart: list[Callable[[TargetAnnouncement], None]] = []
         self.on_host_item: list[Callable[[Item], None]] = []
         self.on_update: list[Callable[[], None]] = []
 
@@ -125,7 +125,7 @@
                 others.append(item)
         return Items(others, found.revision)
 
-    def last_entry(self, target: str) -> TargetEntry | None:
+    def last_entry(self, target: str) -> TargetAnnouncement | None:
         """Return what a target announces, or announced last; None if never."""
         return self.targets.get(target) or self.missing.get(target)
 
@@ -210,32 +210,40 @@
         if known is not None and entry.is_older_than(known):
             # A write that was late, of a process that ended or went on since.
             self.decisions.note(
-                "target_entry_old", target=target, born=entry.born, known=known.born
+                "target_entry_old",
+                target=target,
+                born=entry.started_at_ms,
+                known=known.started_at_ms,
             )
             return
         before = self.targets.get(target)
         self.targets[target] = entry
         self.missing.pop(target, None)
         self.missing_since.pop(target, None)
-        if known is not None and not entry.is_life(known.born):
+        if known is not None and not entry.is_incarnation(known.started_at_ms):
             self.handle_restart(known, entry)
-        if entry.is_news_after(before):
+        if entry.differs_from(before):
             self.decisions.note(
                 "target",
                 target=target,
                 service=entry.service,
                 address=entry.address,
                 leaving=entry.leaving,
-                claims_lead=entry.claims_lead,
-                born=entry.born,
+                claims_lead=entry.claims_primary,
+                born=entry.started_at_ms,
                 revision=item.revision,
             )
             self.targets_changed()
 
-    def handle_restart(self, before: TargetEntry, entry: TargetEntry) -> None:
+    def handle_restart(
+        self, before: TargetAnnouncement, entry: TargetAnnouncement
+    ) -> None:
         """Tell that a target has started again and holds nothing of before."""
         self.decisions.note(
-            "target_reborn", target=entry.target, born=entry.born, before=before.born
+            "target_reborn",
+            target=entry.target,
+            born=entry.started_at_ms,
+            before=before.started_at_ms,
         )
         for callback in self.on_restart:
             callback(entry)
--- a/src/reedhook/process/announced/documents.py
+++ b/src/reedhook/process/announced/documents.py
@@ -2,7 +2,7 @@
 
 from abc import ABC, abstractmethod
 
-from ...version.registry import RouteTable, TargetEntry
+from ...version.registry import RouteTable, TargetAnnouncement
 
 
 class StoreValueParser(ABC):
@@ -37,7 +37,7 @@
         """
 
     @abstractmethod
-    def read_target(self, key: str, value: bytes) -> TargetEntry:
+    def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
         """Read what a target announces.
 
         :raises WireError: if it has another form.
--- a/src/reedhook/process/announced/tables.py
+++ b/src/reedhook/process/announced/tables.py
@@ -10,7 +10,7 @@
 from ...decisions import Decisions
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
 from ...request.refusal import RefusalError
-from ...version.delta import EMPTY, Delta, digest, pack, unpack
+from ...version.delta import EMPTY_DIGEST, Delta, apply_delta, digest, make_delta
 from ...version.registry import RouteTable
 from ...wire import Json, WireError, text, whole
 from .announcements import Announcements
@@ -58,7 +58,7 @@
     def __init__(self, announcements: Announcements, clock: Clock) -> None:
         self.announcements = announcements
         self.clock = clock
-        self.kept: dict[str, bytes] = {EMPTY: b""}
+        self.kept: dict[str, bytes] = {EMPTY_DIGEST: b""}
         self.packed: dict[str, Delta] = {}
         self.sending: dict[str, float] = {}
         announcements.on_table.append(self.keep)
@@ -87,7 +87,7 @@
         if version <= whole(body, "version"):
             return {"version": version}
         known, start = text(body, "digest"), whole(body, "start")
-        delta = self.difference(known if known in self.kept else EMPTY)
+        delta = self.difference(known if known in self.kept else EMPTY_DIGEST)
         size = len(delta.packed)
         end = start + MAX_PORTION_CHARACTERS
         if size > MAX_PORTION_CHARACTERS and not self.admits(
@@ -101,7 +101,7 @@
         """Return the difference from a configuration that is kept."""
         if known not in self.packed:
             value = self.announcements.table_value
-            self.packed[known] = pack(value, self.kept[known])
+            self.packed[known] = make_delta(value, self.kept[known])
         return self.packed[known]
 
     def admits(self, host: str, ends: bool) -> bool:
@@ -191,8 +191,8 @@
             delta = await self.collect(peer, before, digest(value))
             if delta is None:
                 return False
-            base = b"" if delta.base == EMPTY else value
-            self.announcements.apply_table(unpack(delta, base))
+            base = b"" if delta.base == EMPTY_DIGEST else value
+            self.announcements.apply_table(apply_delta(delta, base))
         except (PeerError, RefusalError, WireError) as error:
             self.decisions.note(
                 "configuration_unanswered",
--- a/src/reedhook/process/configuring/archive.py
+++ b/src/reedhook/process/configuring/archive.py
@@ -4,48 +4,60 @@
 from typing import Final
 
 from ...record import Record
-from ...version.edition import Edition, EditionError, Head, PartRef, unpack
-from .store import Entry, Store, StoreConflict, StoreError, StoreUnavailable
+from ...version.edition import (
+    ConfigurationSnapshot,
+    PartRef,
+    SnapshotError,
+    SnapshotManifest,
+    decompress_part,
+)
+from .store import (
+    Store,
+    StoreConflictError,
+    StoreEntry,
+    StoreError,
+    StoreUnavailableError,
+)
 
 HEAD_KEY: Final = "config/head"
 HISTORY_PREFIX: Final = "config/history/"
 PART_PREFIX: Final = "config/part/"
 KEPT_VERSIONS: Final = 200
 TRIMMED_PER_EDIT: Final = 4
-CALL_TIMEOUT: Final = 2.0
+CALL_TIMEOUT_SECONDS: Final = 2.0
 PARALLEL_CALLS: Final = 8
 
 
 class StoredHead(Record):
     """Carry the head with the revision of its key.
 
-    :param head: the head; None before the first edit.
+    :param manifest: the head; None before the first edit.
     :param revision: the revision of the key; 0 before the first edit.
     """
 
-    __slots__ = ("head", "revision")
+    __slots__ = ("manifest", "revision")
 
-    def __init__(self, head: Head | None, revision: int) -> None:
-        self.head = head
+    def __init__(self, manifest: SnapshotManifest | None, revision: int) -> None:
+        self.manifest = manifest
         self.revision = revision
 
     @property
     def version(self) -> int:
         """Return the version; 0 before the first edit."""
-        return 0 if self.head is None else self.head.version
+        return 0 if self.manifest is None else self.manifest.version
 
 
-def stored_head(entry: Entry | None) -> StoredHead:
+def stored_head(entry: StoreEntry | None) -> StoredHead:
     """Read the head from its entry.
 
     :raises EditionError: if it is damaged.
     """
     if entry is None:
         return StoredHead(None, 0)
-    return StoredHead(Head.decode(entry.value), entry.revision)
+    return StoredHead(SnapshotManifest.decode(entry.value), entry.revision)
 
 
-class Archive:
+class SnapshotRepository:
     """Read and write heads, history and parts; safety lies in the order.
 
     Parts are written first, then the copy of the former head, then the head.
@@ -59,24 +71,26 @@
         self.store = store
         self.limit = asyncio.Semaphore(PARALLEL_CALLS)
 
-    async def head(self) -> StoredHead:
+    async def read_head(self) -> StoredHead:
         """Return the head, which may be stale.
 
         :raises StoreUnavailable: if no answer came.
         :raises EditionError: if it is damaged.
         """
-        return stored_head(await self.store.get(HEAD_KEY, CALL_TIMEOUT))
+        return stored_head(await self.store.get(HEAD_KEY, CALL_TIMEOUT_SECONDS))
 
-    async def past_head(self, version: int) -> Head | None:
+    async def read_past_manifest(self, version: int) -> SnapshotManifest | None:
         """Return the head that a version had, or None if it is not kept.
 
         :raises StoreUnavailable: if no answer came.
         :raises EditionError: if it is damaged.
         """
-        entry = await self.store.get(history_key(version), CALL_TIMEOUT)
-        return stored_head(entry).head
+        entry = await self.store.get(history_key(version), CALL_TIMEOUT_SECONDS)
+        return stored_head(entry).manifest
 
-    async def edition(self, head: Head, known: dict[str, bytes]) -> Edition:
+    async def read_snapshot(
+        self, head: SnapshotManifest, known: dict[str, bytes]
+    ) -> ConfigurationSnapshot:
         """Return the edition of `head`; parts in `known` are not read.
 
         :raises StoreUnavailable: if no answer came.
@@ -85,7 +99,9 @@
         missing = {part.digest: part for part in head.parts if part.digest not in known}
         contents = await asyncio.gather(*map(self.part, missing.values()))
         held = {**known, **dict(zip(missing, contents))}
-        return Edition(head, {part.digest: held[part.digest] for part in head.parts})
+        return ConfigurationSnapshot(
+            head, {part.digest: held[part.digest] for part in head.parts}
+        )
 
     async def part(self, part: PartRef) -> bytes:
         """Return the packed content of a part after a check of its digest.
@@ -94,27 +110,29 @@
         :raises EditionError: if it is missing or damaged.
         """
         async with self.limit:
-            entry = await self.store.get(part_key(part), CALL_TIMEOUT)
+            entry = await self.store.get(part_key(part), CALL_TIMEOUT_SECONDS)
         if entry is None:
-            raise EditionError(f"part {part.digest} is not in the store")
-        unpack(part, entry.value)
+            raise SnapshotError(f"part {part.digest} is not in the store")
+        decompress_part(part, entry.value)
         return entry.value
 
-    async def keep_past(self, head: Head) -> None:
+    async def save_past_manifest(self, head: SnapshotManifest) -> None:
         """Write the copy of a head that is to be replaced.
 
         :raises StoreUnavailable: if no answer came.
         """
         try:
             await self.store.put(
-                history_key(head.version), head.encode(), 0, CALL_TIMEOUT
+                history_key(head.version), head.encode(), 0, CALL_TIMEOUT_SECONDS
             )
-        except StoreConflict:
+        except StoreConflictError:
             # Only a head that was in force is ever written here, so that
             # whoever came first wrote the same.
             return
 
-    async def write_parts(self, edition: Edition, written: list[Entry]) -> None:
+    async def write_parts(
+        self, edition: ConfigurationSnapshot, written: list[StoreEntry]
+    ) -> None:
         """Write the parts that the version adds.
 
         :param written: takes the entries that were absent before.
@@ -122,7 +140,7 @@
         """
         fresh = {
             part.digest: part
-            for part in edition.head.parts
+            for part in edition.manifest.parts
             if part.version == edition.version
         }
         await asyncio.gather(
@@ -133,40 +151,44 @@
         )
 
     async def write_part(
-        self, part: PartRef, packed: bytes, written: list[Entry]
+        self, part: PartRef, packed: bytes, written: list[StoreEntry]
     ) -> None:
         """Write a part unless it stands there unharmed; raises as `write_parts`."""
         key = part_key(part)
         async with self.limit:
             try:
-                written.append(await self.store.put(key, packed, 0, CALL_TIMEOUT))
+                written.append(
+                    await self.store.put(key, packed, 0, CALL_TIMEOUT_SECONDS)
+                )
                 return
-            except StoreConflict:
-                entry = await self.store.get(key, CALL_TIMEOUT)
+            except StoreConflictError:
+                entry = await self.store.get(key, CALL_TIMEOUT_SECONDS)
             if entry is None:
-                raise StoreUnavailable(f"stale read of {key}")
+                raise StoreUnavailableError(f"stale read of {key}")
             try:
-                unpack(part, entry.value)
-            except EditionError:
+                decompress_part(part, entry.value)
+            except SnapshotError:
                 await self.mend_part(key, packed, entry.revision)
 
     async def mend_part(self, key: str, packed: bytes, revision: int) -> None:
         """Replace a damaged part."""
         try:
-            await self.store.put(key, packed, revision, CALL_TIMEOUT)
-        except StoreConflict as error:
-            raise StoreUnavailable(f"{key} has changed meanwhile") from error
+            await self.store.put(key, packed, revision, CALL_TIMEOUT_SECONDS)
+        except StoreConflictError as error:
+            raise StoreUnavailableError(f"{key} has changed meanwhile") from error
 
-    async def swap_head(self, edition: Edition, expected: int) -> Entry:
+    async def swap_head(
+        self, edition: ConfigurationSnapshot, expected: int
+    ) -> StoreEntry:
         """Put the head of `edition` in the place of revision `expected`.
 
         :raises StoreConflict: if the head has another revision.
         :raises StoreUnavailable: if no answer came; it may have taken effect.
         """
-        value = edition.head.encode()
-        return await self.store.put(HEAD_KEY, value, expected, CALL_TIMEOUT)
+        value = edition.manifest.encode()
+        return await self.store.put(HEAD_KEY, value, expected, CALL_TIMEOUT_SECONDS)
 
-    async def trim(self, head: Head) -> int:
+    async def trim(self, head: SnapshotManifest) -> int:
         """Delete history beyond what is kept; return the highest version deleted.
 
         Errors end the work early; the next edit takes it up again.
@@ -177,7 +199,7 @@
             while trimmed < bound:
                 await self.trim_version(trimmed + 1)
                 trimmed += 1
-        except (StoreError, EditionError):
+        except (StoreError, SnapshotError):
             return trimmed
         return trimmed
 
@@ -189,12 +211,12 @@
         :raises StoreError: if a call failed; a repeat takes it up again.
         :raises EditionError: if the successor is not readable.
         """
-        past = await self.past_head(version)
+        past = await self.read_past_manifest(version)
         if past is None:
             return
-        successor = await self.past_head(version + 1)
+        successor = await self.read_past_manifest(version + 1)
         if successor is None:
-            raise EditionError(f"history of version {version + 1} is not readable")
+            raise SnapshotError(f"history of version {version + 1} is not readable")
         used = {part_key(part) for part in successor.parts}
         for part in past.parts:
             if part_key(part) not in used:
@@ -206,11 +228,13 @@
 
         :raises StoreError: if a call failed.
         """
-        entry = await self.store.get(key, CALL_TIMEOUT)
+        entry = await self.store.get(key, CALL_TIMEOUT_SECONDS)
         if entry is not None:
-            await self.store.delete(key, entry.revision, CALL_TIMEOUT)
+            await self.store.delete(key, entry.revision, CALL_TIMEOUT_SECONDS)
 
-    async def discard(self, written: list[Entry], winner: Head) -> None:
+    async def delete_losing_parts(
+        self, written: list[StoreEntry], winner: SnapshotManifest
+    ) -> None:
         """Delete parts that an edit wrote which lost against `winner`.
 
         :param winner: the head that took the edit's version.
@@ -220,7 +244,7 @@
             if entry.key in used:
                 continue
             try:
-                await self.store.delete(entry.key, entry.revision, CALL_TIMEOUT)
+                await self.store.delete(entry.key, entry.revision, CALL_TIMEOUT_SECONDS)
             except StoreError:
                 return
 
--- a/src/reedhook/process/configuring/configuration.py
+++ b/src/reedhook/process/configuring/configuration.py
@@ -12,25 +12,31 @@
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.catalog import Catalog
-from ...version.check import check
-from ...version.document import Documents
-from ...version.edition import Edition, EditionError
-from ...version.fault import InvalidConfiguration
+from ...version.check import validate_documents
+from ...version.document import ConfigurationDocuments
+from ...version.edition import ConfigurationSnapshot, SnapshotError
+from ...version.fault import InvalidConfigurationError
 from ...wire import Json
 from ..events.timeline import EventKind, Timeline
 from ..worker import ThreadWorker, Worker
-from .exchange import PATH, PEER_TIMEOUT, Pull, head_answer, parts_answer
-
-FANOUT: Final = 3
-ROUNDS: Final = 3
-ROUND_DELAY: Final = 0.3
+from .exchange import (
+    CONFIGURATION_PATH,
+    PEER_TIMEOUT_SECONDS,
+    SnapshotPull,
+    head_answer,
+    parts_answer,
+)
+
+ANNOUNCEMENT_FANOUT: Final = 3
+ANNOUNCEMENT_ROUNDS: Final = 3
+ANNOUNCEMENT_DELAY_SECONDS: Final = 0.3
 KEPT_SOURCES: Final = 16
-RETRY_MIN: Final = 0.1
-RETRY_MAX: Final = 5.0
-START_WAIT: Final = 2.0
-START_TIMEOUT: Final = 1.0
-START_CHOICE: Final = 64
-START_STEP: Final = 0.1
+MIN_RETRY_SECONDS: Final = 0.1
+MAX_RETRY_SECONDS: Final = 5.0
+STARTUP_TIMEOUT_SECONDS: Final = 2.0
+STARTUP_CALL_TIMEOUT_SECONDS: Final = 1.0
+STARTUP_CANDIDATES_LIMIT: Final = 64
+STARTUP_RETRY_SECONDS: Final = 0.1
 START_PULLS: Final = 4
 
 CatalogCallback: TypeAlias = Callable[[Catalog], None]
@@ -39,14 +45,14 @@
 log = logbook.Logger("configuration")
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Keep the newest known edition in force; never move to a lower version.
 
     News come from heartbeats, from other hosts' announcements, from the relays
     that watch the store and from the editor. A host pulls an edition from a
     peer that has it, part by part, and passes the news on.
 
-    :ivar edition: the edition in force; None before the first.
+    :ivar snapshot: the edition in force; None before the first.
     :ivar catalog: what it says for this site; None before the first.
     :ivar in_force_since: wall-clock time in seconds; None before the first.
     :ivar ready: set once an edition is in force.
@@ -76,49 +82,49 @@
         self.timeline = timeline
         self.metrics = metrics
         self.worker = worker or ThreadWorker()
-        self.edition: Edition | None = None
+        self.snapshot: ConfigurationSnapshot | None = None
         self.catalog: Catalog | None = None
         self.in_force_since: float | None = None
         self.ready = asyncio.Event()
         self.callbacks: list[CatalogCallback] = []
         self.sources: dict[str, tuple[int, HostRef]] = {}
-        self.news = asyncio.Event()
-        self.refused = 0
+        self.newer_version_known = asyncio.Event()
+        self.refused_version = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
     def version(self) -> int:
         """Return the version in force; 0 before the first."""
-        return 0 if self.edition is None else self.edition.version
+        return 0 if self.snapshot is None else self.snapshot.version
 
     def parts(self) -> dict[str, bytes]:
         """Return the packed parts in force, by digest."""
-        return {} if self.edition is None else self.edition.packed
+        return {} if self.snapshot is None else self.snapshot.packed
 
     def status(self) -> Json:
         """Return what operators see of this host's configuration."""
-        summary = {} if self.edition is None else self.edition.head.summary()
+        summary = {} if self.snapshot is None else self.snapshot.manifest.summary()
         return {
             **summary,
             "version": self.version,
             "site": self.me.zone,
             "in_force_since": self.in_force_since,
-            "refused": self.refused or None,
+            "refused": self.refused_version or None,
         }
 
     def on_change(self, callback: CatalogCallback) -> None:
         """Call `callback` with the catalog in force, if any, and each later one."""
         self.callbacks.append(callback)
         if self.catalog is not None:
-            self.tell(callback, self.catalog)
+            self.run_callback(callback, self.catalog)
 
     def register(self, routes: PeerRoutes) -> None:
         """Answer the peer path ``config``."""
-        routes.add(PATH, self.answer)
+        routes.add(CONFIGURATION_PATH, self.handle_request)
 
     async def start(self) -> None:
         """Learn what some peers have, then follow the news."""
-        await self.ask_peers()
+        await self.sync_from_peers()
         self.spawn(self.pull_forever())
 
     async def close(self) -> None:
@@ -128,21 +134,21 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def heard(self, version: int, peer: HostRef) -> None:
+    def record_peer_version(self, version: int, peer: HostRef) -> None:
         """Take note that `peer` says it has `version`."""
-        if not self.wants(version):
+        if not self.is_wanted(version):
             return
         self.sources.pop(peer.host, None)
         self.sources[peer.host] = (version, peer)
         while len(self.sources) > KEPT_SOURCES:
             del self.sources[next(iter(self.sources))]
-        self.news.set()
+        self.newer_version_known.set()
 
-    def wants(self, version: int) -> bool:
+    def is_wanted(self, version: int) -> bool:
         """Say whether `version` is newer, and not one refused as invalid."""
-        return version > max(self.version, self.refused)
+        return version > max(self.version, self.refused_version)
 
-    async def adopt(self, edition: Edition, source: str) -> bool:
+    async def adopt(self, edition: ConfigurationSnapshot, source: str) -> bool:
         """Put `edition` in force if it is newer and valid.
 
         :param source: where it came from, for the time line.
@@ -155,11 +161,11 @@
             catalog = await self.worker.run(
                 make_catalog, documents, edition.version, self.me.zone
             )
-        except EditionError as error:
-            self.drop(edition.version, source, str(error))
+        except SnapshotError as error:
+            self.record_dropped(edition.version, source, str(error))
             return False
-        except InvalidConfiguration as error:
-            self.refuse(edition.version, source, str(error.exceptions[0]))
+        except InvalidConfigurationError as error:
+            self.record_refused(edition.version, source, str(error.exceptions[0]))
             return False
         # Another edition may have come into force during the check.
         if edition.version <= self.version:
@@ -167,10 +173,12 @@
         self.put_in_force(edition, catalog, source)
         return True
 
-    def put_in_force(self, edition: Edition, catalog: Catalog, source: str) -> None:
+    def put_in_force(
+        self, edition: ConfigurationSnapshot, catalog: Catalog, source: str
+    ) -> None:
         """Move to `edition`, tell the callbacks, announce it."""
         previous = self.version
-        self.edition = edition
+        self.snapshot = edition
         self.catalog = catalog
         self.in_force_since = self.clock.wall()
         self.ready.set()
@@ -180,30 +188,30 @@
             version=edition.version,
             previous=previous,
             source=source,
-            author=edition.head.author,
-            edit_id=edition.head.edit_id,
+            author=edition.manifest.author,
+            edit_id=edition.manifest.edit_id,
         )
         self.metrics.gauge("configuration.version", edition.version)
         self.metrics.increment("configuration.changes")
         log.info(f"Version {edition.version} in force, from {source}.")
         for callback in self.callbacks:
-            self.tell(callback, catalog)
+            self.run_callback(callback, catalog)
         self.spawn(self.announce(edition.version))
 
-    def tell(self, callback: CatalogCallback, catalog: Catalog) -> None:
+    def run_callback(self, callback: CatalogCallback, catalog: Catalog) -> None:
         """Call `callback`; its failure must not keep others from the news."""
         try:
             callback(catalog)
         except Exception:
             log.exception("A callback failed.")
 
-    def refuse(self, version: int, source: str, reason: str) -> None:
+    def record_refused(self, version: int, source: str, reason: str) -> None:
         """Take note of an edition that this program does not find valid.
 
         Another release of the program accepted it; asking for it again would
         change nothing.
         """
-        self.refused = max(self.refused, version)
+        self.refused_version = max(self.refused_version, version)
         self.timeline.record(
             EventKind.CONFIGURATION,
             f"version {version}",
@@ -211,9 +219,9 @@
             source=source,
             refused=reason,
         )
-        self.drop(version, source, reason)
+        self.record_dropped(version, source, reason)
 
-    def drop(self, version: int, source: str, reason: str) -> None:
+    def record_dropped(self, version: int, source: str, reason: str) -> None:
         """Take note that an edition was not put in force."""
         self.metrics.increment("configuration.dropped")
         log.warning(f"Version {version} from {source} dropped: {reason}.")
@@ -224,18 +232,20 @@
         One round of random peers leaves out a few hosts in a hundred, three
         rounds few in a fleet; heartbeats reach those.
         """
-        for _ in range(ROUNDS):
+        for _ in range(ANNOUNCEMENT_ROUNDS):
             if self.version != version:
                 return
-            await asyncio.gather(*map(self.offer, self.some_peers(FANOUT)))
-            await self.clock.sleep(ROUND_DELAY * self.chooser.uniform(0.5, 1.5))
+            await asyncio.gather(*map(self.offer, self.some_peers(ANNOUNCEMENT_FANOUT)))
+            await self.clock.sleep(
+                ANNOUNCEMENT_DELAY_SECONDS * self.chooser.uniform(0.5, 1.5)
+            )
 
     async def offer(self, peer: HostRef) -> None:
         """Tell one peer; learn from the answer if it has a newer version."""
         body = {"offer": self.version, "from": self.me.to_json()}
-        await self.ask(peer, body, PEER_TIMEOUT)
+        await self.query_peer(peer, body, PEER_TIMEOUT_SECONDS)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_request(self, body: Json) -> Json:
         """Answer the peer path ``config``.
 
         ``have`` asks for the head if it is newer, ``want`` for parts, and
@@ -245,70 +255,72 @@
         """
         try:
             if "want" in body:
-                return parts_answer(self.edition, [str(one) for one in body["want"]])
+                return parts_answer(self.snapshot, [str(one) for one in body["want"]])
             if "offer" in body:
                 sender = HostRef.from_json(body["from"])
-                self.heard(int(body["offer"]), sender)
+                self.record_peer_version(int(body["offer"]), sender)
                 return {"version": self.version}
-            return head_answer(self.edition, int(body["have"]))
+            return head_answer(self.snapshot, int(body["have"]))
         except (KeyError, TypeError, ValueError) as error:
             raise not_run(
                 RefusalReason.BAD_REQUEST, "not a question for config"
             ) from error
 
-    async def ask_peers(self) -> None:
+    async def sync_from_peers(self) -> None:
         """Ask some peers for their version and pull the newest.
 
         A host that restarts must not serve by an older edition than its peers
         do, so that it asks them before it reads the store.
         """
-        deadline = self.clock.monotonic() + START_WAIT
+        deadline = self.clock.monotonic() + STARTUP_TIMEOUT_SECONDS
         while not await self.any_answers(self.first_peers()):
             if self.clock.monotonic() >= deadline:
                 return
-            await self.clock.sleep(START_STEP)
+            await self.clock.sleep(STARTUP_RETRY_SECONDS)
         # Peers may be heard and yet not answer; the news is followed later on.
         for _ in range(START_PULLS):
             await self.pull_once()
 
     def first_peers(self) -> list[HostRef]:
         """Return peers of this zone and of others, any of which may be cut off."""
-        known = self.some_peers(START_CHOICE)
+        known = self.some_peers(STARTUP_CANDIDATES_LIMIT)
         near = [peer for peer in known if peer.zone == self.me.zone]
         far = [peer for peer in known if peer.zone != self.me.zone]
-        return near[:FANOUT] + far[:FANOUT]
+        return near[:ANNOUNCEMENT_FANOUT] + far[:ANNOUNCEMENT_FANOUT]
 
     async def any_answers(self, peers: list[HostRef]) -> bool:
         """Ask `peers` for their versions; return whether one answered."""
         body = {"have": self.version}
-        questions = [self.ask(peer, body, START_TIMEOUT) for peer in peers]
+        questions = [
+            self.query_peer(peer, body, STARTUP_CALL_TIMEOUT_SECONDS) for peer in peers
+        ]
         return any(await asyncio.gather(*questions))
 
-    async def ask(self, peer: HostRef, body: Json, timeout: float) -> bool:
+    async def query_peer(self, peer: HostRef, body: Json, timeout: float) -> bool:
         """Send a question whose answer states the peer's version.
 
         :returns: whether an answer came; heartbeats carry the version too.
         """
         try:
-            answer = await self.peers.call(peer, PATH, body, timeout)
-            self.heard(int(answer["version"]), peer)
+            answer = await self.peers.call(peer, CONFIGURATION_PATH, body, timeout)
+            self.record_peer_version(int(answer["version"]), peer)
         except (PeerError, RefusalError, KeyError, TypeError, ValueError):
             return False
         return True
 
     async def pull_forever(self) -> None:
         """Pull whenever a peer is known to have a newer version."""
-        delay = RETRY_MIN
+        delay = MIN_RETRY_SECONDS
         while True:
-            await self.news.wait()
+            await self.newer_version_known.wait()
             if self.choose_source() is None:
-                self.news.clear()
+                self.newer_version_known.clear()
                 continue
             if await self.pull_once():
-                delay = RETRY_MIN
+                delay = MIN_RETRY_SECONDS
                 continue
             await self.clock.sleep(delay * self.chooser.uniform(0.5, 1.5))
-            delay = min(delay * 2, RETRY_MAX)
+            delay = min(delay * 2, MAX_RETRY_SECONDS)
 
     async def pull_once(self) -> bool:
         """Pull from one source; return whether a newer edition came into force.
@@ -319,8 +331,8 @@
         if source is None:
             return False
         try:
-            edition = await Pull(self.peers, source, self.edition).run()
-        except (PeerError, RefusalError, EditionError) as error:
+            edition = await SnapshotPull(self.peers, source, self.snapshot).run()
+        except (PeerError, RefusalError, SnapshotError) as error:
             self.metrics.increment("configuration.pull_failed")
             log.info(f"Pull from {source.host} failed: {error}.")
             edition = None
@@ -332,7 +344,7 @@
     def choose_source(self) -> HostRef | None:
         """Return a peer that has the newest version heard of, or None."""
         self.sources = {
-            host: one for host, one in self.sources.items() if self.wants(one[0])
+            host: one for host, one in self.sources.items() if self.is_wanted(one[0])
         }
         if not self.sources:
             return None
@@ -347,9 +359,9 @@
         task.add_done_callback(self.tasks.discard)
 
 
-def make_catalog(documents: Documents, version: int, site: str) -> Catalog:
+def make_catalog(documents: ConfigurationDocuments, version: int, site: str) -> Catalog:
     """Check an accepted edition for one site and return its catalog.
 
     :raises InvalidConfiguration: with every fault found.
     """
-    return check(documents, only=site).catalog(version, site)
+    return validate_documents(documents, only_site=site).catalog(version, site)
--- a/src/reedhook/process/configuring/editor.py
+++ b/src/reedhook/process/configuring/editor.py
@@ -6,19 +6,19 @@
 
 from ...clock import Clock
 from ...request.refusal import RefusalReason, not_run
-from ...version.check import check
-from ...version.difference import Change
-from ...version.document import Documents
-from ...version.edition import Head
+from ...version.check import validate_documents
+from ...version.difference import PathChange
+from ...version.document import ConfigurationDocuments
+from ...version.edition import SnapshotManifest
 from ..worker import ThreadWorker, Worker
-from .archive import Archive
-from .configuration import ConfigurationKeeper
-from .edit import Edit
-from .reader import EditionReader
+from .archive import SnapshotRepository
+from .configuration import ConfigurationManager
+from .edit import ConfigurationEdit
+from .reader import SnapshotReader
 
-MAX_EDIT_ID: Final = 64
-MAX_AUTHOR: Final = 128
-MAX_COMMENT: Final = 2000
+MAX_EDIT_ID_CHARACTERS: Final = 64
+MAX_AUTHOR_CHARACTERS: Final = 128
+MAX_COMMENT_CHARACTERS: Final = 2000
 
 log = logbook.Logger("editor")
 
@@ -26,35 +26,35 @@
 class ConfigurationEditor:
     """Check, accept and show editions on behalf of operators."""
 
-    __slots__ = ("keeper", "clock", "worker", "reader")
+    __slots__ = ("manager", "clock", "worker", "reader")
 
     def __init__(
         self,
-        keeper: ConfigurationKeeper,
-        archive: Archive,
+        manager: ConfigurationManager,
+        archive: SnapshotRepository,
         clock: Clock,
         worker: Worker | None = None,
     ) -> None:
-        self.keeper = keeper
+        self.manager = manager
         self.clock = clock
         self.worker = worker or ThreadWorker()
-        self.reader = EditionReader(keeper, archive, self.worker)
+        self.reader = SnapshotReader(manager, archive, self.worker)
 
-    async def check(self, documents: Documents) -> None:
+    async def check(self, documents: ConfigurationDocuments) -> None:
         """Check the documents for every site.
 
         :raises InvalidConfiguration: with every fault found.
         """
-        await self.worker.run(check, documents)
+        await self.worker.run(validate_documents, documents)
 
     async def apply(
         self,
-        documents: Documents,
+        documents: ConfigurationDocuments,
         parent_version: int,
         author: str,
         comment: str,
         edit_id: str,
-    ) -> Head:
+    ) -> SnapshotManifest:
         """Accept an edit exactly once; a repeat with its id returns the first's head.
 
         :param parent_version: the version that the operator edited.
@@ -63,9 +63,9 @@
         :raises Refusal: ``not run`` if the store gave no answer before the
             head was touched, ``may have run`` after; repeat with the same id.
         """
-        refuse_bad_labels(author, comment, edit_id)
+        check_edit_metadata(author, comment, edit_id)
         await self.check(documents)
-        edit = Edit(
+        edit = ConfigurationEdit(
             self.reader,
             self.clock,
             documents,
@@ -76,25 +76,27 @@
         )
         head, edition = await edit.accept()
         if edition is not None:
-            await self.keeper.adopt(edition, "editor")
+            await self.manager.adopt(edition, "editor")
         log.info(f"Version {head.version} accepted, edit {head.edit_id}.")
         return head
 
-    async def show(self, version: int | None = None) -> tuple[Head, Documents]:
+    async def show(
+        self, version: int | None = None
+    ) -> tuple[SnapshotManifest, ConfigurationDocuments]:
         """Return a version; the one in force if `version` is None.
 
         :raises Refusal: if it is not kept or the store gave no answer.
         """
         return await self.reader.show(version)
 
-    async def diff(self, old: int, new: int) -> list[Change]:
+    async def diff(self, old: int, new: int) -> list[PathChange]:
         """Return what differs between two versions.
 
         :raises Refusal: if one is not kept or the store gave no answer.
         """
         return await self.reader.diff(old, new)
 
-    async def history(self, limit: int = 20) -> list[Head]:
+    async def history(self, limit: int = 20) -> list[SnapshotManifest]:
         """Return the newest heads, the newest first.
 
         :raises Refusal: if the store gave no answer.
@@ -102,12 +104,12 @@
         return await self.reader.history(limit)
 
 
-def refuse_bad_labels(author: str, comment: str, edit_id: str) -> None:
+def check_edit_metadata(author: str, comment: str, edit_id: str) -> None:
     """Raise a refusal if what goes with an edit is empty or too long."""
     limits = (
-        ("edit id", edit_id, 1, MAX_EDIT_ID),
-        ("author", author, 1, MAX_AUTHOR),
-        ("comment", comment, 0, MAX_COMMENT),
+        ("edit id", edit_id, 1, MAX_EDIT_ID_CHARACTERS),
+        ("author", author, 1, MAX_AUTHOR_CHARACTERS),
+        ("comment", comment, 0, MAX_COMMENT_CHARACTERS),
     )
     for name, text, least, most in limits:
         if not least <= len(text) <= most:
--- a/src/reedhook/process/configuring/reader.py
+++ b/src/reedhook/process/configuring/reader.py
@@ -4,47 +4,49 @@
 from typing import Final
 
 from ...request.refusal import RefusalError, RefusalReason, not_run
-from ...version.difference import Change, VersionChanges, changes_between
-from ...version.document import Documents
-from ...version.edition import Edition, EditionError, Head
+from ...version.difference import PathChange, VersionChanges, changes_between
+from ...version.document import ConfigurationDocuments
+from ...version.edition import ConfigurationSnapshot, SnapshotError, SnapshotManifest
 from ..worker import Worker
-from .archive import Archive, StoredHead
-from .configuration import ConfigurationKeeper
-from .store import StoreError, StoreUnavailable
+from .archive import SnapshotRepository, StoredHead
+from .configuration import ConfigurationManager
+from .store import StoreError, StoreUnavailableError
 
-NAMED_VERSIONS: Final = 8
+MAX_REPORTED_VERSIONS: Final = 8
 RETRY_AFTER_MS: Final = 1000
 
 
-class EditionReader:
+class SnapshotReader:
     """Read editions on behalf of operators."""
 
-    __slots__ = ("keeper", "archive", "worker")
+    __slots__ = ("manager", "archive", "worker")
 
     def __init__(
-        self, keeper: ConfigurationKeeper, archive: Archive, worker: Worker
+        self, manager: ConfigurationManager, archive: SnapshotRepository, worker: Worker
     ) -> None:
-        self.keeper = keeper
+        self.manager = manager
         self.archive = archive
         self.worker = worker
 
-    async def show(self, version: int | None = None) -> tuple[Head, Documents]:
+    async def show(
+        self, version: int | None = None
+    ) -> tuple[SnapshotManifest, ConfigurationDocuments]:
         """Return a version; the one in force if `version` is None.
 
         :raises Refusal: if it is not kept or the store gave no answer.
         """
-        current = self.keeper.edition
+        current = self.manager.snapshot
         if current is not None and version in (None, current.version):
-            return current.head, current.documents()
+            return current.manifest, current.documents()
         if version is None:
             raise not_run(RefusalReason.NO_CONFIGURATION, "no version is in force here")
         try:
-            edition = await self.load(await self.head_of(version))
-            return edition.head, edition.documents()
-        except (EditionError, StoreError) as error:
+            edition = await self.load(await self.read_manifest(version))
+            return edition.manifest, edition.documents()
+        except (SnapshotError, StoreError) as error:
             raise store_refusal(error) from error
 
-    async def diff(self, old: int, new: int) -> list[Change]:
+    async def diff(self, old: int, new: int) -> list[PathChange]:
         """Return what differs between two versions.
 
         :raises Refusal: if one is not kept or the store gave no answer.
@@ -53,68 +55,71 @@
         _, after = await self.show(new)
         return await self.worker.run(changes_between, before, after)
 
-    async def history(self, limit: int = 20) -> list[Head]:
+    async def history(self, limit: int = 20) -> list[SnapshotManifest]:
         """Return the newest heads, the newest first.
 
         :raises Refusal: if the store gave no answer.
         """
         try:
-            stored = await self.newest()
-            if stored.head is None:
+            stored = await self.read_newest_head()
+            if stored.manifest is None:
                 return []
-            low = max(stored.head.trimmed, stored.version - limit)
+            low = max(stored.manifest.trimmed, stored.version - limit)
             past = [
-                self.archive.past_head(v) for v in range(stored.version - 1, low, -1)
+                self.archive.read_past_manifest(v)
+                for v in range(stored.version - 1, low, -1)
             ]
-            heads = [stored.head, *await asyncio.gather(*past)]
+            heads = [stored.manifest, *await asyncio.gather(*past)]
             return [head for head in heads if head is not None]
-        except (EditionError, StoreError) as error:
+        except (SnapshotError, StoreError) as error:
             raise store_refusal(error) from error
 
-    async def newest(self) -> StoredHead:
+    async def read_newest_head(self) -> StoredHead:
         """Return a head at least as new as the version in force here.
 
         :raises StoreUnavailable: if only older ones are read.
         :raises EditionError: if the head is damaged.
         """
-        stored = await self.archive.head()
-        if stored.version < self.keeper.version:
-            raise StoreUnavailable(
+        stored = await self.archive.read_head()
+        if stored.version < self.manager.version:
+            raise StoreUnavailableError(
                 f"the store gives version {stored.version}, "
-                f"older than version {self.keeper.version} in force"
+                f"older than version {self.manager.version} in force"
             )
         return stored
 
-    async def head_of(self, version: int) -> Head:
+    async def read_manifest(self, version: int) -> SnapshotManifest:
         """Return the head of a version.
 
         :raises Refusal: if it is not kept.
         :raises StoreUnavailable: if no answer came.
         :raises EditionError: if it is damaged.
         """
-        head = await self.archive.past_head(version)
+        head = await self.archive.read_past_manifest(version)
         if head is None:
-            head = (await self.newest()).head
+            head = (await self.read_newest_head()).manifest
         if head is None or head.version != version:
             raise not_run(RefusalReason.BAD_REQUEST, f"version {version} is not kept")
         return head
 
-    async def load(self, head: Head) -> Edition:
+    async def load(self, head: SnapshotManifest) -> ConfigurationSnapshot:
         """Return the edition of a head; raises as `Archive.edition`."""
-        return await self.archive.edition(head, self.keeper.parts())
+        return await self.archive.read_snapshot(head, self.manager.parts())
 
-    async def changes_since(self, parent: int, newest: Head) -> list[VersionChanges]:
+    async def changes_since(
+        self, parent: int, newest: SnapshotManifest
+    ) -> list[VersionChanges]:
         """Return what the newest versions changed, the newest first.
 
         :raises Refusal: if one is not kept.
         :raises StoreUnavailable: if no answer came.
         :raises EditionError: if one is damaged.
         """
-        low = max(parent, newest.version - NAMED_VERSIONS, oldest_base(newest))
+        low = max(parent, newest.version - MAX_REPORTED_VERSIONS, oldest_base(newest))
         since: list[VersionChanges] = []
         head, texts = newest, (await self.load(newest)).documents()
         while head.version > low:
-            past, before = await self.before(head)
+            past, before = await self.load_previous(head)
             changes = await self.worker.run(changes_between, before, texts)
             since.append(VersionChanges(head, tuple(changes)))
             if past is None:
@@ -122,15 +127,17 @@
             head, texts = past, before
         return since
 
-    async def before(self, head: Head) -> tuple[Head | None, Documents]:
+    async def load_previous(
+        self, head: SnapshotManifest
+    ) -> tuple[SnapshotManifest | None, ConfigurationDocuments]:
         """Return what the version before that of `head` held; raises as `load`."""
         if head.version == 1:
-            return None, Documents("", {})
-        past = await self.head_of(head.version - 1)
+            return None, ConfigurationDocuments("", {})
+        past = await self.read_manifest(head.version - 1)
         return past, (await self.load(past)).documents()
 
 
-def oldest_base(head: Head) -> int:
+def oldest_base(head: SnapshotManifest) -> int:
     """Return the oldest version that later ones can be compared with."""
     return head.trimmed + 1 if head.trimmed else 0
 
--- a/src/reedhook/process/configuring/relay.py
+++ b/src/reedhook/process/configuring/relay.py
@@ -8,20 +8,20 @@
 import logbook
 
 from ...clock import Clock
-from ...version.edition import EditionError
+from ...version.edition import SnapshotError
 from ...wire import Json
 from ..events.timeline import EventKind
-from .archive import HEAD_KEY, Archive, StoredHead, stored_head
-from .configuration import ConfigurationKeeper
+from .archive import HEAD_KEY, SnapshotRepository, StoredHead, stored_head
+from .configuration import ConfigurationManager
 from .store import StoreError
 
-WATCH_HOLD: Final = 25.0
-WATCH_GRACE: Final = 5.0
+WATCH_HOLD_SECONDS: Final = 25.0
+WATCH_GRACE_SECONDS: Final = 5.0
 # A watch that was lost without a word is made up for by the next poll.
-POLL_INTERVAL: Final = 3.0
-RELAY_CHECK: Final = 1.0
-REARM_MIN: Final = 0.2
-REARM_MAX: Final = 5.0
+POLL_INTERVAL_SECONDS: Final = 3.0
+RELAY_CHECK_INTERVAL_SECONDS: Final = 1.0
+MIN_REARM_SECONDS: Final = 0.2
+MAX_REARM_SECONDS: Final = 5.0
 
 log = logbook.Logger("relay")
 
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        keeper: ConfigurationKeeper,
-        archive: Archive,
+        manager: ConfigurationManager,
+        archive: SnapshotRepository,
         is_relay: Callable[[], bool],
         clock: Clock,
         chooser: random.Random,
     ) -> None:
-        self.keeper = keeper
+        self.manager = manager
         self.archive = archive
         self.is_relay = is_relay
         self.clock = clock
@@ -82,23 +82,23 @@
 
     async def watch_forever(self) -> None:
         """Keep a watch armed while this host is a relay."""
-        delay = REARM_MIN
+        delay = MIN_REARM_SECONDS
         while True:
             if not self.is_relay():
-                await self.clock.sleep(RELAY_CHECK)
+                await self.clock.sleep(RELAY_CHECK_INTERVAL_SECONDS)
                 continue
             if await self.watch():
-                delay = REARM_MIN
+                delay = MIN_REARM_SECONDS
                 continue
             await self.clock.sleep(delay * self.chooser.uniform(0.5, 1.5))
-            delay = min(delay * 2, REARM_MAX)
+            delay = min(delay * 2, MAX_REARM_SECONDS)
 
     async def watch(self) -> bool:
         """Hold one watch to its end; return whether it worked."""
         try:
-            async with asyncio.timeout(WATCH_HOLD + WATCH_GRACE):
+            async with asyncio.timeout(WATCH_HOLD_SECONDS + WATCH_GRACE_SECONDS):
                 entry = await self.archive.store.watch(
-                    HEAD_KEY, self.revision, WATCH_HOLD
+                    HEAD_KEY, self.revision, WATCH_HOLD_SECONDS
                 )
             if entry is None:
                 self.note_reachable(True)
@@ -106,27 +106,29 @@
             # A stale answer would be repeated at once if the watch were
             # armed again without a pause.
             progress = entry.revision > self.revision
-            await self.take(stored_head(entry))
+            await self.apply_head(stored_head(entry))
             return progress
-        except (StoreError, EditionError, TimeoutError) as error:
-            self.lost(error)
+        except (StoreError, SnapshotError, TimeoutError) as error:
+            self.record_failure(error)
             return False
 
     async def poll_forever(self) -> None:
         """Read the head now and then while this host is a relay."""
         while True:
-            await self.clock.sleep(POLL_INTERVAL * self.chooser.uniform(0.7, 1.3))
+            await self.clock.sleep(
+                POLL_INTERVAL_SECONDS * self.chooser.uniform(0.7, 1.3)
+            )
             if self.is_relay():
                 await self.poll()
 
     async def poll(self) -> None:
         """Read the head once."""
         try:
-            await self.take(await self.archive.head())
-        except (StoreError, EditionError) as error:
-            self.lost(error)
+            await self.apply_head(await self.archive.read_head())
+        except (StoreError, SnapshotError) as error:
+            self.record_failure(error)
 
-    async def take(self, stored: StoredHead) -> None:
+    async def apply_head(self, stored: StoredHead) -> None:
         """Take over what the store holds, if it is newer.
 
         :raises StoreError: if a part could not be read.
@@ -135,14 +137,16 @@
         self.store_read = self.clock.monotonic()
         self.note_reachable(True)
         self.store_version = stored.version
-        if stored.head is not None and self.keeper.wants(stored.version):
-            edition = await self.archive.edition(stored.head, self.keeper.parts())
-            await self.keeper.adopt(edition, "store")
+        if stored.manifest is not None and self.manager.is_wanted(stored.version):
+            edition = await self.archive.read_snapshot(
+                stored.manifest, self.manager.parts()
+            )
+            await self.manager.adopt(edition, "store")
         self.revision = max(self.revision, stored.revision)
 
-    def lost(self, error: Exception) -> None:
+    def record_failure(self, error: Exception) -> None:
         """Take note of a call that failed."""
-        self.keeper.metrics.increment("configuration.store_failed")
+        self.manager.metrics.increment("configuration.store_failed")
         self.note_reachable(False, str(error))
 
     def note_reachable(self, reachable: bool, detail: str = "") -> None:
@@ -151,5 +155,5 @@
             return
         self.reachable = reachable
         state = "answers" if reachable else "lost"
-        self.keeper.timeline.record(EventKind.STORE, state, detail=detail)
+        self.manager.timeline.record(EventKind.STORE, state, detail=detail)
         log.info(f"The store {state}. {detail}")
--- a/src/reedhook/process/configuring/store.py
+++ b/src/reedhook/process/configuring/store.py
@@ -9,15 +9,15 @@
     """Say that the store gave no usable answer; base of the errors below."""
 
 
-class StoreUnavailable(StoreError):
+class StoreUnavailableError(StoreError):
     """Say that the store gave no answer; a write may have taken effect."""
 
 
-class StoreConflict(StoreError):
+class StoreConflictError(StoreError):
     """Say that the key's revision was not the expected one; nothing changed."""
 
 
-class Entry(Record):
+class StoreEntry(Record):
     """Carry a value with its revision.
 
     :param revision: the revision of the key; 0 stands for an absent key.
@@ -35,14 +35,16 @@
     """Read and change keys; timeouts are in seconds."""
 
     @abstractmethod
-    async def get(self, key: str, timeout: float) -> Entry | None:
+    async def get(self, key: str, timeout: float) -> StoreEntry | None:
         """Return the entry of `key`, or None if there is none.
 
         :raises StoreUnavailable: if no answer came.
         """
 
     @abstractmethod
-    async def put(self, key: str, value: bytes, expected: int, timeout: float) -> Entry:
+    async def put(
+        self, key: str, value: bytes, expected: int, timeout: float
+    ) -> StoreEntry:
         """Replace the value if the key's revision is `expected`; 0 creates.
 
         :raises StoreConflict: if the revision differs; nothing changed.
@@ -50,7 +52,7 @@
         """
 
     @abstractmethod
-    async def watch(self, key: str, revision: int, hold: float) -> Entry | None:
+    async def watch(self, key: str, revision: int, hold: float) -> StoreEntry | None:
         """Return the entry once its revision exceeds `revision`.
 
         :returns: None if nothing changed for `hold` seconds.
--- a/src/reedhook/process/configuring/store_http.py
+++ b/src/reedhook/process/configuring/store_http.py
@@ -11,9 +11,15 @@
 
 from ...connector import Connector, plain_session
 from ...wire import Json, WireError, decode, encode
-from .store import Entry, Store, StoreConflict, StoreError, StoreUnavailable
+from .store import (
+    Store,
+    StoreConflictError,
+    StoreEntry,
+    StoreError,
+    StoreUnavailableError,
+)
 
-HOLD_MARGIN: Final = 1.0
+HOLD_MARGIN_SECONDS: Final = 1.0
 CODE_CONFLICT: Final = "conflict"
 STATUS_OK: Final = 200
 STATUS_ERROR: Final = 500
@@ -26,10 +32,12 @@
         self.base = URL(f"http://{address}")
         self.session = plain_session(Connector(limit=0))
 
-    async def get(self, key: str, timeout: float) -> Entry | None:
+    async def get(self, key: str, timeout: float) -> StoreEntry | None:
         return await self.ask_entry("get", {"key": key}, timeout)
 
-    async def put(self, key: str, value: bytes, expected: int, timeout: float) -> Entry:
+    async def put(
+        self, key: str, value: bytes, expected: int, timeout: float
+    ) -> StoreEntry:
         body: Json = {
             "key": key,
             "value": b64encode(value).decode(),
@@ -37,12 +45,12 @@
         }
         entry = await self.ask_entry("put", body, timeout)
         if entry is None:
-            raise StoreUnavailable("the store named no entry")
+            raise StoreUnavailableError("the store named no entry")
         return entry
 
-    async def watch(self, key: str, revision: int, hold: float) -> Entry | None:
+    async def watch(self, key: str, revision: int, hold: float) -> StoreEntry | None:
         body: Json = {"key": key, "revision": revision, "hold": hold}
-        return await self.ask_entry("watch", body, hold + HOLD_MARGIN)
+        return await self.ask_entry("watch", body, hold + HOLD_MARGIN_SECONDS)
 
     async def delete(self, key: str, expected: int, timeout: float) -> None:
         await self.ask("delete", {"key": key, "expected": expected}, timeout)
@@ -50,13 +58,15 @@
     async def close(self) -> None:
         await self.session.close()
 
-    async def ask_entry(self, path: str, body: Json, timeout: float) -> Entry | None:
+    async def ask_entry(
+        self, path: str, body: Json, timeout: float
+    ) -> StoreEntry | None:
         """Ask for something that is answered with an entry or none."""
         message = await self.ask(path, body, timeout)
         try:
             return read_entry(message["entry"])
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreUnavailable(f"not an entry: {error!r}") from error
+            raise StoreUnavailableError(f"not an entry: {error!r}") from error
 
     async def ask(self, path: str, body: Json, timeout: float) -> Json:
         """Send one call; it is never repeated here.
@@ -74,20 +84,20 @@
                 status = response.status
                 message = decode(await response.read())
         except (ClientError, OSError, TimeoutError, WireError) as error:
-            raise StoreUnavailable(f"no answer to {path}: {error!r}") from error
+            raise StoreUnavailableError(f"no answer to {path}: {error!r}") from error
         if status == STATUS_OK:
             return message
         detail = str(message.get("detail"))
         if status >= STATUS_ERROR:
-            raise StoreUnavailable(detail)
+            raise StoreUnavailableError(detail)
         if message.get("code") == CODE_CONFLICT:
-            raise StoreConflict(detail)
+            raise StoreConflictError(detail)
         raise StoreError(detail)
 
 
-def read_entry(message: Json | None) -> Entry | None:
+def read_entry(message: Json | None) -> StoreEntry | None:
     """Read an entry from the wire; null stands for none."""
     if message is None:
         return None
     value = b64decode(message["value"], validate=True)
-    return Entry(str(message["key"]), value, int(message["revision"]))
+    return StoreEntry(str(message["key"]), value, int(message["revision"]))
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/desk.py
@@ -17,7 +17,7 @@
     SessionStatementKind,
     SessionStatementResult,
 )
-from ..version.registry import TargetEntry
+from ..version.registry import TargetAnnouncement
 from ..wire import Json, text
 from .announced.announcements import Announcements
 from .lead.leads import PrimaryLeaseManager
@@ -292,9 +292,9 @@
         return result
 
 
-def has_moved(before: TargetEntry, now: TargetEntry) -> bool:
+def has_moved(before: TargetAnnouncement, now: TargetAnnouncement) -> bool:
     """Say whether connections made before lead elsewhere than new ones."""
-    return before.address != now.address or not now.is_life(before.born)
+    return before.address != now.address or not now.is_incarnation(before.started_at_ms)
 
 
 def always() -> None:
--- a/src/reedhook/process/fleet/directory.py
+++ b/src/reedhook/process/fleet/directory.py
@@ -6,14 +6,14 @@
 from ...directory import Directory
 from ...peer import HostRef
 from .membership_record import HostRecord
-from .membership_table import Change, MembershipTable
+from .membership_table import MembershipTable, RecordChange
 from .rendezvous import ranked_hosts
 
-RELAYS: Final = 2
+MAX_RELAYS_PER_ZONE: Final = 2
 RELAY_KEY: Final = "relay"
 
 
-class Orders:
+class RankingCache:
     """Keep the order of known hosts for each key until the known set changes."""
 
     __slots__ = ("table", "epoch", "orders")
@@ -23,7 +23,7 @@
         self.epoch = -1
         self.orders: dict[tuple[str, str, bool], list[str]] = {}
 
-    def order(self, key: str, zone: str, inside: bool) -> list[str]:
+    def ranking(self, key: str, zone: str, inside: bool) -> list[str]:
         """Return the known hosts inside (or outside) `zone`, best first."""
         if self.epoch != self.table.known_epoch:
             self.orders.clear()
@@ -64,7 +64,7 @@
         self.ref = me
         self.table = table
         self.is_weak = is_weak
-        self.orders = Orders(table)
+        self.orders = RankingCache(table)
         self.callbacks: list[Callable[[], None]] = []
         table.listeners.append(self.notify)
 
@@ -75,7 +75,7 @@
     def subscribe(self, callback: Callable[[], None]) -> None:
         self.callbacks.append(callback)
 
-    def notify(self, change: Change) -> None:
+    def notify(self, change: RecordChange) -> None:
         """Tell the subscribers of changes that can move a home."""
         if change.before and change.after and same_for_homes(change):
             return
@@ -83,17 +83,17 @@
             callback()
 
     def ranked(self, member: str, zone: str) -> list[HostRef]:
-        hosts = self.live_order(self.orders.order(member, zone, True))
+        hosts = self.live_order(self.orders.ranking(member, zone, True))
         if hosts:
             return hosts
-        return self.live_order(self.orders.order(member, zone, False))
+        return self.live_order(self.orders.ranking(member, zone, False))
 
     def home(self, member: str, zone: str) -> HostRef | None:
         """Return the home without building the whole ranking."""
-        inside = self.first(self.orders.order(member, zone, True))
+        inside = self.first(self.orders.ranking(member, zone, True))
         if inside is not None:
             return inside
-        return self.first(self.orders.order(member, zone, False))
+        return self.first(self.orders.ranking(member, zone, False))
 
     def first(self, order: list[str]) -> HostRef | None:
         """Return the first live host, best a strong one without a penalty."""
@@ -102,19 +102,19 @@
             record = self.table.records[host]
             if not record.live:
                 continue
-            if best is None or self.drawback(record) < self.drawback(best):
+            if best is None or self.demotion_key(record) < self.demotion_key(best):
                 best = record
-            if not any(self.drawback(best)):
+            if not any(self.demotion_key(best)):
                 break
         return None if best is None else best.ref
 
-    def drawback(self, record: HostRecord) -> tuple[bool, bool]:
+    def demotion_key(self, record: HostRecord) -> tuple[bool, bool]:
         """Return what speaks against a host as a home, the worst first."""
         return record.penalty > 0, self.is_weak(record.ref.host)
 
     def live(self, key: str, zone: str, inside: bool) -> list[HostRef]:
         """Return the live hosts inside (or outside) `zone` for a key, best first."""
-        order = self.orders.order(key, zone, inside)
+        order = self.orders.ranking(key, zone, inside)
         records = [self.table.records[host] for host in order]
         return [record.ref for record in records if record.live]
 
@@ -122,30 +122,32 @@
         """Return the live hosts of `order`, those with a drawback last."""
         records = [self.table.records[host] for host in order]
         live = [record for record in records if record.live]
-        live.sort(key=self.drawback)
+        live.sort(key=self.demotion_key)
         return [record.ref for record in live]
 
     def successor(self, member: str, zone: str) -> HostRef | None:
         """Return the host that takes over once this one has left."""
         for inside in (True, False):
-            order = self.orders.order(member, zone, inside)
+            order = self.orders.ranking(member, zone, inside)
             others = [host for host in order if host != self.ref.host]
             first = self.first(others)
             if first is not None:
                 return first
         return None
 
-    def served(self, zone: str) -> bool:
+    def has_live_host(self, zone: str) -> bool:
         """Return whether `zone` has a live host."""
         return any(record.live for record in self.table.in_zone(zone))
 
-    def known_in(self, zone: str) -> int:
+    def known_host_count(self, zone: str) -> int:
         """Return how many hosts of `zone` are known, live or not."""
         return len(self.table.zones.get(zone, ()))
 
     def relays(self, zone: str) -> list[HostRef]:
         """Return the hosts that ask the platform on behalf of `zone`."""
-        return self.live_order(self.orders.order(RELAY_KEY, zone, True))[:RELAYS]
+        return self.live_order(self.orders.ranking(RELAY_KEY, zone, True))[
+            :MAX_RELAYS_PER_ZONE
+        ]
 
     def is_relay(self) -> bool:
         """Return whether this host is a relay of its zone."""
@@ -156,21 +158,21 @@
 
         The hosts of the target's zone come first, then all others.
         """
-        inside = self.orders.order(member, zone, True)
+        inside = self.orders.ranking(member, zone, True)
         if host in inside:
             return inside.index(host)
-        outside = self.orders.order(member, zone, False)
+        outside = self.orders.ranking(member, zone, False)
         if host in outside:
             return len(inside) + outside.index(host)
         return None
 
 
-def same_for_homes(change: Change) -> bool:
+def same_for_homes(change: RecordChange) -> bool:
     """Return whether a change of a known host moves no home."""
-    return shape(change.before) == shape(change.after)
+    return home_relevant_state(change.before) == home_relevant_state(change.after)
 
 
-def shape(record: HostRecord | None) -> tuple[HostRef, bool, bool] | None:
+def home_relevant_state(record: HostRecord | None) -> tuple[HostRef, bool, bool] | None:
     """Return what of a record decides on homes."""
     if record is None:
         return None
--- a/src/reedhook/process/fleet/heartbeat_timing.py
+++ b/src/reedhook/process/fleet/heartbeat_timing.py
@@ -3,62 +3,62 @@
 from ...record import Record
 
 
-class Timing(Record):
+class HeartbeatTiming(Record):
     """Set the pace; all values are in seconds.
 
-    :param watch: between two questions to a watched host.
-    :param answer: how long an answer may take.
-    :param refute: how long a suspected host of the own zone may refute.
-    :param refute_far: the same for a host of another zone.
-    :param round: between two questions to a random host.
-    :param tick: between two looks at the table.
-    :param late: a tick that comes this late means that this host was paused.
-    :param replaced: after a pause as long, others may have taken this host for lost.
-    :param slow: a tick that comes this late is a sign that this host is slow.
-    :param pull: between two pulls of differing records.
-    :param gone: how long the record of a host that left is kept.
-    :param dead: how long the record of a dead host is kept.
+    :param watch_interval: between two questions to a watched host.
+    :param answer_timeout: how long an answer may take.
+    :param refute_timeout: how long a suspected host of the own zone may refute.
+    :param other_zone_refute_timeout: the same for a host of another zone.
+    :param probe_interval: between two questions to a random host.
+    :param tick_interval: between two looks at the table.
+    :param pause_threshold: a tick that comes this late means that this host was paused.
+    :param presumed_dead_threshold: after a pause as long, others may have taken this host for lost.
+    :param slow_tick_threshold: a tick that comes this late is a sign that this host is slow.
+    :param pull_interval: between two pulls of differing records.
+    :param gone_retention: how long the record of a host that left is kept.
+    :param dead_retention: how long the record of a dead host is kept.
     """
 
     __slots__ = (
-        "watch",
-        "answer",
-        "refute",
-        "refute_far",
-        "round",
-        "tick",
-        "late",
-        "replaced",
-        "slow",
-        "pull",
-        "gone",
-        "dead",
+        "watch_interval",
+        "answer_timeout",
+        "refute_timeout",
+        "other_zone_refute_timeout",
+        "probe_interval",
+        "tick_interval",
+        "pause_threshold",
+        "presumed_dead_threshold",
+        "slow_tick_threshold",
+        "pull_interval",
+        "gone_retention",
+        "dead_retention",
     )
 
     def __init__(
         self,
-        watch: float = 0.25,
-        answer: float = 0.1,
-        refute: float = 0.15,
-        refute_far: float = 1.0,
-        round: float = 1.0,
-        tick: float = 0.05,
-        late: float = 0.1,
-        replaced: float = 0.5,
-        slow: float = 0.03,
-        pull: float = 2.0,
-        gone: float = 300.0,
-        dead: float = 3600.0,
+        watch_interval: float = 0.25,
+        answer_timeout: float = 0.1,
+        refute_timeout: float = 0.15,
+        other_zone_refute_timeout: float = 1.0,
+        probe_interval: float = 1.0,
+        tick_interval: float = 0.05,
+        pause_threshold: float = 0.1,
+        presumed_dead_threshold: float = 0.5,
+        slow_tick_threshold: float = 0.03,
+        pull_interval: float = 2.0,
+        gone_retention: float = 300.0,
+        dead_retention: float = 3600.0,
     ) -> None:
-        self.watch = watch
-        self.answer = answer
-        self.refute = refute
-        self.refute_far = refute_far
-        self.round = round
-        self.tick = tick
-        self.late = late
-        self.replaced = replaced
-        self.slow = slow
-        self.pull = pull
-        self.gone = gone
-        self.dead = dead
+        self.watch_interval = watch_interval
+        self.answer_timeout = answer_timeout
+        self.refute_timeout = refute_timeout
+        self.other_zone_refute_timeout = other_zone_refute_timeout
+        self.probe_interval = probe_interval
+        self.tick_interval = tick_interval
+        self.pause_threshold = pause_threshold
+        self.presumed_dead_threshold = presumed_dead_threshold
+        self.slow_tick_threshold = slow_tick_threshold
+        self.pull_interval = pull_interval
+        self.gone_retention = gone_retention
+        self.dead_retention = dead_retention
--- a/src/reedhook/process/fleet/hostlist.py
+++ b/src/reedhook/process/fleet/hostlist.py
@@ -20,7 +20,7 @@
     TARGET = "target"
 
 
-class ListedHost(Record):
+class HostListEntry(Record):
     """Carry one line of the platform's list.
 
     :param host: the id of the entry host or target.
@@ -46,7 +46,7 @@
         self.kind = kind
 
 
-class HostListUnavailable(Exception):
+class HostListUnavailableError(Exception):
     """Say that the list could not be read."""
 
 
@@ -54,7 +54,7 @@
     """Read the platform's list."""
 
     @abstractmethod
-    async def hosts(self, timeout: float) -> list[ListedHost]:
+    async def hosts(self, timeout: float) -> list[HostListEntry]:
         """Return the entry hosts and targets listed now.
 
         :raises HostListUnavailable: if no answer came.
--- a/src/reedhook/process/fleet/hostlist_http.py
+++ b/src/reedhook/process/fleet/hostlist_http.py
@@ -8,7 +8,13 @@
 
 from ...connector import Connector, plain_session
 from ...wire import WireError, decode
-from .hostlist import HostList, HostListUnavailable, ListedHost, ListedKind, ListedState
+from .hostlist import (
+    HostList,
+    HostListEntry,
+    HostListUnavailableError,
+    ListedKind,
+    ListedState,
+)
 
 
 class HttpHostList(HostList):
@@ -18,19 +24,19 @@
         self.url = URL(f"http://{address}/hosts")
         self.session = plain_session(Connector())
 
-    async def hosts(self, timeout: float) -> list[ListedHost]:
+    async def hosts(self, timeout: float) -> list[HostListEntry]:
         limit = ClientTimeout(total=timeout)
         try:
             async with self.session.post(self.url, timeout=limit) as response:
                 message = decode(await response.read())
             return [
-                ListedHost(host, zone, address, ListedState(state), ListedKind(kind))
+                HostListEntry(host, zone, address, ListedState(state), ListedKind(kind))
                 for host, zone, address, state, kind in message["hosts"]
             ]
         except (ClientError, OSError, TimeoutError, WireError) as error:
-            raise HostListUnavailable(f"no answer: {error!r}") from error
+            raise HostListUnavailableError(f"no answer: {error!r}") from error
         except (KeyError, TypeError, ValueError) as error:
-            raise HostListUnavailable(f"not a list: {error!r}") from error
+            raise HostListUnavailableError(f"not a list: {error!r}") from error
 
     async def close(self) -> None:
         await self.session.close()
--- a/src/reedhook/process/fleet/leaving.py
+++ b/src/reedhook/process/fleet/leaving.py
@@ -14,43 +14,43 @@
 from ..events.timeline import EventKind, Timeline
 from ..groups.group import GroupManager
 
-PATH: Final = "leaving"
-HAND_OVER_TIMEOUT: Final = 1.5
+LEAVING_PATH: Final = "leaving"
+HAND_OVER_TIMEOUT_SECONDS: Final = 1.5
 
-HomeSource: TypeAlias = Callable[[str], Home | None]
-KeeperSource: TypeAlias = Callable[[str], GroupManager | None]
+TargetHomeLookup: TypeAlias = Callable[[str], Home | None]
+GroupLookup: TypeAlias = Callable[[str], GroupManager | None]
 
 log = logbook.Logger("leaving")
 
 
-class LeavingTargets:
+class LeavingTargetHandler:
     """Give no new work to targets that leave.
 
     A primary that leaves first hands the lead over, so that writes pause only
     shortly; past `HAND_OVER_TIMEOUT` seconds it takes no new work either way.
 
-    :param homes: gives the local home of a member, or None.
-    :param keepers: gives the keeper of a group, or None.
+    :param find_home: gives the local home of a member, or None.
+    :param find_group: gives the keeper of a group, or None.
     """
 
     def __init__(
         self,
-        homes: HomeSource,
-        keepers: KeeperSource,
+        find_home: TargetHomeLookup,
+        find_group: GroupLookup,
         clock: Clock,
         timeline: Timeline,
     ) -> None:
-        self.homes = homes
-        self.keepers = keepers
+        self.find_home = find_home
+        self.find_group = find_group
         self.clock = clock
         self.timeline = timeline
         self.tasks: dict[str, asyncio.Task[None]] = {}
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handler of this host."""
-        routes.add(PATH, self.answer)
+        routes.add(LEAVING_PATH, self.handle_leaving)
 
-    async def answer(self, body: Json) -> Json:
+    async def handle_leaving(self, body: Json) -> Json:
         """Take note that a target leaves, or that it came back.
 
         :raises Refusal: if its home is not here.
@@ -59,7 +59,7 @@
         leaving = body.get("leaving")
         if not isinstance(member, str) or not isinstance(leaving, bool):
             raise WireError("a target and whether it leaves are expected")
-        home = self.homes(member)
+        home = self.find_home(member)
         if home is None:
             raise not_run(RefusalReason.WRONG_HOME, f"the home of {member} is not here")
         if not leaving:
@@ -72,11 +72,11 @@
 
     async def retire(self, home: Home) -> None:
         """Move the lead away if the target has it, then give it no new work."""
-        member = home.member.member
-        keeper = self.keepers(home.group.name)
+        member = home.member.member_id
+        keeper = self.find_group(home.group.name)
         moved = False
         if keeper is not None and keeper.view.primary == member:
-            moved = await keeper.hand_over(HAND_OVER_TIMEOUT)
+            moved = await keeper.hand_over(HAND_OVER_TIMEOUT_SECONDS)
         home.leaving = True
         self.timeline.record(EventKind.TARGET_LEAVING, member, moved=moved)
 
--- a/src/reedhook/process/fleet/listing.py
+++ b/src/reedhook/process/fleet/listing.py
@@ -11,36 +11,42 @@
 from ...request.refusal import RefusalError
 from ...version.catalog import Catalog, Member
 from .directory import MembershipDirectory
-from .hostlist import HostList, HostListUnavailable, ListedHost, ListedKind, ListedState
-from .leaving import PATH
+from .hostlist import (
+    HostList,
+    HostListEntry,
+    HostListUnavailableError,
+    ListedKind,
+    ListedState,
+)
+from .leaving import LEAVING_PATH
 from .membership import Membership
-from .membership_record import HostState
+from .membership_record import MembershipState
 
-POLL_INTERVAL: Final = 1.0
-LONGEST_INTERVAL: Final = 5.0
+MIN_POLL_INTERVAL_SECONDS: Final = 1.0
+MAX_POLL_INTERVAL_SECONDS: Final = 5.0
 # A long list is read more rarely, lest it takes the budget for control.
 LINES_PER_SECOND: Final = 300
-POLL_TIMEOUT: Final = 1.0
-TELL_TIMEOUT: Final = 0.5
+POLL_TIMEOUT_SECONDS: Final = 1.0
+NOTIFY_TIMEOUT_SECONDS: Final = 0.5
 # The list lags: a line may still speak of an earlier life of a host.
-TRUSTED_AFTER: Final = 10.0
+LEAVING_CONFIRMATION_SECONDS: Final = 10.0
 
 CatalogSource: TypeAlias = Callable[[], Catalog | None]
 
 log = logbook.Logger("listing")
 
 
-class Listing:
+class HostListPoller:
     """Poll the list while this host is a relay and pass on who leaves.
 
     Entry hosts that leave are told through the membership, targets through
     their homes. Both are told again with each poll, so that a lost message
     is repaired by the next.
 
-    :ivar seen: whether each listed host was leaving, as of the last poll.
+    :ivar was_leaving: whether each listed host was leaving, as of the last poll.
     :ivar leaving_since: monotonic time since when a host is seen leaving.
     :ivar on_addresses: called with the addresses of all listed entry hosts.
-    :ivar told: targets whose homes were told that they leave.
+    :ivar notified_targets: targets whose homes were told that they leave.
     """
 
     def __init__(
@@ -60,9 +66,9 @@
         self.catalog = catalog
         self.clock = clock
         self.random = random
-        self.seen: dict[str, bool] = {}
+        self.was_leaving: dict[str, bool] = {}
         self.leaving_since: dict[str, float] = {}
-        self.told: set[str] = set()
+        self.notified_targets: set[str] = set()
         self.reachable = True
         self.on_addresses: Callable[[list[str]], None] = lambda addresses: None
 
@@ -75,8 +81,8 @@
 
     def interval(self) -> float:
         """Return the seconds between two polls of a list as long as the last."""
-        needed = len(self.seen) / LINES_PER_SECOND
-        return min(max(POLL_INTERVAL, needed), LONGEST_INTERVAL)
+        needed = len(self.was_leaving) / LINES_PER_SECOND
+        return min(max(MIN_POLL_INTERVAL_SECONDS, needed), MAX_POLL_INTERVAL_SECONDS)
 
     async def poll(self) -> None:
         """Read the list once and act on it."""
@@ -88,18 +94,20 @@
         self.on_addresses([line.address for line in hosts])
         for line in lines:
             if line.kind is ListedKind.HOST:
-                self.note_host(line)
+                self.update_leaving_host(line)
         leaving = {
             line.host
             for line in lines
             if line.kind is ListedKind.TARGET and line.state is ListedState.LEAVING
         }
-        self.seen = {line.host: line.state is ListedState.LEAVING for line in lines}
-        for member in self.own_targets():
-            if member.member in leaving:
-                await self.tell_home(member, True)
-            elif member.member in self.told:
-                await self.tell_home(member, False)
+        self.was_leaving = {
+            line.host: line.state is ListedState.LEAVING for line in lines
+        }
+        for member in self.responsible_targets():
+            if member.member_id in leaving:
+                await self.notify_home(member, True)
+            elif member.member_id in self.notified_targets:
+                await self.notify_home(member, False)
 
     async def addresses(self) -> list[str]:
         """Return the addresses of all other listed entry hosts, to join by.
@@ -115,11 +123,11 @@
         self.random.shuffle(addresses)
         return addresses
 
-    async def read(self) -> list[ListedHost] | None:
+    async def read(self) -> list[HostListEntry] | None:
         """Return the list, or None if it cannot be read."""
         try:
-            lines = await self.hostlist.hosts(POLL_TIMEOUT)
-        except HostListUnavailable as error:
+            lines = await self.hostlist.hosts(POLL_TIMEOUT_SECONDS)
+        except HostListUnavailableError as error:
             if self.reachable:
                 log.warning("The host list does not answer: {}.", error)
             self.reachable = False
@@ -127,22 +135,22 @@
         self.reachable = True
         return lines
 
-    def note_host(self, line: ListedHost) -> None:
+    def update_leaving_host(self, line: HostListEntry) -> None:
         """Let a host that the platform takes away know that it leaves."""
         if line.state is not ListedState.LEAVING:
             self.leaving_since.pop(line.host, None)
             return
         now = self.clock.monotonic()
         since = self.leaving_since.setdefault(line.host, now)
-        turned = self.seen.get(line.host) is False
-        if not turned and now - since < TRUSTED_AFTER:
+        turned = self.was_leaving.get(line.host) is False
+        if not turned and now - since < LEAVING_CONFIRMATION_SECONDS:
             return
         record = self.membership.table.get(line.host)
         if record is None or not record.live:
             return
-        self.membership.learn(record.in_state(HostState.LEAVING), now)
+        self.membership.merge_record(record.in_state(MembershipState.LEAVING), now)
 
-    def own_targets(self) -> list[Member]:
+    def responsible_targets(self) -> list[Member]:
         """Return the targets of this zone and of zones without live hosts."""
         catalog = self.catalog()
         if catalog is None:
@@ -152,21 +160,21 @@
             member
             for group in catalog.groups.values()
             for member in group.members
-            if member.zone == zone or not self.directory.served(member.zone)
+            if member.zone == zone or not self.directory.has_live_host(member.zone)
         ]
 
-    async def tell_home(self, member: Member, leaving: bool) -> None:
+    async def notify_home(self, member: Member, leaving: bool) -> None:
         """Tell the home of a target whether the platform takes it away."""
-        home = self.directory.home(member.member, member.zone)
+        home = self.directory.home(member.member_id, member.zone)
         if home is None:
             return
         try:
-            body = {"member": member.member, "leaving": leaving}
-            await self.peers.call(home, PATH, body, TELL_TIMEOUT)
+            body = {"member": member.member_id, "leaving": leaving}
+            await self.peers.call(home, LEAVING_PATH, body, NOTIFY_TIMEOUT_SECONDS)
         except (PeerError, RefusalError) as error:
-            log.info("{} was not told of {}: {}", home.host, member.member, error)
+            log.info("{} was not told of {}: {}", home.host, member.member_id, error)
             return
         if leaving:
-            self.told.add(member.member)
+            self.notified_targets.add(member.member_id)
         else:
-            self.told.discard(member.member)
+            self.notified_targets.discard(member.member_id)
--- a/src/reedhook/process/fleet/local_health.py
+++ b/src/reedhook/process/fleet/local_health.py
@@ -7,13 +7,13 @@
 from ...peer import HostRef
 from ...record import Record
 
-MOST: Final = 5
-WINDOW: Final = 3.0
-KEPT: Final = 16
-CALM: Final = 3.0
+MAX_LEVEL: Final = 5
+RESULT_WINDOW_SECONDS: Final = 3.0
+MAX_RESULTS: Final = 16
+MIN_RECOVERY_SECONDS: Final = 3.0
 
 
-class Outcome(Record):
+class ProbeResult(Record):
     """Say how the last question to a host ended.
 
     :param at: monotonic time in seconds.
@@ -50,34 +50,34 @@
         self.clock = clock
         self.level = 0
         self.changed = clock.monotonic()
-        self.last: dict[str, Outcome] = {}
+        self.last: dict[str, ProbeResult] = {}
 
     @property
-    def factor(self) -> int:
+    def timeout_factor(self) -> int:
         """Return how many times longer than usual to wait."""
         return 1 + self.level
 
-    def missed(self, ref: HostRef) -> None:
+    def record_timeout(self, ref: HostRef) -> None:
         """Take note that a host gave no answer in time."""
-        self.note(ref, math.inf)
+        self.record_result(ref, math.inf)
         if self.mostly_later_than(math.inf):
             self.worsen()
 
-    def answered(self, ref: HostRef, took: float) -> None:
+    def record_answer(self, ref: HostRef, took: float) -> None:
         """Take note of an answer after `took` seconds; trust grows slowly."""
-        self.note(ref, took)
+        self.record_result(ref, took)
         now = self.clock.monotonic()
-        if self.level == 0 or now - self.changed < CALM:
+        if self.level == 0 or now - self.changed < MIN_RECOVERY_SECONDS:
             return
         self.changed = now
         if not self.mostly_later_than(self.answer * self.level):
             self.level -= 1
 
-    def note(self, ref: HostRef, took: float) -> None:
+    def record_result(self, ref: HostRef, took: float) -> None:
         """Keep the newest outcomes, a bounded number."""
         self.last.pop(ref.host, None)
-        self.last[ref.host] = Outcome(self.clock.monotonic(), ref.zone, took)
-        if len(self.last) > KEPT:
+        self.last[ref.host] = ProbeResult(self.clock.monotonic(), ref.zone, took)
+        if len(self.last) > MAX_RESULTS:
             del self.last[next(iter(self.last))]
 
     def mostly_later_than(self, limit: float) -> bool:
@@ -86,7 +86,7 @@
         A sign is a host of the own zone that was asked of late, or another zone,
         which is within the limit if one of its hosts is.
         """
-        since = self.clock.monotonic() - WINDOW
+        since = self.clock.monotonic() - RESULT_WINDOW_SECONDS
         recent = [one for one in self.last.values() if one.at >= since]
         near = [one.took < limit for one in recent if one.zone == self.zone]
         far = {one.zone for one in recent if one.zone != self.zone}
@@ -97,5 +97,5 @@
 
     def worsen(self) -> None:
         """Take note of a bad sign."""
-        self.level = min(self.level + 1, MOST)
+        self.level = min(self.level + 1, MAX_LEVEL)
         self.changed = self.clock.monotonic()
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -12,19 +12,19 @@
 from ...peer import HostRef
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
-from .membership_news import News
-from .membership_record import HostRecord, HostState
-from .membership_table import BUCKETS, Change, MembershipTable
-
-MOST_PULLED: Final = 64
-FLAP_WINDOW: Final = 60.0
-FLAPS: Final = 2
-SETTLE: Final = 5.0
-MOST_PENALTY: Final = 6
+from .membership_news import GossipQueue
+from .membership_record import HostRecord, MembershipState
+from .membership_table import BUCKETS, MembershipTable, RecordChange
+
+MAX_PULLED_RECORDS: Final = 64
+FLAP_WINDOW_SECONDS: Final = 60.0
+MIN_FLAP_DEATHS: Final = 2
+MIN_PENALTY_SECONDS: Final = 5.0
+MAX_PENALTY: Final = 6
 # A refutation raises the incarnation by little; a new life begins with the
 # wall clock.
-NEW_LIFE: Final = 500
-UNLISTED_AFTER: Final = 30.0
+MIN_RESTART_INCARNATION_STEP_MS: Final = 500
+UNLISTED_RETENTION_SECONDS: Final = 30.0
 
 log = logbook.Logger("membership")
 
@@ -35,19 +35,19 @@
     It sends nothing itself; `Heartbeats` does.
 
     :param me: this host.
-    :ivar version: the version of the configuration in force here.
-    :ivar versions: the version that each host last stated to this one.
-    :ivar born: the incarnation with which this life began.
-    :ivar died: the last incarnation that others declared dead.
-    :ivar heard: monotonic time in seconds at which each host was last heard.
+    :ivar configuration_version: the version of the configuration in force here.
+    :ivar configuration_versions: the version that each host last stated to this one.
+    :ivar initial_incarnation: the incarnation with which this life began.
+    :ivar last_dead_incarnation: the last incarnation that others declared dead.
+    :ivar last_contact_at: monotonic time in seconds at which each host was last heard.
     :ivar repairing: whether records are taken over that others know already.
     :ivar unlisted: when dead hosts were first missing from the platform's list.
-    :ivar on_version: called with a peer and its version, if that is newer.
+    :ivar on_newer_configuration: called with a peer and its version, if that is newer.
     :ivar on_answer: adds what only an answer may state, see `Heartbeats.ask`.
     :ivar on_urgent: called when there is news that others should have soon.
-    :ivar on_died: called when others had this host for dead.
+    :ivar on_declared_dead: called when others had this host for dead.
     :ivar on_refuted: called when others wrongly suspect this host.
-    :ivar on_told_to_leave: called when the platform lists this host as leaving.
+    :ivar on_leave_requested: called when the platform lists this host as leaving.
     :ivar on_mismatch: called with a peer whose table differs from ours.
     """
 
@@ -59,47 +59,49 @@
         self.rng = rng
         self.timeline = timeline
         self.table = MembershipTable()
-        self.news = News()
-        self.version = 0
-        self.versions: dict[str, int] = {}
-        self.heard: dict[str, float] = {}
+        self.gossip_queue = GossipQueue()
+        self.configuration_version = 0
+        self.configuration_versions: dict[str, int] = {}
+        self.last_contact_at: dict[str, float] = {}
         self.unlisted: dict[str, float] = {}
-        self.deaths: deque[float] = deque(maxlen=FLAPS)
+        self.death_times: deque[float] = deque(maxlen=MIN_FLAP_DEATHS)
         self.steady_at = math.inf
         self.repairing = False
-        self.on_version: Callable[[HostRef, int], None] = lambda peer, version: None
+        self.on_newer_configuration: Callable[[HostRef, int], None] = (
+            lambda peer, version: None
+        )
         self.on_answer: Callable[[Json], None] = lambda answer: None
         self.on_urgent: Callable[[], None] = lambda: None
-        self.on_died: Callable[[], None] = lambda: None
+        self.on_declared_dead: Callable[[], None] = lambda: None
         self.on_refuted: Callable[[], None] = lambda: None
-        self.on_told_to_leave: Callable[[], None] = lambda: None
+        self.on_leave_requested: Callable[[], None] = lambda: None
         self.on_mismatch: Callable[[HostRef], None] = lambda peer: None
-        self.born = int(clock.wall() * 1000)
-        self.died = 0
-        self.own = HostRecord(me, self.born)
-        self.table.listeners.append(self.note)
-        self.table.apply(self.own, clock.monotonic())
+        self.initial_incarnation = int(clock.wall() * 1000)
+        self.last_dead_incarnation = 0
+        self.own_record = HostRecord(me, self.initial_incarnation)
+        self.table.listeners.append(self.handle_record_change)
+        self.table.apply(self.own_record, clock.monotonic())
 
-    def set_version(self, version: int) -> None:
+    def set_configuration_version(self, version: int) -> None:
         """State the version of the configuration that is in force here.
 
         Some hosts are told at once, and pass it on alike; it rides on all later
         heartbeats, for those that were missed.
         """
-        if version > self.version:
-            self.version = version
+        if version > self.configuration_version:
+            self.configuration_version = version
             self.on_urgent()
 
     def message(self) -> Json:
         """Return the body of a heartbeat or of its answer."""
         updates = [
             self.table.records[host].to_json()
-            for host in self.news.take()
+            for host in self.gossip_queue.next_batch()
             if host in self.table.records
         ]
         message: Json = {
-            "me": self.own.to_json(),
-            "v": self.version,
+            "me": self.own_record.to_json(),
+            "v": self.configuration_version,
             "d": self.table.digest(),
         }
         if updates:
@@ -110,11 +112,14 @@
         """Return a heartbeat for `host`, with what it may have to refute."""
         message = self.message()
         record = self.table.get(host)
-        if record is not None and record.state in (HostState.SUSPECTED, HostState.DEAD):
+        if record is not None and record.state in (
+            MembershipState.SUSPECTED,
+            MembershipState.DEAD,
+        ):
             message.setdefault("u", []).append(record.to_json())
         return message
 
-    def answer(self, message: Json) -> Json:
+    def handle_heartbeat(self, message: Json) -> Json:
         """Merge a heartbeat and return the answer to it.
 
         :raises WireError: if the message is malformed.
@@ -126,7 +131,7 @@
         if known is not None and ended_unplanned(known, sender):
             answer["died"] = [known.incarnation, known.penalty]
         current = self.table.get(sender.ref.host)
-        if current is not None and current.beats(sender):
+        if current is not None and current.overrides(sender):
             answer.setdefault("u", []).append(current.to_json())
         self.on_answer(answer)
         return answer
@@ -137,48 +142,48 @@
         :raises WireError: if the message is malformed.
         """
         sender = HostRecord.from_json(message.get("me"))
-        updates = [HostRecord.from_json(one) for one in listed(message, "u")]
+        updates = [HostRecord.from_json(one) for one in read_list_field(message, "u")]
         version, digest = message.get("v"), message.get("d")
         if type(version) is not int or type(digest) is not int:
             raise WireError("a heartbeat has a version and a digest")
         now = self.clock.monotonic()
-        self.learn(sender, now)
-        self.hear(sender.ref, now)
+        self.merge_record(sender, now)
+        self.record_contact(sender.ref, now)
         for record in updates:
-            self.learn(record, now)
-        self.versions[sender.ref.host] = version
-        if version > self.version:
-            self.on_version(sender.ref, version)
+            self.merge_record(record, now)
+        self.configuration_versions[sender.ref.host] = version
+        if version > self.configuration_version:
+            self.on_newer_configuration(sender.ref, version)
         if digest != self.table.digest():
             self.on_mismatch(sender.ref)
         return sender
 
-    def hear(self, ref: HostRef, now: float) -> None:
+    def record_contact(self, ref: HostRef, now: float) -> None:
         """Note a sign of life."""
         if ref.host in self.table.records:
-            self.heard[ref.host] = now
+            self.last_contact_at[ref.host] = now
 
-    def learn(self, record: HostRecord, now: float) -> bool:
+    def merge_record(self, record: HostRecord, now: float) -> bool:
         """Take over a record unless a better one is known."""
         if record.ref.host == self.me.host:
-            return self.learn_of_self(record, now)
+            return self.merge_own_record(record, now)
         return self.table.apply(record, now)
 
-    def learn_of_self(self, record: HostRecord, now: float) -> bool:
+    def merge_own_record(self, record: HostRecord, now: float) -> bool:
         """Refute what others wrongly say of this host."""
-        if not record.beats(self.own):
+        if not record.overrides(self.own_record):
             return False
-        if record.state is HostState.LEAVING:
+        if record.state is MembershipState.LEAVING:
             self.leave()
-            self.on_told_to_leave()
+            self.on_leave_requested()
             return True
-        if record.state >= HostState.DEAD:
-            self.count_death(record.incarnation, now)
+        if record.state >= MembershipState.DEAD:
+            self.record_death(record.incarnation, now)
         self.on_refuted()
-        self.announce(record.incarnation + 1, self.own.state)
+        self.announce(record.incarnation + 1, self.own_record.state)
         return True
 
-    def told_died(self, died: Any) -> None:
+    def handle_death_report(self, died: Any) -> None:
         """Take note that a peer had this host for dead.
 
         :raises WireError: if what the peer says is malformed.
@@ -186,62 +191,72 @@
         if not isinstance(died, list) or not all(type(one) is int for one in died):
             raise WireError("an incarnation and a penalty are expected")
         incarnation, penalty = died
-        if incarnation < self.born:
-            self.succeed(penalty)
-        elif self.count_death(incarnation, self.clock.monotonic()):
-            self.announce(self.own.incarnation + 1, self.own.state)
+        if incarnation < self.initial_incarnation:
+            self.inherit_penalty(penalty)
+        elif self.record_death(incarnation, self.clock.monotonic()):
+            self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
-    def count_death(self, incarnation: int, now: float) -> bool:
+    def record_death(self, incarnation: int, now: float) -> bool:
         """Take a penalty if this host was declared dead repeatedly of late."""
-        if incarnation <= self.died:
+        if incarnation <= self.last_dead_incarnation:
             return False
-        self.died = incarnation
-        self.on_died()
-        self.deaths.append(now)
-        if len(self.deaths) < FLAPS or now - self.deaths[0] > FLAP_WINDOW:
+        self.last_dead_incarnation = incarnation
+        self.on_declared_dead()
+        self.death_times.append(now)
+        if (
+            len(self.death_times) < MIN_FLAP_DEATHS
+            or now - self.death_times[0] > FLAP_WINDOW_SECONDS
+        ):
             return False
-        self.penalize(self.own.penalty + 1, now)
+        self.penalize(self.own_record.penalty + 1, now)
         return True
 
     def penalize(self, penalty: int, now: float) -> None:
         """Rank this host after others until it was steady for long enough."""
-        penalty = min(penalty, MOST_PENALTY)
-        self.own = HostRecord(self.me, self.own.incarnation, self.own.state, penalty)
-        self.steady_at = now + SETTLE * 2 ** (penalty - 1)
+        penalty = min(penalty, MAX_PENALTY)
+        self.own_record = HostRecord(
+            self.me, self.own_record.incarnation, self.own_record.state, penalty
+        )
+        self.steady_at = now + MIN_PENALTY_SECONDS * 2 ** (penalty - 1)
 
-    def succeed(self, penalty: int) -> None:
+    def inherit_penalty(self, penalty: int) -> None:
         """Take over the penalty of an earlier life that ended unplanned."""
-        if self.own.penalty > penalty:
+        if self.own_record.penalty > penalty:
             return
         self.penalize(penalty + 1, self.clock.monotonic())
-        self.announce(self.own.incarnation + 1, self.own.state)
+        self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
-    def recover(self, now: float) -> None:
+    def expire_penalty(self, now: float) -> None:
         """Drop the penalty once this host was steady for long enough."""
         if now < self.steady_at:
             return
         self.steady_at = math.inf
-        self.own = HostRecord(self.me, self.own.incarnation, self.own.state, 0)
-        self.announce(self.own.incarnation + 1, self.own.state)
+        self.own_record = HostRecord(
+            self.me, self.own_record.incarnation, self.own_record.state, 0
+        )
+        self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
-    def announce(self, incarnation: int, state: HostState) -> None:
+    def announce(self, incarnation: int, state: MembershipState) -> None:
         """Put a new record of this host in force and let others know."""
-        penalty = self.own.penalty
-        self.own = HostRecord(self.me, incarnation, state, penalty)
-        self.table.apply(self.own, self.clock.monotonic())
+        penalty = self.own_record.penalty
+        self.own_record = HostRecord(self.me, incarnation, state, penalty)
+        self.table.apply(self.own_record, self.clock.monotonic())
 
     def farewell(self) -> HostRecord:
         """Return the record with which this host leaves."""
-        if self.own.state is HostState.LEAVING:
-            return self.own
+        if self.own_record.state is MembershipState.LEAVING:
+            return self.own_record
         return HostRecord(
-            self.me, self.own.incarnation + 1, HostState.LEAVING, self.own.penalty
+            self.me,
+            self.own_record.incarnation + 1,
+            MembershipState.LEAVING,
+            self.own_record.penalty,
         )
 
     def leave(self) -> None:
         """State that this host takes no new work."""
         farewell = self.farewell()
-        if farewell.beats(self.own):
+        if farewell.overrides(self.own_record):
             self.announce(farewell.incarnation, farewell.state)
 
     def suspect(self, record: HostRecord) -> None:
@@ -249,9 +264,9 @@
         current = self.table.get(record.ref.host)
         if current is None or current.incarnation != record.incarnation:
             return
-        state = HostState.SUSPECTED
-        if current.state is HostState.LEAVING:
-            state = HostState.GONE
+        state = MembershipState.SUSPECTED
+        if current.state is MembershipState.LEAVING:
+            state = MembershipState.GONE
         self.table.apply(current.in_state(state), self.clock.monotonic())
 
     def retire_unlisted(self, listed: Collection[str]) -> None:
@@ -262,16 +277,18 @@
         now = self.clock.monotonic()
         dead = {
             host
-            for host in self.table.unsettled
-            if self.table.records[host].state is HostState.DEAD
+            for host in self.table.not_live_hosts
+            if self.table.records[host].state is MembershipState.DEAD
         }
         missing = dead.difference(listed)
         self.unlisted = {host: self.unlisted.get(host, now) for host in missing}
         for host, since in self.unlisted.items():
-            if now - since >= UNLISTED_AFTER:
-                self.table.apply(self.table.records[host].in_state(HostState.GONE), now)
+            if now - since >= UNLISTED_RETENTION_SECONDS:
+                self.table.apply(
+                    self.table.records[host].in_state(MembershipState.GONE), now
+                )
 
-    def note(self, change: Change) -> None:
+    def handle_record_change(self, change: RecordChange) -> None:
         """Pass a change on and record it in the time line."""
         after = change.after
         if after is None:
@@ -285,14 +302,14 @@
             # Whoever met it first spreads it. With joins told less often it is
             # 70 KB in place of 126 that each of 195 hosts sends in the first 5 s.
             return
-        self.news.add(after.ref.host, len(self.table.records), joins)
+        self.gossip_queue.add(after.ref.host, len(self.table.records), joins)
         self.on_urgent()
 
     def record_event(self, before: HostRecord | None, after: HostRecord) -> None:
         """Record joins, suspicions and departures."""
         host = after.ref.host
         was_live = before is not None and before.live
-        if after.state is HostState.SUSPECTED:
+        if after.state is MembershipState.SUSPECTED:
             self.timeline.record(EventKind.MEMBER_SUSPECTED, host)
         elif after.live and not was_live:
             self.timeline.record(EventKind.MEMBER_JOINED, host, zone=after.ref.zone)
@@ -302,21 +319,23 @@
 
     def pull_request(self) -> Json:
         """Return the question for records that differ."""
-        return {"me": self.own.to_json(), "b": list(self.table.buckets)}
+        return {"me": self.own_record.to_json(), "b": list(self.table.buckets)}
 
     def pull_answer(self, message: Json) -> Json:
         """Return records of buckets that differ, a bounded number.
 
         :raises WireError: if the message is malformed.
         """
-        self.learn(HostRecord.from_json(message.get("me")), self.clock.monotonic())
+        self.merge_record(
+            HostRecord.from_json(message.get("me")), self.clock.monotonic()
+        )
         buckets = read_buckets(message)
         records = self.table.in_buckets(differing(buckets, self.table.buckets))
         self.rng.shuffle(records)
         return {
             "b": list(self.table.buckets),
-            "r": [record.to_json() for record in records[:MOST_PULLED]],
-            "all": len(records) <= MOST_PULLED,
+            "r": [record.to_json() for record in records[:MAX_PULLED_RECORDS]],
+            "all": len(records) <= MAX_PULLED_RECORDS,
         }
 
     def take_pulled(self, message: Json) -> int:
@@ -330,18 +349,18 @@
         now = self.clock.monotonic()
         theirs = {
             record.ref.host: record
-            for record in map(HostRecord.from_json, listed(message, "r"))
+            for record in map(HostRecord.from_json, read_list_field(message, "r"))
         }
         self.repairing = True
-        new = sum(self.learn(record, now) for record in theirs.values())
+        new = sum(self.merge_record(record, now) for record in theirs.values())
         self.repairing = False
-        for record in self.table.in_buckets(buckets)[:MOST_PULLED]:
+        for record in self.table.in_buckets(buckets)[:MAX_PULLED_RECORDS]:
             other = theirs.get(record.ref.host)
             unknown = other is None and message.get("all") is True
             if record.ref.host == self.me.host:
                 continue
-            if unknown or (other is not None and record.beats(other)):
-                self.news.add(record.ref.host, len(self.table.records))
+            if unknown or (other is not None and record.overrides(other)):
+                self.gossip_queue.add(record.ref.host, len(self.table.records))
         return new
 
 
@@ -349,8 +368,10 @@
     """Return whether a host died, or restarted before anybody noticed."""
     if sender.incarnation <= known.incarnation:
         return False
-    restarted = sender.incarnation >= known.incarnation + NEW_LIFE
-    return known.state is HostState.DEAD or (known.live and restarted)
+    restarted = (
+        sender.incarnation >= known.incarnation + MIN_RESTART_INCARNATION_STEP_MS
+    )
+    return known.state is MembershipState.DEAD or (known.live and restarted)
 
 
 def differing(theirs: list[int], ours: list[int]) -> set[int]:
@@ -360,13 +381,13 @@
 
 def read_buckets(message: Json) -> list[int]:
     """Read bucket digests from a message."""
-    buckets = listed(message, "b")
+    buckets = read_list_field(message, "b")
     if len(buckets) != BUCKETS or not all(type(one) is int for one in buckets):
         raise WireError("bucket digests are malformed")
     return buckets
 
 
-def listed(message: Json, name: str) -> list[Any]:
+def read_list_field(message: Json, name: str) -> list[Any]:
     """Return a list from a message; it may be left out."""
     value = message.get(name, [])
     if not isinstance(value, list):
--- a/src/reedhook/process/fleet/membership_record.py
+++ b/src/reedhook/process/fleet/membership_record.py
@@ -12,7 +12,7 @@
 FIELDS: Final = 6
 
 
-class HostState(IntEnum):
+class MembershipState(IntEnum):
     """Name the state of a host; within an incarnation the higher one wins."""
 
     LIVE = 0
@@ -38,7 +38,7 @@
         self,
         ref: HostRef,
         incarnation: int,
-        state: HostState = HostState.LIVE,
+        state: MembershipState = MembershipState.LIVE,
         penalty: int = 0,
     ) -> None:
         self.ref = ref
@@ -49,14 +49,14 @@
     @property
     def live(self) -> bool:
         """Return whether work may go to the host; a suspected one still counts."""
-        return self.state <= HostState.SUSPECTED
+        return self.state <= MembershipState.SUSPECTED
 
-    def beats(self, other: "HostRecord") -> bool:
+    def overrides(self, other: "HostRecord") -> bool:
         """Return whether this record replaces `other` of the same host."""
         mine = (self.incarnation, self.state)
         return mine > (other.incarnation, other.state)
 
-    def in_state(self, state: HostState) -> "HostRecord":
+    def in_state(self, state: MembershipState) -> "HostRecord":
         """Return the same incarnation in another state."""
         return HostRecord(self.ref, self.incarnation, state, self.penalty)
 
@@ -66,9 +66,9 @@
         A suspicion is short-lived and travels as news only, so that it makes
         no two tables differ.
         """
-        if self.state >= HostState.DEAD:
+        if self.state >= MembershipState.DEAD:
             return 0
-        state = HostState.LEAVING if self.state is HostState.LEAVING else 0
+        state = MembershipState.LEAVING if self.state is MembershipState.LEAVING else 0
         text = f"{self.ref.host}\0{self.ref.address}\0{self.incarnation}\0{state}"
         return xxhash.xxh3_64_intdigest(text.encode())
 
@@ -95,7 +95,7 @@
         if not all(type(number) is int and number >= 0 for number in numbers):
             raise WireError("a host record ends with three numbers")
         try:
-            state = HostState(numbers[1])
+            state = MembershipState(numbers[1])
         except ValueError as error:
             raise WireError(str(error)) from None
         return cls(HostRef(*texts), numbers[0], state, numbers[2])
--- a/src/reedhook/process/fleet/membership_table.py
+++ b/src/reedhook/process/fleet/membership_table.py
@@ -4,15 +4,15 @@
 from typing import Final
 
 from ...peer import HostRef
-from .membership_record import HostRecord, HostState
+from .membership_record import HostRecord, MembershipState
 from .rendezvous import score
 
 BUCKETS: Final = 32
 BUCKET_KEY: Final = "bucket"
-MOST_RECORDS: Final = 4096
+MAX_RECORDS: Final = 4096
 
 
-class Change:
+class RecordChange:
     """Carry what became of a record.
 
     :ivar before: the record that was replaced; None for a new host.
@@ -33,7 +33,7 @@
     change costs the same whatever the number of hosts.
 
     :ivar since: monotonic time in seconds of the last change of each host.
-    :ivar unsettled: hosts in any state but live.
+    :ivar not_live_hosts: hosts in any state but live.
     :ivar epoch: grows with each change of the table.
     :ivar known_epoch: grows when a host becomes known or is forgotten.
     """
@@ -42,26 +42,26 @@
         self.records: dict[str, HostRecord] = {}
         self.since: dict[str, float] = {}
         self.by_address: dict[str, str] = {}
-        self.unsettled: set[str] = set()
+        self.not_live_hosts: set[str] = set()
         self.zones: dict[str, dict[str, None]] = {}
         self.buckets: list[int] = [0] * BUCKETS
         self.epoch = 0
         self.known_epoch = 0
         self.changed_at = 0.0
-        self.listeners: list[Callable[[Change], None]] = []
+        self.listeners: list[Callable[[RecordChange], None]] = []
 
     def apply(self, record: HostRecord, now: float) -> bool:
         """Take `record` over if it beats what is known; return whether it did."""
         host = record.ref.host
         before = self.records.get(host)
-        if before is not None and not record.beats(before):
+        if before is not None and not record.overrides(before):
             return False
-        if before is None and len(self.records) >= MOST_RECORDS:
+        if before is None and len(self.records) >= MAX_RECORDS:
             return False
-        if before is None and record.state >= HostState.DEAD:
+        if before is None and record.state >= MembershipState.DEAD:
             return False
         self.put(record, before, now)
-        self.supersede(record, now)
+        self.retire_previous_at_address(record, now)
         return True
 
     def put(self, record: HostRecord, before: HostRecord | None, now: float) -> None:
@@ -74,13 +74,13 @@
         self.buckets[index] ^= record.digest() ^ (before.digest() if before else 0)
         self.records[host] = record
         self.since[host] = now
-        if record.state is HostState.LIVE:
-            self.unsettled.discard(host)
+        if record.state is MembershipState.LIVE:
+            self.not_live_hosts.discard(host)
         else:
-            self.unsettled.add(host)
-        self.notify(Change(before, record), now)
+            self.not_live_hosts.add(host)
+        self.notify(RecordChange(before, record), now)
 
-    def supersede(self, record: HostRecord, now: float) -> None:
+    def retire_previous_at_address(self, record: HostRecord, now: float) -> None:
         """Declare another host gone that had this address in an earlier life."""
         previous = self.by_address.get(record.ref.address)
         if not record.live or previous is None:
@@ -91,8 +91,8 @@
         if other.incarnation > record.incarnation:
             return
         self.by_address[record.ref.address] = record.ref.host
-        if other.state < HostState.GONE:
-            self.put(other.in_state(HostState.GONE), other, now)
+        if other.state < MembershipState.GONE:
+            self.put(other.in_state(MembershipState.GONE), other, now)
 
     def forget(self, host: str, now: float) -> None:
         """Drop the record of `host`."""
@@ -100,10 +100,10 @@
         if record is None:
             return
         self.buckets[bucket_of(host)] ^= record.digest()
-        self.unsettled.discard(host)
+        self.not_live_hosts.discard(host)
         del self.since[host]
         self.unlink(record)
-        self.notify(Change(record, None), now)
+        self.notify(RecordChange(record, None), now)
 
     def link(self, record: HostRecord) -> None:
         """Index a host by zone and address."""
@@ -123,7 +123,7 @@
             del self.by_address[record.ref.address]
         self.known_epoch += 1
 
-    def notify(self, change: Change, now: float) -> None:
+    def notify(self, change: RecordChange, now: float) -> None:
         """Count the change and tell the listeners."""
         self.epoch += 1
         self.changed_at = now
@@ -150,9 +150,9 @@
         """Return the live hosts, of one zone if it is given."""
         return [one.ref for one in self.in_zone(zone) if one.live]
 
-    def sees_most(self) -> bool:
+    def sees_majority(self) -> bool:
         """Say whether more than half of the known hosts are live."""
-        return 2 * len(self.unsettled) < len(self.records)
+        return 2 * len(self.not_live_hosts) < len(self.records)
 
     def in_zone(self, zone: str | None) -> Iterator[HostRecord]:
         """Iterate over the records of a zone, or over all for None."""
--- a/src/reedhook/process/fleet/ring.py
+++ b/src/reedhook/process/fleet/ring.py
@@ -3,36 +3,36 @@
 from typing import Final
 
 from ...peer import HostRef
-from .membership_record import HostState
+from .membership_record import MembershipState
 from .membership_table import MembershipTable
 from .rendezvous import score
 
-WATCHED: Final = 2
+WATCHED_HOST_COUNT: Final = 2
 RING: Final = "ring"
 
 
-def watched(me: HostRef, table: MembershipTable) -> set[str]:
+def watched_hosts(me: HostRef, table: MembershipTable) -> set[str]:
     """Return the hosts that `me` watches.
 
     Each host is watched by the ones before it on the ring of its zone; the
     only host of a zone by those before it on the ring of all hosts.
     """
-    wanted = set(successors(me.host, present(table, me.zone)))
+    wanted = set(successors(me.host, hosts_on_ring(table, me.zone)))
     for zone in table.zones:
-        alone = present(table, zone)
+        alone = hosts_on_ring(table, zone)
         if zone == me.zone or len(alone) != 1:
             continue
-        everyone = present(table, None)
+        everyone = hosts_on_ring(table, None)
         wanted |= set(alone) & set(successors(me.host, everyone))
     return wanted
 
 
-def present(table: MembershipTable, zone: str | None) -> list[str]:
+def hosts_on_ring(table: MembershipTable, zone: str | None) -> list[str]:
     """Return the hosts of a zone that are neither dead nor gone."""
     return [
         record.ref.host
         for record in table.in_zone(zone)
-        if record.state < HostState.DEAD
+        if record.state < MembershipState.DEAD
     ]
 
 
@@ -42,5 +42,5 @@
     if host not in ring:
         return []
     start = ring.index(host)
-    count = min(WATCHED, len(ring) - 1)
+    count = min(WATCHED_HOST_COUNT, len(ring) - 1)
     return [ring[(start + step + 1) % len(ring)] for step in range(count)]
--- a/src/reedhook/process/groups/control.py
+++ b/src/reedhook/process/groups/control.py
@@ -106,7 +106,7 @@
         directory: Directory,
         peers: Peers,
     ) -> None:
-        self.zones = {member.member: member.zone for member in group.members}
+        self.zones = {member.member_id: member.zone for member in group.members}
         self.find_home = find_home
         self.directory = directory
         self.peers = peers
@@ -172,7 +172,7 @@
 ) -> MemberState:
     """Carry out `order` on a connection of its own, as a standby does."""
     try:
-        target = factory.target(member.member, member.address)
+        target = factory.target(member.member_id, member.address)
         connection = await target.connect(timeout)
         try:
             return await control_on_connection(connection, request, timeout)
--- a/src/reedhook/process/groups/coordinator.py
+++ b/src/reedhook/process/groups/coordinator.py
@@ -153,7 +153,7 @@
         begins at another member. The home of a lost target knows first, and
         needs no delay.
         """
-        local = {home.member.member for home in self.homes()}
+        local = {home.member.member_id for home in self.homes()}
         if cause is PromotionCause.PLANNED or (
             former in local and cause is PromotionCause.TARGET_LOST
         ):
@@ -165,7 +165,7 @@
 
     def ranked(self, former: str | None) -> list[str]:
         """Return the members but `former` in the order of this term."""
-        members = sorted(one.member for one in self.group_state.group.members)
+        members = sorted(one.member_id for one in self.group_state.group.members)
         turn = self.group_state.term % len(members)
         return [one for one in members[turn:] + members[:turn] if one != former]
 
@@ -192,7 +192,7 @@
         :param grace: seconds that they get all the same once the others are in.
         """
         states: dict[str, MemberState] = {}
-        members = [one.member for one in self.group_state.group.members]
+        members = [one.member_id for one in self.group_state.group.members]
         asking = {
             member: asyncio.create_task(self.request_state(member, states))
             for member in members
@@ -277,8 +277,8 @@
         lowest = max(self.group_state.highest_promised_term, self.group_state.term) + 1
         if self.failed_attempts == 0:
             return lowest
-        members = sorted(one.member for one in self.group_state.group.members)
-        local = {home.member.member for home in self.homes()}
+        members = sorted(one.member_id for one in self.group_state.group.members)
+        local = {home.member.member_id for home in self.homes()}
         places = [place for place, one in enumerate(members) if one in local]
         own = places[0] if places else 0
         return lowest + (own - lowest) % len(members)
--- a/src/reedhook/process/groups/executor.py
+++ b/src/reedhook/process/groups/executor.py
@@ -48,7 +48,7 @@
     @property
     def member(self) -> str:
         """Return the member that runs the statement."""
-        return self.home.member.member
+        return self.home.member.member_id
 
     def elapsed(self) -> float:
         """Return seconds since the statement arrived."""
--- a/src/reedhook/process/groups/group.py
+++ b/src/reedhook/process/groups/group.py
@@ -106,7 +106,7 @@
             on_host_lost,
         )
         self.confirmation = LeaderConfirmation(
-            [member.member for member in group.members],
+            [member.member_id for member in group.members],
             group.majority,
             self.request_state,
             self.known_leader,
@@ -450,7 +450,7 @@
         now = self.clock.monotonic()
         if now - self.leader_changed_at < MEMBER_SILENT_AFTER_SECONDS:
             return True
-        local = {home.member.member for home in self.homes()}
+        local = {home.member.member_id for home in self.homes()}
         heard = {
             member
             for member, at in self.last_report_at.items()
--- a/src/reedhook/process/groups/grouproutes.py
+++ b/src/reedhook/process/groups/grouproutes.py
@@ -122,15 +122,17 @@
     async def probe(self, body: Json) -> Json:
         """Say whether a target answers, from as near as this host can look."""
         group, member = self.find(text(body, "member"))
-        home = self.find_home(member.member)
+        home = self.find_home(member.member_id)
         if home is not None:
             return {"alive": await is_target_alive(home), "home": True}
         if self.is_standby(member):
             return {"alive": await self.probe_unowned_target(member), "home": False}
         keeper = self.find_manager(group.name)
         if keeper is None or not body.get("relay"):
-            raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
-        evidence = await keeper.prober.probe_for_peer(member.member)
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"{member.member_id} is not near here"
+            )
+        evidence = await keeper.prober.probe_for_peer(member.member_id)
         return {
             "alive": evidence is not PrimaryLiveness.LOST,
             "home": evidence is PrimaryLiveness.ALIVE,
@@ -138,7 +140,7 @@
 
     async def probe_unowned_target(self, member: Member) -> bool:
         """Say whether a target without a home here answers on a new connection."""
-        order = MemberControlRequest(member.member, ControlOperation.STATE)
+        order = MemberControlRequest(member.member_id, ControlOperation.STATE)
         try:
             await control_at_target(
                 self.factory, member, order, LOCAL_PROBE_TIMEOUT_SECONDS
@@ -173,13 +175,15 @@
     def is_standby(self, member: Member) -> bool:
         """Say whether this host is among the first that serve a target."""
         me = self.directory.me.host
-        ranked = self.directory.ranked(member.member, member.zone)
+        ranked = self.directory.ranked(member.member_id, member.zone)
         return me in [host.host for host in ranked[:MAX_PROBED_HOSTS]]
 
     def check_standby(self, member: Member) -> None:
         """Refuse what only a host near the target may do."""
         if not self.is_standby(member):
-            raise not_run(RefusalReason.WRONG_HOME, f"{member.member} is not near here")
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"{member.member_id} is not near here"
+            )
 
 
 async def is_target_alive(home: Home) -> bool:
--- a/src/reedhook/process/groups/hint.py
+++ b/src/reedhook/process/groups/hint.py
@@ -6,7 +6,7 @@
 
 from ...clock import Clock
 from ...wire import WireError, decode, encode
-from ..configuring.store import Entry, Store, StoreConflict, StoreError
+from ..configuring.store import Store, StoreConflictError, StoreEntry, StoreError
 from .coordinator import PrimaryChange
 
 STORE_TIMEOUT_SECONDS: Final = 1.0
@@ -73,7 +73,7 @@
             await self.store.put(
                 primary_hint_key(change.group), value, revision, STORE_TIMEOUT_SECONDS
             )
-        except StoreConflict:
+        except StoreConflictError:
             await self.write(change)
 
     async def read(self, group: str) -> PrimaryChange | None:
@@ -90,7 +90,7 @@
             self.task.cancel()
 
 
-def parse_hint(entry: Entry | None, group: str) -> PrimaryChange | None:
+def parse_hint(entry: StoreEntry | None, group: str) -> PrimaryChange | None:
     """Read a hint; one that cannot be read counts as none."""
     if entry is None:
         return None
--- a/src/reedhook/process/groups/homes.py
+++ b/src/reedhook/process/groups/homes.py
@@ -16,8 +16,8 @@
 from ..events.timeline import EventKind, Timeline
 from ..fleet.directory import MembershipDirectory
 from ..fleet.membership import Membership
-from ..fleet.membership_record import HostState
-from ..fleet.rendezvous import share
+from ..fleet.membership_record import MembershipState
+from ..fleet.rendezvous import connection_quota
 
 HomeFactory: TypeAlias = Callable[[Group, Member, int], Home]
 
@@ -123,7 +123,7 @@
     def apply(self, catalog: Catalog) -> None:
         """Put a configuration in force; homes that it leaves alone stay."""
         self.catalog = catalog
-        self.configured = {member.member for _, member in targets(catalog)}
+        self.configured = {member.member_id for _, member in targets(catalog)}
         self.limits = catalog.limits
         for held in self.held.values():
             held.home.update_limits(catalog.limits)
@@ -200,7 +200,7 @@
         if self.catalog is None or self.draining:
             return
         now = self.clock.monotonic()
-        wanted = {member.member: (group, member) for group, member in self.wanted()}
+        wanted = {member.member_id: (group, member) for group, member in self.wanted()}
         changed = False
         for name, held in list(self.held.items()):
             if name not in wanted:
@@ -218,20 +218,20 @@
         served: dict[str, bool] = {}
         for group, member in targets(self.catalog):
             zone = member.zone
-            if self.takeover_requested(member.member):
+            if self.takeover_requested(member.member_id):
                 yield group, member
                 continue
             if zone not in served:
-                served[zone] = self.directory.served(zone)
+                served[zone] = self.directory.has_live_host(zone)
             if zone != self.me.zone and (
                 served[zone] or not self.has_connection_share(group, zone)
             ):
                 continue
-            home = self.directory.home(member.member, zone)
+            home = self.directory.home(member.member_id, zone)
             if home == self.me:
                 yield group, member
             else:
-                self.former[member.member] = home
+                self.former[member.member_id] = home
 
     def has_connection_share(self, group: Group, zone: str) -> bool:
         """Return whether a host outside `zone` may connect to a target there.
@@ -240,7 +240,10 @@
         many to leave anything. Ranking all hosts for each target of a lost
         region would hold the loop up for long, and for nothing.
         """
-        return share(group.connections, self.directory.known_in(zone)) > 0
+        return (
+            connection_quota(group.connections, self.directory.known_host_count(zone))
+            > 0
+        )
 
     def takeover_requested(self, member: str) -> bool:
         """Return whether a host that is about to leave passed `member` on."""
@@ -255,24 +258,24 @@
 
     async def ensure_home(self, group: Group, member: Member, now: float) -> bool:
         """Make the home of a target unless it is there as it should be."""
-        held = self.held.get(member.member)
+        held = self.held.get(member.member_id)
         size = self.connection_share(group, member)
         if held is None:
             return await self.open_home(
-                group, member, size, self.takeover_cause(member.member)
+                group, member, size, self.takeover_cause(member.member_id)
             )
         grown = size > held.connection_limit and now - held.since > GROWTH_AFTER_SECONDS
         if held.fits(group, member) and not (grown or size < held.connection_limit):
             held.adopt(group)
             return False
         cause = "share" if held.fits(group, member) else "configuration"
-        self.release(member.member, cause)
+        self.release(member.member_id, cause)
         return await self.open_home(group, member, size, cause)
 
     def connection_share(self, group: Group, member: Member) -> int:
         """Return the connections that this host may open to a target."""
-        rank = self.directory.rank_of(member.member, member.zone, self.me.host)
-        return 0 if rank is None else share(group.connections, rank)
+        rank = self.directory.rank_of(member.member_id, member.zone, self.me.host)
+        return 0 if rank is None else connection_quota(group.connections, rank)
 
     async def open_home(
         self, group: Group, member: Member, size: int, cause: str
@@ -284,12 +287,12 @@
         try:
             await home.start()
         except Exception:
-            log.exception("The home of {} did not start.", member.member)
+            log.exception("The home of {} did not start.", member.member_id)
             return False
         now = self.clock.monotonic()
-        self.held[member.member] = HeldHome(home, group, member, size, now)
+        self.held[member.member_id] = HeldHome(home, group, member, size, now)
         self.timeline.record(
-            EventKind.HOME_TAKEN, member.member, cause=cause, share=size
+            EventKind.HOME_TAKEN, member.member_id, cause=cause, share=size
         )
         return True
 
@@ -301,8 +304,8 @@
         if former is None:
             return "start"
         record = self.membership.table.get(former.host)
-        state = HostState.GONE if record is None else record.state
-        if state <= HostState.SUSPECTED:
+        state = MembershipState.GONE if record is None else record.state
+        if state <= MembershipState.SUSPECTED:
             return f"preferred to {former.host}"
         return f"{former.host} is {state.name.lower()}"
 
--- a/src/reedhook/process/groups/promotion.py
+++ b/src/reedhook/process/groups/promotion.py
@@ -119,7 +119,7 @@
         are to be passed over.
         """
         asking = {
-            one.member: self.spawn(self.request_promise(one.member))
+            one.member_id: self.spawn(self.request_promise(one.member_id))
             for one in self.group.members
         }
         expected = {
@@ -211,8 +211,8 @@
     def notify_followers(self, chosen: str) -> None:
         """Tell the other members whom to follow, each in a task of its own."""
         for member in self.group.members:
-            if member.member != chosen:
-                self.spawn(self.notify_follower(member.member, chosen))
+            if member.member_id != chosen:
+                self.spawn(self.notify_follower(member.member_id, chosen))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
         """Run `work` in a task that is kept until it ends."""
--- a/src/reedhook/process/groups/report.py
+++ b/src/reedhook/process/groups/report.py
@@ -187,7 +187,7 @@
 
     def refresh(self) -> None:
         """Follow exactly the members whose home is here now."""
-        local = {home.member.member: home for home in self.homes()}
+        local = {home.member.member_id: home for home in self.homes()}
         if not local:
             self.contact.reset()
         for member in self.tasks.keys() - local.keys():
@@ -213,7 +213,7 @@
     def home(self, member: str | None) -> Home | None:
         """Return the local home of `member`, or None."""
         for home in self.homes():
-            if home.member.member == member:
+            if home.member.member_id == member:
                 return home
         return None
 
@@ -259,7 +259,7 @@
         revision = -1
         while True:
             await home.wait_for_state_change(
-                revision, self.interval(home.member.member)
+                revision, self.interval(home.member.member_id)
             )
             state = home.state
             if home.unreachable_since is not None or self.fenced(state):
@@ -315,7 +315,7 @@
                 return
             await self.send_report(home.state, primary)
         finally:
-            self.send_permits[home.member.member].release()
+            self.send_permits[home.member.member_id].release()
 
     async def send_report(self, state: MemberState, primary: str) -> None:
         """Send one report and learn from its answer."""
@@ -375,6 +375,6 @@
     def zone(self, member: str) -> str:
         """Return the availability zone of `member`."""
         for one in self.group_state.group.members:
-            if one.member == member:
+            if one.member_id == member:
                 return one.zone
         return ""
--- a/src/reedhook/process/groups/suspicion.py
+++ b/src/reedhook/process/groups/suspicion.py
@@ -67,7 +67,7 @@
     def direct_probers(self, primary: str) -> list[HostRef]:
         """Return the hosts that talk to the primary themselves."""
         for member in self.group.members:
-            if member.member == primary:
+            if member.member_id == primary:
                 return self.directory.ranked(primary, member.zone)[:MAX_PROBED_HOSTS]
         return []
 
@@ -77,7 +77,7 @@
         near = {host.host for host in self.direct_probers(primary)}
         found: dict[str, HostRef] = {}
         for member in self.group.members:
-            host = self.directory.home(member.member, member.zone)
+            host = self.directory.home(member.member_id, member.zone)
             if host is not None and host.host not in near and host.host != me:
                 found[host.host] = host
         return list(found.values())
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -24,8 +24,8 @@
 from .administration.admin_operator import Operators
 from .administration.admin_status import HostState
 from .administration.hostsource import HostSource
-from .configuring.archive import Archive
-from .configuring.configuration import ConfigurationKeeper
+from .configuring.archive import SnapshotRepository
+from .configuring.configuration import ConfigurationManager
 from .configuring.editor import ConfigurationEditor
 from .configuring.relay import ConfigurationRelay
 from .configuring.store import Store
@@ -33,8 +33,8 @@
 from .fleet.directory import MembershipDirectory
 from .fleet.heartbeat import Heartbeats
 from .fleet.hostlist import HostList
-from .fleet.leaving import LeavingTargets
-from .fleet.listing import Listing
+from .fleet.leaving import LeavingTargetHandler
+from .fleet.listing import HostListPoller
 from .fleet.membership import Membership
 from .groups.executor import LocalStatementExecutor
 from .groups.group import GroupManager
@@ -98,7 +98,7 @@
         """Make what knows the other hosts."""
         self.membership = Membership(self.me, self.clock, self.random, self.timeline)
         self.directory = MembershipDirectory(self.me, self.membership.table)
-        self.listing = Listing(
+        self.listing = HostListPoller(
             self.hostlist,
             self.membership,
             self.directory,
@@ -113,13 +113,13 @@
             self.clock,
             self.random,
             self.settings.seeds,
-            listed=self.listing.addresses,
+            list_addresses=self.listing.addresses,
         )
 
     def make_configuration(self) -> None:
         """Make what accepts, fetches and passes on the configuration."""
-        self.archive = Archive(self.store)
-        self.configuration = ConfigurationKeeper(
+        self.archive = SnapshotRepository(self.store)
+        self.configuration = ConfigurationManager(
             self.me,
             self.peers,
             self.some_peers,
@@ -146,12 +146,12 @@
             self.clock,
             self.timeline,
             self.make_home,
-            self.heartbeats.greeter.joined,
+            self.heartbeats.discovery.joined,
         )
         self.keepers = GroupManagers(
             self.make_keeper, self.homes.open_and_closing_homes
         )
-        self.leaving_targets = LeavingTargets(
+        self.leaving_targets = LeavingTargetHandler(
             self.homes.get, self.keepers.get, self.clock, self.timeline
         )
         self.hints = PrimaryHints(self.store, self.clock, self.random)
@@ -237,17 +237,17 @@
         self.leaving_targets.register(self.routes)
         self.fleet.register(self.routes)
         self.homes.on_change(self.keepers.reconcile)
-        self.listing.on_addresses = self.heartbeats.greeter.offer
-        self.membership.on_version = self.heard_version
+        self.listing.on_addresses = self.heartbeats.discovery.update_listed_addresses
+        self.membership.on_newer_configuration = self.heard_version
         self.dispatch.on_host_lost = self.host_lost
-        self.membership.on_told_to_leave = self.start_drain
+        self.membership.on_leave_requested = self.start_drain
         self.configuration.on_change(self.configured)
 
     async def start(self) -> None:
         """Join the other hosts and begin to serve."""
         self.timeline.record(EventKind.HOST_STARTED, self.me.host, zone=self.me.zone)
         self.spawn(self.heartbeats.run())
-        await self.heartbeats.greeter.joined.wait()
+        await self.heartbeats.discovery.joined.wait()
         await self.configuration.start()
         await self.relay.start()
         self.spawn(self.homes.run())
@@ -306,13 +306,13 @@
 
     def configured(self, catalog: Catalog) -> None:
         """Put a configuration in force in all parts."""
-        self.membership.set_version(catalog.version)
+        self.membership.set_configuration_version(catalog.version)
         self.homes.apply(catalog)
         self.keepers.apply_catalog(catalog)
 
     def heard_version(self, peer: HostRef, version: int) -> None:
         """Pass on that a peer has a newer configuration."""
-        self.configuration.heard(version, peer)
+        self.configuration.record_peer_version(version, peer)
 
     def some_peers(self, count: int) -> list[HostRef]:
         """Return up to `count` live peers, chosen at random."""
@@ -325,7 +325,7 @@
         return TargetHome(
             group,
             member,
-            self.targets.target(member.member, member.address),
+            self.targets.target(member.member_id, member.address),
             share,
             Limits() if catalog is None else catalog.limits,
             self.clock,
@@ -351,7 +351,7 @@
 
     def host_lost(self, peer: HostRef) -> None:
         """Have a host asked that seems dead while its target lives."""
-        self.heartbeats.doubt(peer.host)
+        self.heartbeats.request_probe(peer.host)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a task for as long as the host lives."""
--- a/src/reedhook/process/lead/deputy.py
+++ b/src/reedhook/process/lead/deputy.py
@@ -67,7 +67,7 @@
         if entry is None or status is None or not status.is_primary or promoting:
             self.active = False
             return
-        same = status.term == self.record.term and entry.is_life(
+        same = status.term == self.record.term and entry.is_incarnation(
             self.record.primary_started_at_ms
         )
         if not same or self.draining:
--- a/src/reedhook/process/lead/duty.py
+++ b/src/reedhook/process/lead/duty.py
@@ -11,7 +11,7 @@
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, WireError, decode, encode, text
 from ..announced.keyspace import Item, KeyValueStore, KeyValueStoreError
-from ..fleet.membership_record import HostState
+from ..fleet.membership_record import MembershipState
 from ..fleet.membership_table import MembershipTable
 from .record import PROMOTION_COORDINATOR_KEY, HostIncarnation
 
@@ -144,7 +144,7 @@
         ):
             return True
         record = self.table.get(holder.ref.host)
-        return record is not None and record.state >= HostState.DEAD
+        return record is not None and record.state >= MembershipState.DEAD
 
     async def order_at(
         self, holder: HostIncarnation, service: str, target: str
--- a/src/reedhook/process/lead/lead.py
+++ b/src/reedhook/process/lead/lead.py
@@ -17,7 +17,7 @@
 from ...peer import HostRef
 from ...record import Record
 from ...request.refusal import RefusalError
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from ..announced.announcements import Announcements
 from .claim import LeaseClaim
 from .others import OtherHolders
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        entry: TargetEntry,
+        entry: TargetAnnouncement,
         reachable: bool,
         observations: list[TargetObservation],
         store_reachable: bool,
@@ -167,7 +167,7 @@
         if entry is None and self.is_gone(target):
             await self.change("gone", home.entry, planned=True)
             return
-        if entry is not None and not entry.is_life(home.entry.born):
+        if entry is not None and not entry.is_incarnation(home.entry.started_at_ms):
             await self.change("reborn", home.entry, planned=False)
             return
         if self.questioned and await self.has_lost_leadership(home.entry):
@@ -201,7 +201,7 @@
             if inquiry is not None:
                 inquiry.cancel()
 
-    async def has_lost_leadership(self, entry: TargetEntry) -> bool:
+    async def has_lost_leadership(self, entry: TargetAnnouncement) -> bool:
         """Say whether the primary itself says that it does not lead, or holds less.
 
         Without an answer that is asked again at the next sign.
@@ -251,7 +251,7 @@
             self.doubted_at = self.clock.monotonic()
             self.ready.clear()
 
-    async def diagnose_primary(self, entry: TargetEntry) -> PrimaryProbeResult:
+    async def diagnose_primary(self, entry: TargetAnnouncement) -> PrimaryProbeResult:
         """Look for a target on a new connection, by others, and for the store."""
         reached, sightings, stored = await asyncio.gather(
             self.states.is_reachable(entry),
@@ -317,9 +317,9 @@
             survey.cancel()
 
     async def survey(
-        self, known: TargetEntry | None
+        self, known: TargetAnnouncement | None
     ) -> tuple[
-        list[tuple[TargetEntry, SessionTargetStatus]], PrimaryProbeResult | None
+        list[tuple[TargetAnnouncement, SessionTargetStatus]], PrimaryProbeResult | None
     ]:
         """Ask all targets of the service, and others for the primary if known."""
         entries = self.states.announced(self.service)
@@ -333,7 +333,7 @@
 
     async def choose(
         self,
-        found: list[tuple[TargetEntry, SessionTargetStatus]],
+        found: list[tuple[TargetAnnouncement, SessionTargetStatus]],
         finding: PrimaryProbeResult | None,
     ) -> None:
         """Use the target that leads, or act on a primary that gives no answer."""
@@ -353,13 +353,13 @@
         await self.handle_probe_result(finding)
 
     async def use_if_leading(
-        self, entry: TargetEntry, status: SessionTargetStatus
+        self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> bool:
         """Use a target unless another one leads, or it has started again since."""
         record = self.record
         if not status.is_primary or status.term < record.term:
             return False
-        if entry.target == record.primary and not entry.is_life(
+        if entry.target == record.primary and not entry.is_incarnation(
             record.primary_started_at_ms
         ):
             return False
@@ -367,18 +367,18 @@
         return True
 
     async def established(
-        self, entry: TargetEntry, status: SessionTargetStatus
+        self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> None:
         """Use the target that leads by its own word, of the highest term."""
         record = self.record
         stands = (record.primary, record.term, record.primary_started_at_ms)
-        if stands != (entry.target, status.term, entry.born):
+        if stands != (entry.target, status.term, entry.started_at_ms):
             await self.claim.write(record.with_primary(entry, status.term))
         self.use_primary(entry, status)
 
     # Change of primary
 
-    async def change(self, cause: str, old: TargetEntry, planned: bool) -> None:
+    async def change(self, cause: str, old: TargetAnnouncement, planned: bool) -> None:
         """Have another target promoted."""
         self.ready.clear()
         if planned and self.home is not None:
@@ -412,10 +412,10 @@
             return
         self.demoted_at = now
         for entry in self.states.announced(self.service):
-            if entry.claims_lead and entry.target != self.record.primary:
+            if entry.claims_primary and entry.target != self.record.primary:
                 await self.demote(entry)
 
-    async def demote(self, entry: TargetEntry) -> None:
+    async def demote(self, entry: TargetAnnouncement) -> None:
         """Make a former primary a replica."""
         try:
             connection = await self.driver.connect(entry, STATUS_TIMEOUT_SECONDS)
--- a/src/reedhook/process/lead/promotion.py
+++ b/src/reedhook/process/lead/promotion.py
@@ -8,7 +8,7 @@
 from ...decisions import Decisions
 from ...record import Record
 from ...request.position import ORIGIN, Position
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from .claim import LeaseClaim
 from .duty import OrderOutcome, PromotionCoordinator
 from .others import OtherHolders
@@ -34,7 +34,7 @@
 
     __slots__ = ("entry", "status")
 
-    def __init__(self, entry: TargetEntry, status: SessionTargetStatus) -> None:
+    def __init__(self, entry: TargetAnnouncement, status: SessionTargetStatus) -> None:
         self.entry = entry
         self.status = status
 
@@ -62,7 +62,7 @@
     async def decide_successor(
         self,
         cause: str,
-        old: TargetEntry,
+        old: TargetAnnouncement,
         planned: bool,
         highest_position: Position | None,
     ) -> bool:
@@ -89,8 +89,8 @@
         return await self.claim.write(self.claim.record.with_successor(successor))
 
     async def choose_successor(
-        self, old: TargetEntry, planned: bool, highest_position: Position | None
-    ) -> TargetEntry | None:
+        self, old: TargetAnnouncement, planned: bool, highest_position: Position | None
+    ) -> TargetAnnouncement | None:
         """Return the target that holds the most of those that answer.
 
         One that holds nothing has started again; it is left out unless all answer
@@ -118,7 +118,7 @@
             await self.clock.sleep(CATCH_UP_POLL_SECONDS)
 
     async def required_position(
-        self, old: TargetEntry, highest_position: Position | None
+        self, old: TargetAnnouncement, highest_position: Position | None
     ) -> Position:
         """Return what a successor must hold, as far as it can be known."""
         status = await self.states.status(old)
@@ -127,7 +127,7 @@
         return ORIGIN if highest_position is None else highest_position
 
     def fitness(
-        self, pair: tuple[TargetEntry, SessionTargetStatus]
+        self, pair: tuple[TargetAnnouncement, SessionTargetStatus]
     ) -> tuple[Position, bool]:
         """Return the order in which targets are preferred as primary.
 
@@ -147,11 +147,13 @@
         """
         target = self.claim.record.successor
         entry = self.states.last_entry(target)
-        if entry is not None and not entry.is_life(
+        if entry is not None and not entry.is_incarnation(
             self.claim.record.successor_started_at_ms
         ):
             # It holds nothing by now, and was chosen since it held the most.
-            self.decisions.note("successor_reborn", target=target, born=entry.born)
+            self.decisions.note(
+                "successor_reborn", target=target, born=entry.started_at_ms
+            )
             await self.choose_again()
             return None
         outcome = await self.coordinator.order(self.service, target)
@@ -183,7 +185,7 @@
         await self.claim.write(record.with_successor(entry))
 
     def record_promoted(
-        self, entry: TargetEntry, status: SessionTargetStatus
+        self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> LeadingTarget:
         """Take note of the new primary; it is yet to be written down."""
         self.decisions.note(
@@ -197,6 +199,6 @@
         return LeadingTarget(entry, status)
 
 
-def has_commits(pair: tuple[TargetEntry, SessionTargetStatus]) -> bool:
+def has_commits(pair: tuple[TargetAnnouncement, SessionTargetStatus]) -> bool:
     """Say whether anything was ever committed in the log of a target."""
     return pair[1].received.index > 0
--- a/src/reedhook/process/lead/ranking.py
+++ b/src/reedhook/process/lead/ranking.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ...peer import HostRef
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from ..announced.announcements import Announcements
 from ..fleet.directory import MembershipDirectory
 from .book import PrimaryLeaseRegistry
@@ -61,7 +61,7 @@
             known = self.announcements.last_entry(record.primary)
             return "" if known is None else known.zone
         for entry in self.announcements.targets.values():
-            if entry.service == service and entry.claims_lead:
+            if entry.service == service and entry.claims_primary:
                 return entry.zone
         return ""
 
@@ -79,7 +79,7 @@
             chosen.append(record.backup_holder.ref)
         return chosen
 
-    def deputy(self, service: str, primary: TargetEntry) -> HostRef | None:
+    def deputy(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
         """Return the host that is to stand in for this one, or None.
 
         In a third zone it is not cut off along with the holder, nor with the
@@ -93,7 +93,7 @@
                 return ref
         return None
 
-    def better(self, service: str, primary: TargetEntry) -> HostRef | None:
+    def better(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
         """Return who should hold a lead in place of this host, or None.
 
         That is a host in another zone than the primary, if this one is not, and
--- a/src/reedhook/process/lead/record.py
+++ b/src/reedhook/process/lead/record.py
@@ -4,7 +4,7 @@
 
 from ...peer import HostRef
 from ...record import Record
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from ...wire import Json, decode, encode, reader
 from ..announced.announcements import SYSTEM_KEY_PREFIX
 from ..announced.keyspace import Item
@@ -137,22 +137,24 @@
         found.former_complete = True
         return found
 
-    def with_primary(self, primary: TargetEntry, term: int) -> "PrimaryLeaseRecord":
+    def with_primary(
+        self, primary: TargetAnnouncement, term: int
+    ) -> "PrimaryLeaseRecord":
         """Return the record with the target that leads now."""
         found = self.copy()
         found.primary, found.primary_started_at_ms, found.term = (
             primary.target,
-            primary.born,
+            primary.started_at_ms,
             term,
         )
         found.successor, found.successor_started_at_ms = "", 0
         return found
 
-    def with_successor(self, successor: TargetEntry) -> "PrimaryLeaseRecord":
+    def with_successor(self, successor: TargetAnnouncement) -> "PrimaryLeaseRecord":
         """Return the record with the target that is to lead."""
         found = self.copy()
         found.successor = successor.target
-        found.successor_started_at_ms = successor.born
+        found.successor_started_at_ms = successor.started_at_ms
         return found
 
     def with_primary_of(self, other: "PrimaryLeaseRecord") -> "PrimaryLeaseRecord":
--- a/src/reedhook/process/lead/states.py
+++ b/src/reedhook/process/lead/states.py
@@ -10,7 +10,7 @@
     SessionTargetStatus,
     SessionTargetUnreachableError,
 )
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from ..announced.announcements import Announcements
 
 STATUS_TIMEOUT_SECONDS: Final = 0.4
@@ -27,18 +27,18 @@
         self.announcements = announcements
         self.driver = driver
 
-    def last_entry(self, target: str) -> TargetEntry | None:
+    def last_entry(self, target: str) -> TargetAnnouncement | None:
         """Return what a target announces, or announced last; None if never."""
         return self.announcements.last_entry(target)
 
-    def announced(self, service: str) -> list[TargetEntry]:
+    def announced(self, service: str) -> list[TargetAnnouncement]:
         """Return the targets of a service that announce themselves."""
         found = self.announcements.targets.values()
         return [one for one in found if one.service == service]
 
     async def all(
-        self, entries: list[TargetEntry]
-    ) -> list[tuple[TargetEntry, SessionTargetStatus]]:
+        self, entries: list[TargetAnnouncement]
+    ) -> list[tuple[TargetAnnouncement, SessionTargetStatus]]:
         """Return the targets that answer, with their state."""
         answers = await asyncio.gather(*(self.status(entry) for entry in entries))
         return [
@@ -47,7 +47,7 @@
             if answer is not None
         ]
 
-    async def status(self, entry: TargetEntry) -> SessionTargetStatus | None:
+    async def status(self, entry: TargetAnnouncement) -> SessionTargetStatus | None:
         """Ask one target for its state; None if it gives no answer."""
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
@@ -60,7 +60,7 @@
             return None
 
     async def is_reachable(
-        self, entry: TargetEntry, timeout: float = CONNECT_TIMEOUT_SECONDS
+        self, entry: TargetAnnouncement, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> bool:
         """Say whether a target accepts a new connection from here in time."""
         try:
--- a/src/reedhook/process/lead/user.py
+++ b/src/reedhook/process/lead/user.py
@@ -19,7 +19,7 @@
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.work import PositionProof, SessionStatement, SessionStatementResult
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from .claim import LeaseClaim
 from .record import PrimaryLeaseRecord
 from .states import TargetStatusClient
@@ -31,7 +31,7 @@
 
     def __call__(
         self,
-        entry: TargetEntry,
+        entry: TargetAnnouncement,
         permit: Callable[[], None],
         seen: Callable[[Position, float], None],
         opened: OnConnectionOpened = ...,
@@ -241,7 +241,9 @@
                 "primary_unanswered", service=self.service, error=repr(error)
             )
 
-    def use_primary(self, entry: TargetEntry, status: SessionTargetStatus) -> None:
+    def use_primary(
+        self, entry: TargetAnnouncement, status: SessionTargetStatus
+    ) -> None:
         """Make the home of a primary."""
         self.home = self.make_home(
             entry,
--- a/src/reedhook/process/lead/witness.py
+++ b/src/reedhook/process/lead/witness.py
@@ -8,7 +8,7 @@
 from ...peer import HostRef, PeerError, PeerRoutes, Peers
 from ...record import Record
 from ...request.refusal import RefusalError
-from ...version.registry import TargetEntry
+from ...version.registry import TargetAnnouncement
 from ...wire import Json, text
 from ..announced.announcements import Announcements
 from ..fleet.membership_table import MembershipTable
@@ -75,7 +75,7 @@
         reached = entry is not None and await self.states.is_reachable(entry)
         return {"reached": reached, "stored": self.announcements.store_reached}
 
-    async def probe(self, entry: TargetEntry) -> list[TargetObservation]:
+    async def probe(self, entry: TargetAnnouncement) -> list[TargetObservation]:
         """Return what hosts that answer say of a target and the store."""
         asked = self.chosen(entry.zone)
         answers = await asyncio.gather(
@@ -96,7 +96,7 @@
         return others[:MAX_PROBERS]
 
     async def request_probe(
-        self, host: HostRef, entry: TargetEntry
+        self, host: HostRef, entry: TargetAnnouncement
     ) -> TargetObservation | None:
         """Ask one host; None if it gives no answer."""
         body: Json = {"target": entry.target}
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -19,7 +19,7 @@
 from ..request.position import Position
 from ..request.replicas import ReplicaReader
 from ..request.steering import SessionRouter
-from ..version.registry import RouteTable, TargetEntry
+from ..version.registry import RouteTable, TargetAnnouncement
 from ..wire import Json
 from .announced.announcements import Announcements
 from .announced.capacities import HostCapacities, capacity
@@ -37,7 +37,7 @@
 from .fleet.directory import MembershipDirectory
 from .fleet.heartbeat import Heartbeats
 from .fleet.membership import Membership
-from .fleet.rendezvous import kept, share
+from .fleet.rendezvous import connection_quota, home_connection_limit
 from .histograms import HistogramMetrics
 from .hosting_settings import HostingSettings
 from .lead.book import PrimaryLeaseRegistry
@@ -144,7 +144,11 @@
             self.me, self.membership.table, self.capacities.is_weak
         )
         self.heartbeats = Heartbeats(
-            self.membership, self.peers, self.clock, self.random, listed=self.addresses
+            self.membership,
+            self.peers,
+            self.clock,
+            self.random,
+            list_addresses=self.addresses,
         )
 
     def make_news(self) -> None:
@@ -186,7 +190,7 @@
             self.me,
             lambda: self.directory.home(PROVER, ""),
             self.directory.is_relay,
-            self.heartbeats.ask,
+            self.heartbeats.probe,
             self.clock,
             self.random,
         )
@@ -253,8 +257,8 @@
             lambda: self.announcements.table.workspaces,
             self.freshness,
             lambda: self.partition.cut_off,
-            self.membership.table.sees_most,
-            self.heartbeats.doubt,
+            self.membership.table.sees_majority,
+            self.heartbeats.request_probe,
             self.settings.rates,
             self.clock,
             self.decisions,
@@ -331,17 +335,17 @@
         self.news.register(self.routes)
         self.table_desk.register(self.routes)
         self.hops.on_host_lost = self.host_lost
-        self.membership.on_version = self.tables.request_version
+        self.membership.on_newer_configuration = self.tables.request_version
         self.membership.on_answer = self.state_age
         self.heartbeats.on_answer = self.freshness.read_age
-        self.heartbeats.on_replaced = self.rate_owner.reset
+        self.heartbeats.on_presumed_dead = self.rate_owner.reset
         self.announcements.on_table.append(self.configured)
         self.announcements.on_update.append(self.learned)
         self.announcements.on_restart.append(self.replicas.forget_target)
 
     def make_home(
         self,
-        entry: TargetEntry,
+        entry: TargetAnnouncement,
         permit: Callable[[], None],
         seen: Callable[[Position, float], None],
         opened: OnConnectionOpened = lambda position: None,
@@ -353,14 +357,14 @@
             entry,
             self.driver,
             self.phrases,
-            share(connections, 0),
+            connection_quota(connections, 0),
             self.clock,
             self.decisions,
             permit,
             seen,
             self.announcements.table.transaction_idle,
             opened,
-            kept(connections),
+            home_connection_limit(connections),
         )
 
     def make_lead(self, record: PrimaryLeaseRecord, asked: float) -> PrimaryLeaseHolder:
@@ -499,7 +503,7 @@
     def learned(self) -> None:
         """Have heartbeats look for hosts that announce themselves."""
         if addresses := self.registration.pop_new_addresses():
-            self.heartbeats.greeter.offer(addresses)
+            self.heartbeats.discovery.update_listed_addresses(addresses)
 
     def state_age(self, answer: Json) -> None:
         """Say in the answer to a heartbeat how surely the version is the newest."""
@@ -507,15 +511,15 @@
 
     def configured(self, table: RouteTable) -> None:
         """State the version in force with the heartbeats."""
-        self.membership.set_version(table.version)
+        self.membership.set_configuration_version(table.version)
 
     def host_lost(self, host: HostRef) -> None:
         """Have heartbeats look at a host that gave no answer."""
-        self.heartbeats.doubt(host.host)
+        self.heartbeats.request_probe(host.host)
 
     def holders(self, version: int) -> list[HostRef]:
         """Return live hosts that said they have a version, if any of this zone."""
         table = self.membership.table
-        said = self.membership.versions
+        said = self.membership.configuration_versions
         found = [ref for ref in table.refs() if said.get(ref.host, 0) >= version]
         return [ref for ref in found if ref.zone == self.me.zone] or found
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -7,7 +7,7 @@
 from ..process.announced.announcements import Announcements
 from ..process.announced.freshness import ConfigurationFreshness
 from ..version.registry import Route
-from ..version.workspace import LONGEST_KEY, Workspace, key_digest, shown
+from ..version.workspace import MAX_KEY_CHARACTERS, Workspace, key_digest, short_digest
 from .refusal import RefusalError, RefusalReason, not_run
 
 REVOCATION_MARGIN_SECONDS: Final = 0.25
@@ -51,7 +51,7 @@
         """
         if route.public:
             return ""
-        digest = key_digest(key) if 0 < len(key) <= LONGEST_KEY else ""
+        digest = key_digest(key) if 0 < len(key) <= MAX_KEY_CHARACTERS else ""
         self.authorize_statement(route, digest)
         return digest
 
@@ -64,7 +64,7 @@
         if route.public:
             return None
         self.check_key_freshness(route, digest)
-        found = self.announcements.table.workspaces.holder(digest)
+        found = self.announcements.table.workspaces.find_by_digest(digest)
         if found is None:
             raise self.unknown_key_refusal(route, digest)
         return found
@@ -84,7 +84,7 @@
         self.decisions.note(
             "keys_unproved",
             database=route.database,
-            key=shown(digest),
+            key=short_digest(digest),
             age=round(min(age, 1e6), 3),
             source=self.freshness.source,
             configuration=self.announcements.table.version,
@@ -101,7 +101,7 @@
         self.decisions.note(
             "denied",
             database=route.database,
-            key=shown(digest),
+            key=short_digest(digest),
             age=round(min(self.freshness.age(), 1e6), 3),
             configuration=self.announcements.table.version,
         )
--- a/src/reedhook/request/choice.py
+++ b/src/reedhook/request/choice.py
@@ -226,7 +226,7 @@
         for member in self.sample_two(self.eligible_members(context)):
             cost = self.cost(member, context)
             if best is None or cost < best_cost:
-                best, best_cost = member.member, cost
+                best, best_cost = member.member_id, cost
         return best
 
     def sample_two(self, members: list[Member]) -> list[Member]:
@@ -243,7 +243,7 @@
         likely = []
         views = context.view.members
         for member in context.group.members:
-            one = views.get(member.member)
+            one = views.get(member.member_id)
             if one is None or not self.accepts_reads(one, context):
                 continue
             if is_known_to_satisfy(one, context.statement, context.now):
@@ -253,7 +253,10 @@
         if known or not likely:
             return known
         return [
-            min(likely, key=lambda member: expected_lag(views[member.member], context))
+            min(
+                likely,
+                key=lambda member: expected_lag(views[member.member_id], context),
+            )
         ]
 
     def accepts_reads(self, member_view: MemberView, context: SelectionContext) -> bool:
@@ -270,7 +273,7 @@
 
     def cost(self, member: Member, context: SelectionContext) -> float:
         """Return the wait to expect at `member`, with the way there, in seconds."""
-        one = context.view.members[member.member]
+        one = context.view.members[member.member_id]
         age = context.now - one.observed_at
         wait = one.expected_wait * max(0.0, 1.0 - age / WAIT_DECAY_SECONDS)
         hop = (
@@ -278,7 +281,7 @@
             if member.zone == self.zone
             else CROSS_ZONE_HOP_SECONDS
         )
-        inflight = context.observations.member(member.member).inflight
+        inflight = context.observations.member(member.member_id).inflight
         return wait + hop + INFLIGHT_COST_SECONDS * inflight
 
 
--- a/src/reedhook/request/credential.py
+++ b/src/reedhook/request/credential.py
@@ -19,7 +19,7 @@
     :raises Refusal: ``unauthenticated`` if it proves none.
     """
     digest = hashlib.sha256(bearer_credential(header)).hexdigest()
-    found = catalog.workspaces.holder(digest)
+    found = catalog.workspaces.find_by_digest(digest)
     if found is None:
         raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is not known")
     return found
--- a/src/reedhook/request/dispatch.py
+++ b/src/reedhook/request/dispatch.py
@@ -167,7 +167,7 @@
                 RefusalReason.UNKNOWN_GROUP, f"the group {group} is not known"
             )
         for one in found.members:
-            if one.member == member:
+            if one.member_id == member:
                 return self.directory.ranked(member, one.zone)
         raise not_run(
             RefusalReason.TARGET_LEAVING,
--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replicas.py
@@ -11,7 +11,7 @@
 from ..process.desk import PROOF, Desk
 from ..process.lead.book import PrimaryLeaseRegistry
 from ..record import Record
-from ..version.registry import Route, TargetEntry
+from ..version.registry import Route, TargetAnnouncement
 from ..wire import Json, WireError
 from .hop import LocatedResult, StatementForwarder, StatementLocation
 from .position import Position
@@ -55,7 +55,7 @@
     def __init__(
         self,
         located_result: LocatedResult | None = None,
-        overloaded_replica: TargetEntry | None = None,
+        overloaded_replica: TargetAnnouncement | None = None,
         wait_seconds: float = 0.0,
     ) -> None:
         self.located_result = located_result
@@ -160,13 +160,13 @@
 
     def best_replica(
         self, service: str, min_position: Position, tried: set[str]
-    ) -> TargetEntry | None:
+    ) -> TargetAnnouncement | None:
         """Return the replica that is expected to answer first, or None."""
         now = self.clock.monotonic()
         sightings = self.observations(service)
         record = self.lease_registry.get(service)
         primary = "" if record is None else record.primary
-        best: TargetEntry | None = None
+        best: TargetAnnouncement | None = None
         least = float("inf")
         for entry in self.announcements.targets.values():
             if entry.service != service or entry.leaving or entry.target == primary:
@@ -182,7 +182,7 @@
         return best
 
     async def run_at_replica(
-        self, entry: TargetEntry, statement: SessionStatement, deadline: float
+        self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
     ) -> ReplicaReadResult:
         """Run a read at one replica, unless another target is to serve it."""
         host = self.directory.home(entry.target, entry.zone)
@@ -230,7 +230,7 @@
         seen.record_answer(now - begun, reply.position, now)
         return ReplicaReadResult(LocatedResult(answer, place))
 
-    def forget_target(self, entry: TargetEntry) -> None:
+    def forget_target(self, entry: TargetAnnouncement) -> None:
         """Forget what was learned of a target that holds nothing of it now."""
         self.observations(entry.service).targets.pop(entry.target, None)
 
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/steering.py
@@ -10,7 +10,7 @@
 from ..peer import PeerError, Peers
 from ..process.lead.book import PrimaryLeaseRegistry
 from ..process.lead.leads import RECORDS_PATH
-from ..version.registry import Route, RouteKind
+from ..version.registry import Route, RouteConsistency
 from ..wire import WireError
 from .hop import LocatedResult, StatementForwarder, StatementLocation
 from .position import Position
@@ -79,7 +79,7 @@
         :raises Refusal: with a verdict that holds.
         """
         deadline = self.clock.monotonic() + statement.remaining
-        if not replica_allowed or route.kind is RouteKind.PRIMARY:
+        if not replica_allowed or route.kind is RouteConsistency.PRIMARY:
             return await self.run_at_primary(statement, deadline)
         tried = await self.replica_reader.run_read(
             route, statement, session_position, deadline
--- a/src/reedhook/request/views.py
+++ b/src/reedhook/request/views.py
@@ -172,7 +172,7 @@
         """Return the homes of the members, each once."""
         found: dict[str, HostRef] = {}
         for member in group.members:
-            home = self.directory.home(member.member, member.zone)
+            home = self.directory.home(member.member_id, member.zone)
             if home is not None:
                 found[home.host] = home
         return list(found.values())
--- a/src/reedhook/version/catalog.py
+++ b/src/reedhook/version/catalog.py
@@ -7,15 +7,15 @@
 class Member(Record):
     """Describe a member of a group: one target.
 
-    :param member: the member's id.
+    :param member_id: the member's id.
     :param zone: its availability zone.
     :param address: ``IP:port``.
     """
 
-    __slots__ = ("member", "zone", "address")
+    __slots__ = ("member_id", "zone", "address")
 
-    def __init__(self, member: str, zone: str, address: str) -> None:
-        self.member = member
+    def __init__(self, member_id: str, zone: str, address: str) -> None:
+        self.member_id = member_id
         self.zone = zone
         self.address = address
 
@@ -110,6 +110,6 @@
         """Return the group and description of a member, or None."""
         for group in self.groups.values():
             for one in group.members:
-                if one.member == member:
+                if one.member_id == member:
                     return group, one
         return None
