--- a/src/reedhook/version/check.py
+++ b/src/reedhook/version/check.py
@@ -8,17 +8,23 @@
 from ..record import Record
 from ..wire import Json
 from .catalog import Catalog, Group, Limits, Member
-from .document import BASE_FILE, Documents, Parsed, overlay_file, parse
+from .document import (
+    BASE_FILE,
+    ConfigurationDocuments,
+    ParsedDocument,
+    overlay_file,
+    parse_document,
+)
 from .fault import (
-    DisagreementFault,
-    Fault,
-    Mark,
-    Path,
-    ReferenceFault,
-    SchemaFault,
-    refuse,
+    ConfigurationError,
+    InvalidReferenceError,
+    KeyPath,
+    OverlayConflictError,
+    SchemaViolationError,
+    SourceLocation,
+    raise_errors,
 )
-from .merge import Merged, merge_site
+from .merge import MergedConfiguration, merge_site
 from .schema import NAME_PATTERN, violations
 from .workspace import Workspace, Workspaces
 
@@ -27,7 +33,7 @@
 MAX_PORT: Final = 65535
 
 
-class Checked(Record):
+class ValidatedConfiguration(Record):
     """Carry an edition that passed all checks.
 
     :param base: what holds at a zone without an overlay.
@@ -36,7 +42,9 @@
 
     __slots__ = ("base", "sites")
 
-    def __init__(self, base: Merged, sites: dict[str, Merged]) -> None:
+    def __init__(
+        self, base: MergedConfiguration, sites: dict[str, MergedConfiguration]
+    ) -> None:
         self.base = base
         self.sites = sites
 
@@ -45,36 +53,41 @@
         return build_catalog(version, site, self.sites.get(site, self.base).content)
 
 
-def check(documents: Documents, only: str | None = None) -> Checked:
+def validate_documents(
+    documents: ConfigurationDocuments, only_site: str | None = None
+) -> ValidatedConfiguration:
     """Check the base and the merged result of each site.
 
-    :param only: check this site alone, as a host does with an edition that was
+    :param only_site: check this site alone, as a host does with an edition that was
         accepted earlier.
     :raises InvalidConfiguration: with every fault found.
     """
-    faults: list[Fault] = []
-    base = parse(BASE_FILE, documents.base, faults)
-    overlays = parse_overlays(documents, only, faults)
+    faults: list[ConfigurationError] = []
+    base = parse_document(BASE_FILE, documents.base, faults)
+    overlays = parse_overlays(documents, only_site, faults)
     if not base.readable:
-        refuse(faults)
-    unread = {(fault.mark.file, fault.path) for fault in faults}
-    alone = Merged(None, base.content, base, None)
+        raise_errors(faults)
+    unread = {(fault.location.file, fault.path) for fault in faults}
+    alone = MergedConfiguration(None, base.content, base, None)
     broken = check_schema(alone, {}, unread, faults)
     if "services" not in broken:
-        faults += service_faults(alone, set(documents.overlays))
+        faults += service_errors(alone, set(documents.overlays))
     check_workspaces(alone, broken, faults)
-    sites: dict[str, Merged] = {}
+    sites: dict[str, MergedConfiguration] = {}
     for site, overlay in overlays.items():
         merged = sites[site] = merge_site(site, base, overlay)
-        faults += disagreements(base, overlay)
+        faults += overlay_conflicts(base, overlay)
         broken_here = check_schema(merged, base.content, unread, faults)
         check_workspaces(merged, broken | broken_here, faults)
-    refuse(faults)
-    return Checked(alone, sites)
+    raise_errors(faults)
+    return ValidatedConfiguration(alone, sites)
 
 
 def check_schema(
-    merged: Merged, checked: Json, unread: set[tuple[str, Path]], faults: list[Fault]
+    merged: MergedConfiguration,
+    checked: Json,
+    unread: set[tuple[str, KeyPath]],
+    faults: list[ConfigurationError],
 ) -> set[str]:
     """Append what breaks the schema; return the sections that are not sound.
 
@@ -84,34 +97,40 @@
         YAML and were told already.
     """
     broken = {path[0] for file, path in unread if path and file in merged.files}
-    for fault in schema_faults(merged, checked):
+    for fault in schema_errors(merged, checked):
         broken.update(fault.path[:1] or EMPTY_SECTIONS)
-        if (fault.mark.file, fault.path) not in unread:
+        if (fault.location.file, fault.path) not in unread:
             faults.append(fault)
     return broken
 
 
-def check_workspaces(merged: Merged, broken: set[str], faults: list[Fault]) -> None:
+def check_workspaces(
+    merged: MergedConfiguration, broken: set[str], faults: list[ConfigurationError]
+) -> None:
     """Append what is wrong with the workspaces, if they and the services are sound."""
     if broken.isdisjoint(("services", "workspaces")):
-        faults += workspace_faults(merged)
+        faults += workspace_errors(merged)
 
 
 def parse_overlays(
-    documents: Documents, only: str | None, faults: list[Fault]
-) -> dict[str, Parsed]:
+    documents: ConfigurationDocuments,
+    only: str | None,
+    faults: list[ConfigurationError],
+) -> dict[str, ParsedDocument]:
     """Return the overlays that are to be checked and can be read."""
-    overlays: dict[str, Parsed] = {}
+    overlays: dict[str, ParsedDocument] = {}
     for site, text in documents.overlays.items():
         if only not in (None, site):
             continue
-        overlay = parse(overlay_file(site), text, faults)
+        overlay = parse_document(overlay_file(site), text, faults)
         if overlay.readable:
             overlays[site] = overlay
     return overlays
 
 
-def schema_faults(merged: Merged, checked: Json) -> Iterator[Fault]:
+def schema_errors(
+    merged: MergedConfiguration, checked: Json
+) -> Iterator[ConfigurationError]:
     """Yield what breaks the schema in sections that differ from `checked`.
 
     Sections that a site shares with the base are checked once, there.
@@ -121,10 +140,12 @@
         if section in checked and values[section] == checked[section]:
             values[section] = empty
     for path, reason in violations(values):
-        yield SchemaFault(merged.mark(path), path, reason)
+        yield SchemaViolationError(merged.locate(path), path, reason)
 
 
-def disagreements(base: Parsed, overlay: Parsed) -> Iterator[Fault]:
+def overlay_conflicts(
+    base: ParsedDocument, overlay: ParsedDocument
+) -> Iterator[ConfigurationError]:
     """Yield what an overlay changes in the services.
 
     Any host may be home of any target, so that all sites must agree on the
@@ -135,10 +156,10 @@
     known, stated = base.content.get("services"), overlay.content["services"]
     for path in overridden(known, stated, ("services",)):
         reason = "all sites must agree on the services; change it in the base"
-        yield DisagreementFault(overlay.mark(path), path, reason)
+        yield OverlayConflictError(overlay.locate(path), path, reason)
 
 
-def overridden(base: Any, overlay: Any, path: Path) -> Iterator[Path]:
+def overridden(base: Any, overlay: Any, path: KeyPath) -> Iterator[KeyPath]:
     """Yield the paths whose value in `overlay` is not that of `base`."""
     if not isinstance(base, dict) or not isinstance(overlay, dict):
         if base != overlay:
@@ -151,63 +172,71 @@
         yield from overridden(base[key], value, (*path, key))
 
 
-def service_faults(base: Merged, sites: set[str]) -> Iterator[Fault]:
+def service_errors(
+    base: MergedConfiguration, sites: set[str]
+) -> Iterator[ConfigurationError]:
     """Yield what is wrong between services, groups and members."""
-    owners = Owners(base)
+    owners = UniquenessChecker(base)
     for name, service in base.content["services"].items():
-        path: Path = ("services", name)
+        path: KeyPath = ("services", name)
         if service["slots"] > service["connections"]:
             reason = "must not exceed the connections"
-            yield fault_at(base, (*path, "slots"), reason)
+            yield reference_error(base, (*path, "slots"), reason)
         for group, content in service["groups"].items():
             place = (*path, "groups", group)
-            yield from owners.claim("group", group, place)
+            yield from owners.check_unique("group", group, place)
             for member, one in content["members"].items():
                 where = (*place, "members", member)
-                yield from owners.claim("member", member, where)
-                yield from member_faults(base, where, one, sites, owners)
-    yield from site_name_faults(sites)
-
-
-def member_faults(
-    base: Merged, path: Path, member: Json, sites: set[str], owners: "Owners"
-) -> Iterator[Fault]:
+                yield from owners.check_unique("member", member, where)
+                yield from member_errors(base, where, one, sites, owners)
+    yield from site_name_errors(sites)
+
+
+def member_errors(
+    base: MergedConfiguration,
+    path: KeyPath,
+    member: Json,
+    sites: set[str],
+    owners: "UniquenessChecker",
+) -> Iterator[ConfigurationError]:
     """Yield what is wrong with one member."""
     if sites and member["zone"] not in sites:
         reason = f"no site {member['zone']!r} has an overlay"
-        yield fault_at(base, (*path, "zone"), reason)
+        yield reference_error(base, (*path, "zone"), reason)
     place = (*path, "address")
     if not is_address(member["address"]):
         reason = "expected IP:port with a number, such as 127.0.0.1:17101"
-        yield fault_at(base, place, reason)
+        yield reference_error(base, place, reason)
         return
-    yield from owners.claim("address", member["address"], place)
+    yield from owners.check_unique("address", member["address"], place)
 
 
-def site_name_faults(sites: set[str]) -> Iterator[Fault]:
+def site_name_errors(sites: set[str]) -> Iterator[ConfigurationError]:
     """Yield the sites whose name is not a name."""
     for site in sorted(sites):
         if re.match(NAME_PATTERN, site) is None:
-            mark = Mark(overlay_file(site), None)
-            yield ReferenceFault(mark, (), "the site's name is not a name")
+            mark = SourceLocation(overlay_file(site), None)
+            yield InvalidReferenceError(mark, (), "the site's name is not a name")
 
 
-def workspace_faults(merged: Merged) -> Iterator[Fault]:
+def workspace_errors(merged: MergedConfiguration) -> Iterator[ConfigurationError]:
     """Yield what is wrong with the workspaces of one site."""
-    owners = Owners(merged)
+    owners = UniquenessChecker(merged)
     for name, workspace in merged.content["workspaces"].items():
-        path: Path = ("workspaces", name)
+        path: KeyPath = ("workspaces", name)
         for index, service in enumerate(workspace["services"]):
             if service not in merged.content["services"]:
                 reason = f"there is no service {service!r}"
-                yield fault_at(merged, (*path, "services", str(index)), reason)
+                yield reference_error(merged, (*path, "services", str(index)), reason)
         place = (*path, "token_sha256")
-        yield from owners.claim("credential", workspace["token_sha256"], place)
+        yield from owners.check_unique("credential", workspace["token_sha256"], place)
 
 
-def fault_at(merged: Merged, path: Path, reason: str) -> Fault:
+def reference_error(
+    merged: MergedConfiguration, path: KeyPath, reason: str
+) -> ConfigurationError:
     """Return a fault of reference at `path`."""
-    return ReferenceFault(merged.mark(path), path, reason)
+    return InvalidReferenceError(merged.locate(path), path, reason)
 
 
 def is_address(text: str) -> bool:
@@ -225,22 +254,24 @@
     return host == written
 
 
-class Owners:
+class UniquenessChecker:
     """Find names that two things share."""
 
     __slots__ = ("merged", "first")
 
-    def __init__(self, merged: Merged) -> None:
+    def __init__(self, merged: MergedConfiguration) -> None:
         self.merged = merged
-        self.first: dict[tuple[str, str], Path] = {}
+        self.first: dict[tuple[str, str], KeyPath] = {}
 
-    def claim(self, kind: str, name: str, path: Path) -> Iterator[Fault]:
+    def check_unique(
+        self, kind: str, name: str, path: KeyPath
+    ) -> Iterator[ConfigurationError]:
         """Yield a fault if another path claimed the name before."""
         first = self.first.setdefault((kind, name), path)
         if first != path:
-            mark = self.merged.mark(first)
+            mark = self.merged.locate(first)
             reason = f"same {kind} as {'.'.join(first)} ({mark})"
-            yield fault_at(self.merged, path, reason)
+            yield reference_error(self.merged, path, reason)
 
 
 def build_catalog(version: int, site: str, values: Json) -> Catalog:
--- a/src/reedhook/version/delta.py
+++ b/src/reedhook/version/delta.py
@@ -17,14 +17,14 @@
 
 Part: TypeAlias = str | list[int]
 
-END: Final = b"}"
+OBJECT_END: Final = b"}"
 ENCODING: Final = "latin-1"
 """Stands for each byte by one character, whatever the document holds."""
 
 LEVEL: Final = 6
 """Of the compression: 280 KB of routes take 17 ms and come to a sixth."""
 
-MOST_BYTES: Final = 16 * 1024 * 1024
+MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 """Of a document that is unpacked; a value of the platform's store has 1 MB."""
 
 
@@ -60,7 +60,7 @@
         return cls(*value)
 
 
-def pack(document: bytes, base: bytes) -> Delta:
+def make_delta(document: bytes, base: bytes) -> Delta:
     """Return what turns `base`, which may be empty, into `document`."""
     parts = orjson.dumps(difference(document, base))
     packed = b64encode(zlib.compress(parts, LEVEL)).decode()
@@ -68,7 +68,7 @@
 
 
 @reader
-def unpack(delta: Delta, base: bytes) -> bytes:
+def apply_delta(delta: Delta, base: bytes) -> bytes:
     """Return the document that a delta gives.
 
     :raises WireError: if it is malformed, or was made for another base.
@@ -76,7 +76,7 @@
     if delta.base != digest(base):
         raise WireError("the delta is for another base")
     raw = decompress(b64decode(delta.packed, validate=True))
-    document = joined(orjson.loads(raw), pieces(base))
+    document = joined(orjson.loads(raw), split_pieces(base))
     if delta.digest != digest(document):
         raise WireError("the delta gives another document")
     return document
@@ -87,15 +87,15 @@
     return xxhash.xxh3_128_hexdigest(document)
 
 
-EMPTY: Final = digest(b"")
+EMPTY_DIGEST: Final = digest(b"")
 """Digest of the document that everybody has."""
 
 
 def difference(document: bytes, base: bytes) -> list[Part]:
     """Return the parts of `document`, taken from `base` where it has them."""
-    places = {piece: place for place, piece in enumerate(pieces(base))}
+    places = {piece: place for place, piece in enumerate(split_pieces(base))}
     parts: list[Part] = []
-    for piece in pieces(document):
+    for piece in split_pieces(document):
         place = places.get(piece)
         last = parts[-1] if parts else None
         if place is None and isinstance(last, str):
@@ -109,10 +109,10 @@
     return parts
 
 
-def pieces(document: bytes) -> list[bytes]:
+def split_pieces(document: bytes) -> list[bytes]:
     """Cut a document; the pieces joined give it back."""
-    *whole, rest = document.split(END)
-    return [piece + END for piece in whole] + ([rest] if rest else [])
+    *whole, rest = document.split(OBJECT_END)
+    return [piece + OBJECT_END for piece in whole] + ([rest] if rest else [])
 
 
 def joined(parts: list[Part], base: list[bytes]) -> bytes:
@@ -140,7 +140,7 @@
     """
     inflator = zlib.decompressobj()
     try:
-        raw = inflator.decompress(packed, MOST_BYTES)
+        raw = inflator.decompress(packed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
         raise WireError(f"the delta is damaged: {error}") from error
     if inflator.unconsumed_tail:
--- a/src/reedhook/version/difference.py
+++ b/src/reedhook/version/difference.py
@@ -2,13 +2,13 @@
 
 from ..record import Record
 from ..wire import Json
-from .document import BASE_FILE, Documents, overlay_file, parse
-from .edition import Head
-from .fault import Fault
+from .document import BASE_FILE, ConfigurationDocuments, overlay_file, parse_document
+from .edition import SnapshotManifest
+from .fault import ConfigurationError
 from .merge import changed_paths
 
 
-class Change(Record):
+class PathChange(Record):
     """Carry one path that differs between two versions.
 
     :param file: the document.
@@ -29,34 +29,40 @@
 class VersionChanges(Record):
     """Carry what one version changed.
 
-    :param head: the version's head.
+    :param manifest: the version's head.
     :param changes: what it changed; empty if only comments or layout did.
     """
 
-    __slots__ = ("head", "changes")
+    __slots__ = ("manifest", "changes")
 
-    def __init__(self, head: Head, changes: tuple[Change, ...]) -> None:
-        self.head = head
+    def __init__(
+        self, manifest: SnapshotManifest, changes: tuple[PathChange, ...]
+    ) -> None:
+        self.manifest = manifest
         self.changes = changes
 
     def to_json(self) -> Json:
         """Return the changes as they stand on the wire."""
         changes = [change.to_json() for change in self.changes]
-        return {**self.head.summary(), "changes": changes}
+        return {**self.manifest.summary(), "changes": changes}
 
 
-def changes_between(before: Documents, after: Documents) -> list[Change]:
+def changes_between(
+    before: ConfigurationDocuments, after: ConfigurationDocuments
+) -> list[PathChange]:
     """Return the paths at which two editions differ."""
-    ignored: list[Fault] = []
+    ignored: list[ConfigurationError] = []
     texts = {BASE_FILE: (before.base, after.base)}
     for site in sorted({*before.overlays, *after.overlays}):
         pair = before.overlays.get(site, ""), after.overlays.get(site, "")
         texts[overlay_file(site)] = pair
-    changes: list[Change] = []
+    changes: list[PathChange] = []
     for file, (old, new) in texts.items():
         if old == new:
             continue
-        left, right = parse(file, old, ignored), parse(file, new, ignored)
+        left, right = parse_document(file, old, ignored), parse_document(
+            file, new, ignored
+        )
         for path in changed_paths(left.content, right.content):
-            changes.append(Change(file, ".".join(path)))
+            changes.append(PathChange(file, ".".join(path)))
     return changes
--- a/src/reedhook/version/document.py
+++ b/src/reedhook/version/document.py
@@ -8,21 +8,27 @@
 
 from ..record import Record
 from ..wire import Json, WireError
-from .fault import DuplicateKeyFault, Fault, Mark, Path, SyntaxFault
+from .fault import (
+    ConfigurationError,
+    ConfigurationSyntaxError,
+    DuplicateKeyError,
+    KeyPath,
+    SourceLocation,
+)
 
 BASE_FILE: Final = "base.yaml"
-MAX_DOCUMENT: Final = 4 * 1024 * 1024
+MAX_DOCUMENT_CHARACTERS: Final = 4 * 1024 * 1024
 MAX_DEPTH: Final = 32
 Loader: Final = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 TAG: Final = "tag:yaml.org,2002:"
 NUMBER_TAGS: Final = {f"{TAG}{name}" for name in ("int", "float", "bool", "null")}
-UNACCEPTED: Final = object()
-FORMER_KEYS: Final = {"teams": "workspaces"}
+UNSUPPORTED_SCALAR: Final = object()
+RENAMED_KEYS: Final = {"teams": "workspaces"}
 
 log = logbook.Logger("configuration")
 
 
-class Documents(Record):
+class ConfigurationDocuments(Record):
     """Carry the texts of one edition of the configuration.
 
     :param base: the base file, YAML.
@@ -40,7 +46,7 @@
         return {"base": self.base, "overlays": self.overlays}
 
     @classmethod
-    def from_json(cls, message: Json) -> "Documents":
+    def from_json(cls, message: Json) -> "ConfigurationDocuments":
         """Read documents from the wire.
 
         :raises WireError: if the message has another form.
@@ -54,7 +60,7 @@
         return cls(base, overlays)
 
 
-class Parsed(Record):
+class ParsedDocument(Record):
     """Carry the values of a document and the line of each path.
 
     :param file: the document's name.
@@ -65,17 +71,17 @@
 
     __slots__ = ("file", "content", "lines", "readable")
 
-    def __init__(self, file: str, content: Json, lines: dict[Path, int]) -> None:
+    def __init__(self, file: str, content: Json, lines: dict[KeyPath, int]) -> None:
         self.file = file
         self.content = content
         self.lines = lines
         self.readable = False
 
-    def mark(self, path: Path) -> Mark:
+    def locate(self, path: KeyPath) -> SourceLocation:
         """Return where `path`, or the nearest mapping around it, is stated."""
         while path and path not in self.lines:
             path = path[:-1]
-        return Mark(self.file, self.lines.get(path))
+        return SourceLocation(self.file, self.lines.get(path))
 
 
 def overlay_file(site: str) -> str:
@@ -83,28 +89,32 @@
     return f"overlays/{site}.yaml"
 
 
-def parse(file: str, text: str, faults: list[Fault]) -> Parsed:
+def parse_document(
+    file: str, text: str, faults: list[ConfigurationError]
+) -> ParsedDocument:
     """Read one document; append what is wrong with it to `faults`."""
-    parsed = Parsed(file, {}, {})
-    if len(text) > MAX_DOCUMENT:
-        reason = f"longer than {MAX_DOCUMENT} characters"
-        faults.append(SyntaxFault(Mark(file, None), (), reason))
+    parsed = ParsedDocument(file, {}, {})
+    if len(text) > MAX_DOCUMENT_CHARACTERS:
+        reason = f"longer than {MAX_DOCUMENT_CHARACTERS} characters"
+        faults.append(ConfigurationSyntaxError(SourceLocation(file, None), (), reason))
         return parsed
     try:
         DocumentReader(parsed, faults).read(text)
     except yaml.YAMLError as error:
-        faults.append(syntax_fault(file, error))
+        faults.append(syntax_error(file, error))
     except UnicodeEncodeError:
-        faults.append(SyntaxFault(Mark(file, None), (), "not Unicode text"))
+        faults.append(
+            ConfigurationSyntaxError(SourceLocation(file, None), (), "not Unicode text")
+        )
     return parsed
 
 
-def syntax_fault(file: str, error: yaml.YAMLError) -> SyntaxFault:
+def syntax_error(file: str, error: yaml.YAMLError) -> ConfigurationSyntaxError:
     """Return a fault that says what the YAML parser found."""
     mark = getattr(error, "problem_mark", None)
     line = None if mark is None else mark.line + 1
     reason = getattr(error, "problem", None) or "not readable as YAML"
-    return SyntaxFault(Mark(file, line), (), str(reason))
+    return ConfigurationSyntaxError(SourceLocation(file, line), (), str(reason))
 
 
 class DocumentReader:
@@ -112,7 +122,9 @@
 
     __slots__ = ("parsed", "faults", "loader", "seen")
 
-    def __init__(self, parsed: Parsed, faults: list[Fault]) -> None:
+    def __init__(
+        self, parsed: ParsedDocument, faults: list[ConfigurationError]
+    ) -> None:
         self.parsed = parsed
         self.faults = faults
         self.seen: set[int] = set()
@@ -122,7 +134,7 @@
 
         :raises yaml.YAMLError: if `text` is not YAML.
         """
-        refuse_deep_nesting(text)
+        check_nesting_depth(text)
         self.loader = Loader(text)
         try:
             node = self.loader.get_single_node()
@@ -133,17 +145,17 @@
         finally:
             self.loader.dispose()
         if not isinstance(values, dict):
-            self.fault(node, (), "a mapping is expected")
+            self.add_error(node, (), "a mapping is expected")
             return
         self.parsed.content = values
         self.parsed.readable = True
 
-    def value(self, node: yaml.Node, path: Path) -> Any:
+    def value(self, node: yaml.Node, path: KeyPath) -> Any:
         """Return the plain value of `node`."""
         self.parsed.lines.setdefault(path, node.start_mark.line + 1)
         # An alias may repeat its anchor without bound, so none is followed.
         if id(node) in self.seen:
-            self.fault(node, path, "aliases are not accepted")
+            self.add_error(node, path, "aliases are not accepted")
             return None
         self.seen.add(id(node))
         if isinstance(node, yaml.MappingNode):
@@ -152,79 +164,79 @@
             return self.sequence(node, path)
         return self.scalar(node, path)
 
-    def mapping(self, node: yaml.MappingNode, path: Path) -> Json:
+    def mapping(self, node: yaml.MappingNode, path: KeyPath) -> Json:
         """Return the plain value of a mapping."""
         values: Json = {}
         for key_node, value_node in node.value:
             key = self.key(key_node, path)
             if key is None:
                 continue
-            if not path and key in FORMER_KEYS:
-                key = self.present_name(key)
+            if not path and key in RENAMED_KEYS:
+                key = self.current_key(key)
             place = (*path, key)
             line = key_node.start_mark.line + 1
             if key in values:
                 reason = f"stated twice; first in line {self.parsed.lines[place]}"
-                mark = Mark(self.parsed.file, line)
-                self.faults.append(DuplicateKeyFault(mark, place, reason))
+                mark = SourceLocation(self.parsed.file, line)
+                self.faults.append(DuplicateKeyError(mark, place, reason))
                 continue
             self.parsed.lines[place] = line
             values[key] = self.value(value_node, place)
         return values
 
-    def present_name(self, key: str) -> str:
+    def current_key(self, key: str) -> str:
         """Return what a section is called now; its former name is still read."""
-        name = FORMER_KEYS[key]
+        name = RENAMED_KEYS[key]
         file = self.parsed.file
         log.warning("{} states {}, which is called {} now.", file, key, name)
         return name
 
-    def key(self, node: yaml.Node, path: Path) -> str | None:
+    def key(self, node: yaml.Node, path: KeyPath) -> str | None:
         """Return a key, or None if it is not a text."""
         if isinstance(node, yaml.ScalarNode):
-            key = self.plain(node)
+            key = self.construct_scalar(node)
             if isinstance(key, str):
                 return key
-        self.fault(node, path, "keys must be texts; put quotes around it")
+        self.add_error(node, path, "keys must be texts; put quotes around it")
         return None
 
-    def sequence(self, node: yaml.SequenceNode, path: Path) -> list[Any]:
+    def sequence(self, node: yaml.SequenceNode, path: KeyPath) -> list[Any]:
         """Return the plain value of a sequence."""
         return [
             self.value(child, (*path, str(index)))
             for index, child in enumerate(node.value)
         ]
 
-    def scalar(self, node: yaml.Node, path: Path) -> Any:
+    def scalar(self, node: yaml.Node, path: KeyPath) -> Any:
         """Return the plain value of a scalar."""
-        value = self.plain(node)
-        if value is UNACCEPTED:
+        value = self.construct_scalar(node)
+        if value is UNSUPPORTED_SCALAR:
             reason = "a text, number or truth value is expected; quote other texts"
-            self.fault(node, path, reason)
+            self.add_error(node, path, reason)
             return None
         if isinstance(value, float) and not math.isfinite(value):
-            self.fault(node, path, "a finite number is expected")
+            self.add_error(node, path, "a finite number is expected")
             return None
         return value
 
-    def plain(self, node: yaml.Node) -> Any:
+    def construct_scalar(self, node: yaml.Node) -> Any:
         """Return what YAML makes of a scalar, or `UNACCEPTED`."""
         if node.tag == f"{TAG}str":
             return node.value
         if node.tag not in NUMBER_TAGS:
-            return UNACCEPTED
+            return UNSUPPORTED_SCALAR
         try:
             return self.loader.construct_object(node)
         except (ValueError, KeyError):
-            return UNACCEPTED
+            return UNSUPPORTED_SCALAR
 
-    def fault(self, node: yaml.Node, path: Path, reason: str) -> None:
+    def add_error(self, node: yaml.Node, path: KeyPath, reason: str) -> None:
         """Take note of a fault at `node`."""
-        mark = Mark(self.parsed.file, node.start_mark.line + 1)
-        self.faults.append(SyntaxFault(mark, path, reason))
+        mark = SourceLocation(self.parsed.file, node.start_mark.line + 1)
+        self.faults.append(ConfigurationSyntaxError(mark, path, reason))
 
 
-class DeepNesting(yaml.YAMLError):
+class NestingTooDeepError(yaml.YAMLError):
     """Say that a document nests beyond what is accepted.
 
     :param problem_mark: where, as the YAML parser's own errors have it.
@@ -236,7 +248,7 @@
         super().__init__(self.problem)
 
 
-def refuse_deep_nesting(text: str) -> None:
+def check_nesting_depth(text: str) -> None:
     """Raise `DeepNesting` if `text` nests beyond what is accepted.
 
     The composer recurses, so that the depth is bounded before it runs.
@@ -248,4 +260,4 @@
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise DeepNesting(event.start_mark)
+            raise NestingTooDeepError(event.start_mark)
--- a/src/reedhook/version/edition.py
+++ b/src/reedhook/version/edition.py
@@ -9,15 +9,15 @@
 
 from ..record import Record
 from ..wire import Json, WireError, decode
-from .document import Documents
+from .document import ConfigurationDocuments
 
-MIN_PART: Final = 4 * 1024
-MAX_PART: Final = 128 * 1024
-MEAN_PART: Final = 16 * 1024
+MIN_PART_BYTES: Final = 4 * 1024
+MAX_PART_BYTES: Final = 128 * 1024
+MEAN_PART_BYTES: Final = 16 * 1024
 KEPT_EDIT_IDS: Final = 32
 
 
-class EditionError(ValueError):
+class SnapshotError(ValueError):
     """Say that a head or a part is not what it should be."""
 
 
@@ -37,7 +37,7 @@
         self.size = size
 
 
-class Head(Record):
+class SnapshotManifest(Record):
     """Describe one version of the configuration.
 
     :param version: the version; it only ever grows.
@@ -106,7 +106,7 @@
         return orjson.dumps(self.to_json())
 
     @classmethod
-    def decode(cls, value: bytes) -> "Head":
+    def decode(cls, value: bytes) -> "SnapshotManifest":
         """Read a head from the store.
 
         :raises EditionError: if it is damaged.
@@ -114,57 +114,57 @@
         try:
             return cls.from_json(decode(value))
         except WireError as error:
-            raise EditionError(str(error)) from error
+            raise SnapshotError(str(error)) from error
 
     @classmethod
-    def from_json(cls, message: Json) -> "Head":
+    def from_json(cls, message: Json) -> "SnapshotManifest":
         """Read a head from the wire.
 
         :raises EditionError: if it is damaged.
         """
         content: Json = {name: message.get(name) for name in cls.__slots__}
         if message.get("digest") != digest_of(content):
-            raise EditionError("the digest of the head differs")
+            raise SnapshotError("the digest of the head differs")
         try:
             content["texts"] = tuple((name, int(n)) for name, n in message["texts"])
             content["parts"] = tuple(PartRef(*part) for part in message["parts"])
             content["recent"] = tuple((int(v), one) for v, one in message["recent"])
         except (TypeError, ValueError, KeyError) as error:
-            raise EditionError("the head has another form") from error
+            raise SnapshotError("the head has another form") from error
         return cls(**content)
 
 
-class Edition(Record):
+class ConfigurationSnapshot(Record):
     """Carry a head with all its parts.
 
     :param packed: the packed content of each part, by digest.
     """
 
-    __slots__ = ("head", "packed")
+    __slots__ = ("manifest", "packed")
 
-    def __init__(self, head: Head, packed: dict[str, bytes]) -> None:
-        self.head = head
+    def __init__(self, manifest: SnapshotManifest, packed: dict[str, bytes]) -> None:
+        self.manifest = manifest
         self.packed = packed
 
     @property
     def version(self) -> int:
         """Return the version."""
-        return self.head.version
+        return self.manifest.version
 
-    def documents(self) -> Documents:
+    def documents(self) -> ConfigurationDocuments:
         """Return the documents.
 
         :raises EditionError: if a part is missing or damaged.
         """
-        raw = b"".join(self.content(part) for part in self.head.parts)
+        raw = b"".join(self.content(part) for part in self.manifest.parts)
         texts: dict[str, str] = {}
         start = 0
-        for name, size in self.head.texts:
+        for name, size in self.manifest.texts:
             texts[name] = raw[start : start + size].decode()
             start += size
         if start != len(raw) or "" not in texts:
-            raise EditionError("the parts do not add up to the texts")
-        return Documents(texts.pop(""), texts)
+            raise SnapshotError("the parts do not add up to the texts")
+        return ConfigurationDocuments(texts.pop(""), texts)
 
     def content(self, part: PartRef) -> bytes:
         """Return the unpacked content of a part.
@@ -173,8 +173,8 @@
         """
         packed = self.packed.get(part.digest)
         if packed is None:
-            raise EditionError(f"part {part.digest} is missing")
-        return unpack(part, packed)
+            raise SnapshotError(f"part {part.digest} is missing")
+        return decompress_part(part, packed)
 
 
 def digest_of(message: Json) -> str:
@@ -184,38 +184,38 @@
     return hashlib.sha256(encoded).hexdigest()
 
 
-def pack(content: bytes) -> bytes:
+def compress_part(content: bytes) -> bytes:
     """Return the content of a part as it stands in the store and on the wire."""
     return zlib.compress(content)
 
 
-def unpack(part: PartRef, packed: bytes) -> bytes:
+def decompress_part(part: PartRef, packed: bytes) -> bytes:
     """Return the content of a part after a check of its digest.
 
     :raises EditionError: if it is damaged.
     """
-    if part.size > MAX_PART:
-        raise EditionError(f"part {part.digest} is too large")
+    if part.size > MAX_PART_BYTES:
+        raise SnapshotError(f"part {part.digest} is too large")
     try:
         unpacker = zlib.decompressobj()
         content = unpacker.decompress(packed, part.size + 1)
     except zlib.error as error:
-        raise EditionError(f"part {part.digest} is damaged") from error
+        raise SnapshotError(f"part {part.digest} is damaged") from error
     if not unpacker.eof or unpacker.unused_data:
-        raise EditionError(f"part {part.digest} has another length")
+        raise SnapshotError(f"part {part.digest} has another length")
     if hashlib.sha256(content).hexdigest() != part.digest:
-        raise EditionError(f"part {part.digest} has another digest")
+        raise SnapshotError(f"part {part.digest} has another digest")
     return content
 
 
-def make_edition(
-    documents: Documents,
-    previous: Head | None,
+def build_snapshot(
+    documents: ConfigurationDocuments,
+    previous: SnapshotManifest | None,
     edit_id: str,
     author: str,
     comment: str,
     wall: float,
-) -> Edition:
+) -> ConfigurationSnapshot:
     """Return the edition that follows `previous`.
 
     Parts of `previous` whose content stays are referred to, not written again.
@@ -229,9 +229,9 @@
         digest = hashlib.sha256(content).hexdigest()
         fresh = PartRef(version, digest, len(content))
         parts.append(known.get(digest, fresh))
-        packed[digest] = pack(content)
+        packed[digest] = compress_part(content)
     recent = (*(previous.recent if previous else ()), (version, edit_id))
-    head = Head(
+    head = SnapshotManifest(
         version=version,
         parent=version - 1,
         edit_id=edit_id,
@@ -243,17 +243,19 @@
         trimmed=previous.trimmed if previous else 0,
         recent=recent[-KEPT_EDIT_IDS:],
     )
-    return Edition(head, packed)
+    return ConfigurationSnapshot(head, packed)
 
 
-def holds(head: Head, documents: Documents) -> bool:
+def manifest_matches(head: SnapshotManifest, documents: ConfigurationDocuments) -> bool:
     """Say whether `head` holds just these documents."""
     texts, raw = join_texts(documents)
     digests = [hashlib.sha256(content).hexdigest() for content in split(raw)]
     return head.texts == texts and [part.digest for part in head.parts] == digests
 
 
-def join_texts(documents: Documents) -> tuple[tuple[tuple[str, int], ...], bytes]:
+def join_texts(
+    documents: ConfigurationDocuments,
+) -> tuple[tuple[tuple[str, int], ...], bytes]:
     """Return the names and sizes of the texts, and the texts joined."""
     texts = [("", documents.base.encode())]
     for site in sorted(documents.overlays):
@@ -273,11 +275,11 @@
     start = end = 0
     for line in raw.splitlines(keepends=True):
         end += len(line)
-        while end - start > MAX_PART:
-            parts.append(raw[start : start + MAX_PART])
-            start += MAX_PART
-        chosen = xxhash.xxh32_intdigest(line) % MEAN_PART < len(line)
-        if chosen and end - start >= MIN_PART:
+        while end - start > MAX_PART_BYTES:
+            parts.append(raw[start : start + MAX_PART_BYTES])
+            start += MAX_PART_BYTES
+        chosen = xxhash.xxh32_intdigest(line) % MEAN_PART_BYTES < len(line)
+        if chosen and end - start >= MIN_PART_BYTES:
             parts.append(raw[start:end])
             start = end
     if start < end:
--- a/src/reedhook/version/merge.py
+++ b/src/reedhook/version/merge.py
@@ -4,11 +4,11 @@
 
 from ..record import Record
 from ..wire import Json
-from .document import Parsed
-from .fault import Mark, Path
+from .document import ParsedDocument
+from .fault import KeyPath, SourceLocation
 
 
-class Merged(Record):
+class MergedConfiguration(Record):
     """Carry the merged values of one site and where each was stated.
 
     :param site: the availability zone; None stands for the base alone.
@@ -17,7 +17,11 @@
     __slots__ = ("site", "content", "base", "overlay")
 
     def __init__(
-        self, site: str | None, content: Json, base: Parsed, overlay: Parsed | None
+        self,
+        site: str | None,
+        content: Json,
+        base: ParsedDocument,
+        overlay: ParsedDocument | None,
     ) -> None:
         self.site = site
         self.content = content
@@ -30,20 +34,24 @@
         overlay = () if self.overlay is None else (self.overlay.file,)
         return (self.base.file, *overlay)
 
-    def mark(self, path: Path) -> Mark:
+    def locate(self, path: KeyPath) -> SourceLocation:
         """Return where the value at `path`, or the nearest around it, is stated."""
         while path:
             if self.overlay is not None and path in self.overlay.lines:
-                return self.overlay.mark(path)
+                return self.overlay.locate(path)
             if path in self.base.lines:
-                return self.base.mark(path)
+                return self.base.locate(path)
             path = path[:-1]
-        return (self.overlay or self.base).mark(())
+        return (self.overlay or self.base).locate(())
 
 
-def merge_site(site: str, base: Parsed, overlay: Parsed) -> Merged:
+def merge_site(
+    site: str, base: ParsedDocument, overlay: ParsedDocument
+) -> MergedConfiguration:
     """Return what holds at `site`."""
-    return Merged(site, merge(base.content, overlay.content), base, overlay)
+    return MergedConfiguration(
+        site, merge(base.content, overlay.content), base, overlay
+    )
 
 
 def merge(base: Any, overlay: Any) -> Any:
@@ -59,13 +67,13 @@
     return merged
 
 
-def changed_paths(old: Any, new: Any, path: Path = ()) -> list[Path]:
+def changed_paths(old: Any, new: Any, path: KeyPath = ()) -> list[KeyPath]:
     """Return the paths at which two documents differ, each as deep as possible."""
     if old == new and type(old) is type(new):
         return []
     if not isinstance(old, dict) or not isinstance(new, dict):
         return [path]
-    paths: list[Path] = []
+    paths: list[KeyPath] = []
     for key in [*old, *(key for key in new if key not in old)]:
         if key in old and key in new:
             paths += changed_paths(old[key], new[key], (*path, key))
--- a/src/reedhook/version/registry.py
+++ b/src/reedhook/version/registry.py
@@ -6,11 +6,11 @@
 from ..record import Record
 from .workspace import Workspaces
 
-FEW_SLOTS: Final = 2
+DEFAULT_TARGET_SLOTS: Final = 2
 """Slots of a target that states none."""
 
 
-class RouteKind(str, Enum):
+class RouteConsistency(str, Enum):
     """Name how fresh the reads of a route must be."""
 
     PRIMARY = "primary"
@@ -23,8 +23,8 @@
 
     :param database: the name that callers ask for.
     :param service: the group of targets that holds it.
-    :param timeout: seconds for one statement.
-    :param objective: seconds in which callers expect an operation to end.
+    :param statement_timeout_seconds: seconds for one statement.
+    :param latency_objective_seconds: seconds in which callers expect an operation to end.
     :param priority: 0 runs first.
     :param max_age: seconds by which a read may lag, or None.
     :param public: whether callers need no key.
@@ -34,8 +34,8 @@
         "database",
         "service",
         "kind",
-        "timeout",
-        "objective",
+        "statement_timeout_seconds",
+        "latency_objective_seconds",
         "priority",
         "max_age",
         "public",
@@ -45,9 +45,9 @@
         self,
         database: str,
         service: str,
-        kind: RouteKind,
-        timeout: float,
-        objective: float,
+        kind: RouteConsistency,
+        statement_timeout_seconds: float,
+        latency_objective_seconds: float,
         priority: int,
         max_age: float | None,
         public: bool = True,
@@ -55,14 +55,14 @@
         self.database = database
         self.service = service
         self.kind = kind
-        self.timeout = timeout
-        self.objective = objective
+        self.statement_timeout_seconds = statement_timeout_seconds
+        self.latency_objective_seconds = latency_objective_seconds
         self.priority = priority
         self.max_age = max_age
         self.public = public
 
 
-class ServiceTerms(Record):
+class ServiceLimits(Record):
     """Say what the targets of a service bear.
 
     :param connections: that one target accepts from all hosts together.
@@ -98,7 +98,7 @@
         self,
         version: int,
         routes: dict[str, Route],
-        services: dict[str, ServiceTerms],
+        services: dict[str, ServiceLimits],
         transaction_idle: float,
         start_timeout: float,
         workspaces: Workspaces | None = None,
@@ -111,13 +111,13 @@
         self.workspaces = workspaces or Workspaces()
 
 
-class TargetEntry(Record):
+class TargetAnnouncement(Record):
     """Carry what a target announces of itself.
 
     :param address: ``IP:port``.
     :param leaving: whether it takes no new work.
-    :param claims_lead: whether it believes to be the primary.
-    :param born: when its process started, in Unix milliseconds; 0 if unknown. A
+    :param claims_primary: whether it believes to be the primary.
+    :param started_at_ms: when its process started, in Unix milliseconds; 0 if unknown. A
         target that starts again under its id holds nothing of before.
     :param slots: statements that it runs at a time.
     :param sequence: counts what one process announces.
@@ -129,8 +129,8 @@
         "address",
         "zone",
         "leaving",
-        "claims_lead",
-        "born",
+        "claims_primary",
+        "started_at_ms",
         "slots",
         "sequence",
     )
@@ -142,9 +142,9 @@
         address: str,
         zone: str,
         leaving: bool,
-        claims_lead: bool,
-        born: int = 0,
-        slots: int = FEW_SLOTS,
+        claims_primary: bool,
+        started_at_ms: int = 0,
+        slots: int = DEFAULT_TARGET_SLOTS,
         sequence: int = 0,
     ) -> None:
         self.target = target
@@ -152,25 +152,31 @@
         self.address = address
         self.zone = zone
         self.leaving = leaving
-        self.claims_lead = claims_lead
-        self.born = born
+        self.claims_primary = claims_primary
+        self.started_at_ms = started_at_ms
         self.slots = slots
         self.sequence = sequence
 
-    def is_life(self, born: int) -> bool:
+    def is_incarnation(self, started_at_ms: int) -> bool:
         """Say whether it may be the process that started at `born`."""
-        return self.born == born or 0 in (self.born, born)
+        return self.started_at_ms == started_at_ms or 0 in (
+            self.started_at_ms,
+            started_at_ms,
+        )
 
-    def is_older_than(self, other: "TargetEntry") -> bool:
+    def is_older_than(self, other: "TargetAnnouncement") -> bool:
         """Say whether it was announced before `other`, as far as that is known."""
-        if 0 in (self.born, other.born):
+        if 0 in (self.started_at_ms, other.started_at_ms):
             return False
-        return (self.born, self.sequence) < (other.born, other.sequence)
+        return (self.started_at_ms, self.sequence) < (
+            other.started_at_ms,
+            other.sequence,
+        )
 
-    def is_news_after(self, other: "TargetEntry | None") -> bool:
+    def differs_from(self, other: "TargetAnnouncement | None") -> bool:
         """Say whether it tells anything but that the target still announces itself."""
         return other is None or self.values()[:-1] != other.values()[:-1]
 
 
-NO_ROUTES: Final = RouteTable(0, {}, {}, 3.0, 3.0)
+EMPTY_ROUTE_TABLE: Final = RouteTable(0, {}, {}, 3.0, 3.0)
 """Stands for the time before the first version is known; serves nobody."""
--- a/src/reedhook/version/schema.py
+++ b/src/reedhook/version/schema.py
@@ -7,7 +7,7 @@
 from jsonschema.exceptions import ValidationError
 
 from ..wire import Json
-from .fault import Path
+from .fault import KeyPath
 
 NAME_PATTERN: Final = r"^[a-z][a-z0-9-]{0,62}\Z"
 NAME: Final[Json] = {
@@ -86,13 +86,13 @@
 VALIDATOR: Final = Draft202012Validator(SCHEMA)
 
 
-def violations(values: Json) -> Iterator[tuple[Path, str]]:
+def violations(values: Json) -> Iterator[tuple[KeyPath, str]]:
     """Yield the path and reason of each violation of the schema."""
     for error in VALIDATOR.iter_errors(values):
         yield from explain(error)
 
 
-def explain(error: ValidationError) -> Iterator[tuple[Path, str]]:
+def explain(error: ValidationError) -> Iterator[tuple[KeyPath, str]]:
     """Yield what a schema error says; values are not repeated, some are secret."""
     path = tuple(str(step) for step in error.absolute_path)
     rule: Any = error.validator_value
--- a/src/reedhook/version/workspace.py
+++ b/src/reedhook/version/workspace.py
@@ -7,7 +7,7 @@
 
 from ..record import Record
 
-LONGEST_KEY: Final = 256
+MAX_KEY_CHARACTERS: Final = 256
 """Characters of a caller's key at the most."""
 
 SHOWN_DIGITS: Final = 8
@@ -88,7 +88,7 @@
             if other.name != workspace.name:
                 self.disputed.add(digest)
 
-    def holder(self, digest: str) -> Workspace | None:
+    def find_by_digest(self, digest: str) -> Workspace | None:
         """Return the workspace that a key belongs to, or None."""
         return self.by_digest.get(digest)
 
@@ -98,22 +98,22 @@
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def shown(digest: str) -> str:
+def short_digest(digest: str) -> str:
     """Return the part of a digest that logs show."""
     return digest[:SHOWN_DIGITS]
 
 
-def checked_rate(rate: object) -> float | None:
+def sanitize_rate(rate: object) -> float | None:
     """Return a rate as it is enforced; None for no limit.
 
     What is no number above 0 admits nothing, rather than everything.
     """
     if rate is None:
         return None
-    return checked_number(rate)
+    return sanitize_number(rate)
 
 
-def checked_number(value: object) -> float:
+def sanitize_number(value: object) -> float:
     """Return a finite number of 0 or more; 0 for anything else."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return 0.0
--- a/src/reedhook_standins/database.py
+++ b/src/reedhook_standins/database.py
@@ -14,7 +14,7 @@
 from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
 from reedhook.connection.state import SessionState
 from reedhook.request.position import Position
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 
 LAG = 0.008
 PROMOTION = 0.3
@@ -31,7 +31,9 @@
     :ivar busy: how many statements it turns away next, its queue being full.
     """
 
-    def __init__(self, entry: TargetEntry, group: "DatabaseGroup", limit: int) -> None:
+    def __init__(
+        self, entry: TargetAnnouncement, group: "DatabaseGroup", limit: int
+    ) -> None:
         self.entry = entry
         self.group = group
         self.limit = limit
@@ -55,8 +57,8 @@
         for connection in list(self.connections):
             connection.close()
         values = [*self.entry.values()]
-        values[5:7], values[-1] = [False, self.entry.born + 1], 1
-        self.entry = TargetEntry(*values)
+        values[5:7], values[-1] = [False, self.entry.started_at_ms + 1], 1
+        self.entry = TargetAnnouncement(*values)
         if group.primary is not self:
             group.spawn(group.replicate(group.primary, self))
 
@@ -87,7 +89,7 @@
         self.service = service
         self.members: dict[str, DatabaseMember] = {}
         for index, zone in enumerate(zones):
-            entry = TargetEntry(
+            entry = TargetAnnouncement(
                 f"{service}-{index}",
                 service,
                 f"10.0.{index}.1:1",
--- a/src/reedhook_standins/hostlist.py
+++ b/src/reedhook_standins/hostlist.py
@@ -1,7 +1,7 @@
 """Stand-in of the platform's lagging list of entry hosts and targets."""
 
 from reedhook.clock import Clock, SystemClock
-from reedhook.process.fleet.hostlist import ListedHost, ListedKind, ListedState
+from reedhook.process.fleet.hostlist import HostListEntry, ListedKind, ListedState
 from reedhook.record import Record
 from reedhook.wire import Json
 
@@ -16,7 +16,7 @@
 
     __slots__ = ("at", "host", "listed")
 
-    def __init__(self, at: float, host: str, listed: ListedHost | None) -> None:
+    def __init__(self, at: float, host: str, listed: HostListEntry | None) -> None:
         self.at = at
         self.host = host
         self.listed = listed
@@ -45,7 +45,7 @@
         kind: ListedKind = ListedKind.HOST,
     ) -> None:
         """Add a host or change its line."""
-        listed = ListedHost(host, zone, address, state, kind)
+        listed = HostListEntry(host, zone, address, state, kind)
         self.changes.append(ListChange(self.clock.monotonic(), host, listed))
 
     def leave(self, host: str) -> None:
@@ -59,10 +59,10 @@
         """Take a host off the list."""
         self.changes.append(ListChange(self.clock.monotonic(), host, None))
 
-    def visible(self) -> list[ListedHost]:
+    def visible(self) -> list[HostListEntry]:
         """Return the list as it stood `lag` seconds ago."""
         newest = self.clock.monotonic() - self.lag
-        lines: dict[str, ListedHost] = {}
+        lines: dict[str, HostListEntry] = {}
         for change in self.changes:
             if change.at > newest:
                 continue
--- a/src/reedhook_standins/partition.py
+++ b/src/reedhook_standins/partition.py
@@ -4,9 +4,9 @@
 
 from reedhook.clock import Clock
 from reedhook.peer import HostRef, PeerError, Peers
-from reedhook.process.configuring.store import StoreUnavailable
+from reedhook.process.configuring.store import StoreUnavailableError
 from reedhook.process.configuring.store_http import HttpStore
-from reedhook.process.fleet.hostlist import HostListUnavailable, ListedHost
+from reedhook.process.fleet.hostlist import HostListEntry, HostListUnavailableError
 from reedhook.process.fleet.hostlist_http import HttpHostList
 from reedhook.wire import Json
 
@@ -75,7 +75,7 @@
             if self.zone not in self.partition.cut_off:
                 return answer
         await clock.sleep(until - clock.monotonic())
-        raise StoreUnavailable(LOST)
+        raise StoreUnavailableError(LOST)
 
 
 class PartitionedHostList(HttpHostList):
@@ -86,8 +86,8 @@
         self.zone = zone
         self.partition = partition
 
-    async def hosts(self, timeout: float) -> list[ListedHost]:
+    async def hosts(self, timeout: float) -> list[HostListEntry]:
         if self.zone in self.partition.cut_off:
             await self.partition.clock.sleep(timeout)
-            raise HostListUnavailable(LOST)
+            raise HostListUnavailableError(LOST)
         return await super().hosts(timeout)
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -5,7 +5,7 @@
 
 from reedhook.record import Record
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind
+from reedhook.version.registry import RouteConsistency
 
 from .database import DatabaseGroup, DatabaseSession
 
@@ -36,7 +36,7 @@
         self,
         name: str,
         session: str,
-        kind: RouteKind,
+        kind: RouteConsistency,
         max_age: float | None,
         settings: dict[str, str],
         prepared: dict[str, bool],
@@ -53,9 +53,9 @@
 
         :param asked: when the read, or its transaction, was sent.
         """
-        if self.kind is RouteKind.PRIMARY:
+        if self.kind is RouteConsistency.PRIMARY:
             return asked
-        if self.kind is RouteKind.OWN_WRITES and one.session == self.session:
+        if self.kind is RouteConsistency.OWN_WRITES and one.session == self.session:
             return asked
         return asked - (self.max_age or 0.0)
 
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -8,7 +8,7 @@
 from reedhook.platform.text import read_position
 from reedhook.record import Record
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind
+from reedhook.version.registry import RouteConsistency
 
 from ..promises import Promises, Sent, Viewer
 
@@ -24,9 +24,9 @@
 """Errors that promise that nothing is kept."""
 
 ROUTES: Final = {
-    "tickets": (RouteKind.PRIMARY, None),
-    "views": (RouteKind.BOUNDED, 1.5),
-    "reports": (RouteKind.OWN_WRITES, 2.5),
+    "tickets": (RouteConsistency.PRIMARY, None),
+    "views": (RouteConsistency.BOUNDED, 1.5),
+    "reports": (RouteConsistency.OWN_WRITES, 2.5),
 }
 """Kind and greatest age in seconds of each database."""
 
--- a/src/reedhook_standins/soak/surroundings.py
+++ b/src/reedhook_standins/soak/surroundings.py
@@ -124,7 +124,7 @@
                 "service": SERVICE,
                 "address": self.proxies[target].address,
                 "zone": member.entry.zone,
-                "born": member.entry.born,
+                "born": member.entry.started_at_ms,
                 "slots": member.entry.slots,
                 "sequence": member.entry.sequence,
                 "state": "draining" if target in self.leaving else "ready",
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -24,7 +24,7 @@
 from reedhook.process.network.peer_server import PeerServer
 from reedhook.process.network.tls import TlsContexts
 from reedhook.process.settings import Settings
-from reedhook.version.document import Documents
+from reedhook.version.document import ConfigurationDocuments
 
 from .caller import Caller
 from .deployment import HOSTS, Deployment, credential
@@ -134,7 +134,7 @@
 
     async def apply_configuration(self) -> None:
         """Let an operator apply the deployment's base file and overlays."""
-        documents = Documents(
+        documents = ConfigurationDocuments(
             self.deployment.base_text(), self.deployment.overlay_texts()
         )
         editor = self.any_host().editor
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -112,7 +112,9 @@
         return home
 
     async def take_home(self, member: str) -> None:
-        found = next(one for one in self.cluster.group.members if one.member == member)
+        found = next(
+            one for one in self.cluster.group.members if one.member_id == member
+        )
         home = FakeHome(self.cluster.group, found, self.cluster.truth.members[member])
         home.lost = member in self.factory.lost
         self.local[member] = home
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -7,15 +7,15 @@
 
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerError, PeerRoutes
-from reedhook.process.configuring.archive import Archive
-from reedhook.process.configuring.configuration import ConfigurationKeeper
+from reedhook.process.configuring.archive import SnapshotRepository
+from reedhook.process.configuring.configuration import ConfigurationManager
 from reedhook.process.configuring.editor import ConfigurationEditor
 from reedhook.process.configuring.relay import ConfigurationRelay
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.worker import Worker
 from reedhook.version.catalog import Catalog
-from reedhook.version.document import Documents
-from reedhook.version.edition import Head
+from reedhook.version.document import ConfigurationDocuments
+from reedhook.version.edition import SnapshotManifest
 from reedhook.wire import Json
 
 from .fakes_peers import FakeNetwork
@@ -41,10 +41,10 @@
 """
 
 
-def documents(queue: int, base: str = BASE) -> Documents:
+def documents(queue: int, base: str = BASE) -> ConfigurationDocuments:
     """Return documents whose catalogs show `queue`."""
     overlays = dict.fromkeys(ZONES, "")
-    return Documents(f"{base}limits: {{queue: {queue}}}\n", overlays)
+    return ConfigurationDocuments(f"{base}limits: {{queue: {queue}}}\n", overlays)
 
 
 class UnevenWorker(Worker):
@@ -85,7 +85,7 @@
         worker = self.worker = UnevenWorker(self.random)
         routes = PeerRoutes()
         self.peers = self.fleet.network.join(self.ref, routes)
-        self.keeper = ConfigurationKeeper(
+        self.keeper = ConfigurationManager(
             self.ref,
             self.peers,
             self.some_peers,
@@ -98,7 +98,7 @@
         self.keeper.register(routes)
         self.keeper.on_change(self.note)
         routes.add("heartbeat", self.hear)
-        archive = Archive(self.store)
+        archive = SnapshotRepository(self.store)
         self.relay = ConfigurationRelay(
             self.keeper, archive, lambda: self.relaying, clock, self.random
         )
@@ -117,7 +117,9 @@
 
     async def hear(self, body: Json) -> Json:
         """Take a heartbeat."""
-        self.keeper.heard(body["version"], HostRef.from_json(body["from"]))
+        self.keeper.record_peer_version(
+            body["version"], HostRef.from_json(body["from"])
+        )
         return {}
 
     async def start(self) -> None:
@@ -151,7 +153,9 @@
         self.build()
         await self.start()
 
-    async def apply(self, queue: int, edit_id: str, parent: int | None = None) -> Head:
+    async def apply(
+        self, queue: int, edit_id: str, parent: int | None = None
+    ) -> SnapshotManifest:
         """Apply `documents(queue)`."""
         parent = self.keeper.version if parent is None else parent
         return await self.editor.apply(documents(queue), parent, "ana", "why", edit_id)
--- a/tests/fakes_group.py
+++ b/tests/fakes_group.py
@@ -487,7 +487,7 @@
         self.serial = count()
 
     def target(self, member: str, address: str) -> Target:
-        found = next(one for one in self.group.members if one.member == member)
+        found = next(one for one in self.group.members if one.member_id == member)
         home = FakeHome(self.group, found, self.truth.members[member])
         home.lost = member in self.lost
         return FakeTarget(home)
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -113,7 +113,7 @@
             fake.clock,
             fake.timeline,
             make_home,
-            fake.heartbeats.greeter.joined,
+            fake.heartbeats.discovery.joined,
         )
         homes.register(fake.routes)
         homes.apply(self.catalog)
@@ -158,7 +158,7 @@
 
 def members_of(catalog: Catalog) -> list[str]:
     """Return the ids of all targets."""
-    return [one.member for group in catalog.groups.values() for one in group.members]
+    return [one.member_id for group in catalog.groups.values() for one in group.members]
 
 
 def catalog_of(zones: list[str], groups: int, version: int = 1) -> Catalog:
--- a/tests/fakes_hosts.py
+++ b/tests/fakes_hosts.py
@@ -9,7 +9,7 @@
 from reedhook.process.fleet.directory import MembershipDirectory
 from reedhook.process.fleet.heartbeat import Heartbeats
 from reedhook.process.fleet.membership import Membership
-from reedhook.process.fleet.membership_record import HostState
+from reedhook.process.fleet.membership_record import MembershipState
 
 from .fakes_peers import FakeNetwork
 
@@ -41,7 +41,7 @@
         self.stopped = False
         self.task = asyncio.create_task(self.heartbeats.run())
 
-    def state(self, host: str) -> HostState | None:
+    def state(self, host: str) -> MembershipState | None:
         """Return the state in which this host has `host`."""
         record = self.table.get(host)
         return None if record is None else record.state
--- a/tests/fakes_members.py
+++ b/tests/fakes_members.py
@@ -16,7 +16,7 @@
     TargetQuery,
 )
 from reedhook.process.lead.duty import OrderOutcome, Promoter
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 from reedhook_standins.database import (
     DatabaseGroup,
     DatabaseMember,
@@ -155,7 +155,7 @@
         self.slots = slots or {}
 
     async def connect(
-        self, entry: TargetEntry, timeout: float, workspace: str = ""
+        self, entry: TargetAnnouncement, timeout: float, workspace: str = ""
     ) -> SessionTargetConnection:
         member = self.find(entry)
         if member is None or member.group.unreachable(self.host, member):
@@ -169,7 +169,7 @@
         member.connections.add(connection)
         return connection
 
-    def find(self, entry: TargetEntry) -> DatabaseMember | None:
+    def find(self, entry: TargetAnnouncement) -> DatabaseMember | None:
         """Return the member of an entry."""
         for group in self.groups:
             if entry.target in group.members:
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -108,7 +108,7 @@
 
     def __init__(self, group: Group, lag: float = 0.005) -> None:
         self.group = group
-        names = [one.member for one in group.members]
+        names = [one.member_id for one in group.members]
         self.primary = names[0]
         self.term = 1
         self.lags = {name: lag for name in names}
@@ -160,8 +160,8 @@
         """Return what the home of `member` knows, or one that knows all."""
         view = GroupView(self.group.name, self.term, self.primary)
         for one in self.group.members:
-            delay = 0.0 if member in (None, one.member) else self.view_delay
-            view.merge_member(self.member_view(one.member, delay))
+            delay = 0.0 if member in (None, one.member_id) else self.view_delay
+            view.merge_member(self.member_view(one.member_id, delay))
         return view
 
     def member_view(self, name: str, delay: float) -> MemberView:
@@ -278,7 +278,7 @@
     hosts = []
     for at, zone in enumerate(zones):
         host = HostRef(f"h{at + 1}", zone, f"127.0.0.1:{9000 + at}")
-        member = group.group.members[at].member
+        member = group.group.members[at].member_id
         clock = network.clock(host.host)
         network.join(host, group.routes(clock.monotonic, member))
         hosts.append(host)
--- a/tests/fakes_store.py
+++ b/tests/fakes_store.py
@@ -16,10 +16,10 @@
 from typing import Final
 
 from reedhook.process.configuring.store import (
-    Entry,
     Store,
-    StoreConflict,
-    StoreUnavailable,
+    StoreConflictError,
+    StoreEntry,
+    StoreUnavailableError,
 )
 
 MAX_VALUE: Final = 1024 * 1024
@@ -60,29 +60,31 @@
         past = self.platform.past[key]
         return len(past) if past and past[-1] is not None else 0
 
-    async def get(self, key: str, timeout: float) -> Entry | None:
+    async def get(self, key: str, timeout: float) -> StoreEntry | None:
         await self.begin("get", key)
         return self.read(key)
 
-    def read(self, key: str) -> Entry | None:
+    def read(self, key: str) -> StoreEntry | None:
         """Return what a read sees, however stale."""
         past = self.platform.past[key]
         seen = len(past) - min(self.stale(key), len(past))
         value = past[seen - 1] if seen else None
-        return None if value is None else Entry(key, value, seen)
+        return None if value is None else StoreEntry(key, value, seen)
 
-    async def put(self, key: str, value: bytes, expected: int, timeout: float) -> Entry:
+    async def put(
+        self, key: str, value: bytes, expected: int, timeout: float
+    ) -> StoreEntry:
         await self.begin("put", key)
         assert len(value) <= MAX_VALUE, f"{key} is larger than the store accepts"
         self.largest = max(self.largest, len(value))
         await self.change(key, value, expected)
-        return Entry(key, value, self.revision(key))
+        return StoreEntry(key, value, self.revision(key))
 
     async def delete(self, key: str, expected: int, timeout: float) -> None:
         await self.begin("delete", key)
         await self.change(key, None, expected)
 
-    async def watch(self, key: str, revision: int, hold: float) -> Entry | None:
+    async def watch(self, key: str, revision: int, hold: float) -> StoreEntry | None:
         await self.begin("watch", key)
         if self.mute_watches:
             await asyncio.Event().wait()
@@ -109,19 +111,21 @@
     def refuse_if_down(self) -> None:
         """Raise as the store does while it cannot be reached."""
         if self.down or self.platform.down:
-            raise StoreUnavailable("the store is down")
+            raise StoreUnavailableError("the store is down")
 
     async def change(self, key: str, value: bytes | None, expected: int) -> None:
         """Change a key by compare-and-swap, with the faults that are set."""
         if self.lose_requests:
             self.lose_requests -= 1
-            raise StoreUnavailable("the request was lost")
+            raise StoreUnavailableError("the request was lost")
         if self.revision(key) != expected:
-            raise StoreConflict(f"{key} is at {self.revision(key)}, not {expected}")
+            raise StoreConflictError(
+                f"{key} is at {self.revision(key)}, not {expected}"
+            )
         changed = self.platform.changed
         async with changed:
             self.platform.past[key].append(value)
             changed.notify_all()
         if self.lose_answers:
             self.lose_answers -= 1
-            raise StoreUnavailable("the answer was lost")
+            raise StoreUnavailableError("the answer was lost")
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -25,10 +25,10 @@
 from reedhook.request.verdict import Verdict
 from reedhook.version.registry import (
     Route,
-    RouteKind,
+    RouteConsistency,
     RouteTable,
-    ServiceTerms,
-    TargetEntry,
+    ServiceLimits,
+    TargetAnnouncement,
 )
 from reedhook.version.workspace import Workspace, Workspaces, key_digest
 from reedhook.wire import Json, decode, encode, reader
@@ -53,9 +53,9 @@
 }
 MAX_AGE = 1.5
 KINDS_OF_ROUTES = {
-    "tickets": (RouteKind.PRIMARY, None),
-    "views": (RouteKind.BOUNDED, MAX_AGE),
-    "reports": (RouteKind.OWN_WRITES, 2.5),
+    "tickets": (RouteConsistency.PRIMARY, None),
+    "views": (RouteConsistency.BOUNDED, MAX_AGE),
+    "reports": (RouteConsistency.OWN_WRITES, 2.5),
 }
 
 
@@ -86,8 +86,8 @@
         return table(message["version"], message["routes"], message.get("workspaces"))
 
     @reader
-    def read_target(self, key: str, value: bytes) -> TargetEntry:
-        return TargetEntry(*decode(value)["entry"])
+    def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
+        return TargetAnnouncement(*decode(value)["entry"])
 
 
 def table(
@@ -106,7 +106,7 @@
     return RouteTable(
         version,
         routes,
-        {SERVICE: ServiceTerms(SERVICE, 16)},
+        {SERVICE: ServiceLimits(SERVICE, 16)},
         3.0,
         3.0,
         Workspaces(read_workspace(one) for one in workspaces or []),
@@ -177,7 +177,7 @@
             message["workspaces"] = workspaces
         self.store.write(TABLE_KEY, encode(message))
 
-    def announce(self, entry: TargetEntry) -> None:
+    def announce(self, entry: TargetAnnouncement) -> None:
         """Write what a target announces."""
         value = encode({"entry": list(entry.values())})
         self.store.write(TARGET_PREFIX + entry.target, value)
--- a/tests/test_admin_config.py
+++ b/tests/test_admin_config.py
@@ -14,8 +14,8 @@
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
 from reedhook.process.administration.admin_operator import Operators
-from reedhook.process.configuring.archive import Archive
-from reedhook.process.configuring.configuration import ConfigurationKeeper
+from reedhook.process.configuring.archive import SnapshotRepository
+from reedhook.process.configuring.configuration import ConfigurationManager
 from reedhook.process.configuring.editor import ConfigurationEditor
 from reedhook.wire import Json
 
@@ -30,7 +30,7 @@
 def editor_of(network: FakeNetwork, store: FakeStore) -> ConfigurationEditor:
     """Return the editor of the first host."""
     source, clock = network.sources["vittoria-1"], SystemClock()
-    keeper = ConfigurationKeeper(
+    keeper = ConfigurationManager(
         source.me,
         network,
         lambda count: [],
@@ -39,7 +39,7 @@
         source.timeline,
         MemoryMetrics(),
     )
-    return ConfigurationEditor(keeper, Archive(store), clock)
+    return ConfigurationEditor(keeper, SnapshotRepository(store), clock)
 
 
 @asynccontextmanager
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -14,7 +14,7 @@
     StoreWatcher,
     UpdateSource,
 )
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 from reedhook.wire import encode
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -56,9 +56,9 @@
         return False
 
 
-def entry(target: str, born: int = 0, sequence: int = 0) -> TargetEntry:
+def entry(target: str, born: int = 0, sequence: int = 0) -> TargetAnnouncement:
     """Return what a target announces."""
-    return TargetEntry(
+    return TargetAnnouncement(
         target, "db", "10.0.0.1:1", "z1", False, False, born, 2, sequence
     )
 
@@ -91,7 +91,7 @@
         item = Item(key, value, self.revision)
         self.announcements.apply_changes(Items([item], self.revision))
 
-    def announce(self, one: TargetEntry) -> None:
+    def announce(self, one: TargetAnnouncement) -> None:
         """Take over what a target announces."""
         self.hear(f"t/{one.target}", encode({"entry": list(one.values())}))
 
@@ -138,7 +138,7 @@
     for late in (entry("m1", 100, 10), entry("m1", 200, 0)):
         listener.announce(late)
     found = listener.announcements.targets["m1"]
-    assert (found.born, found.sequence) == (200, 1)
+    assert (found.started_at_ms, found.sequence) == (200, 1)
     assert listener.reborn == ["m1"]
 
 
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -288,7 +288,7 @@
     bench: Bench, path: str, verdict: str
 ) -> None:
     for member in bench.group.members:
-        bench.directory.fixed[member.member] = [bench.directory.me]
+        bench.directory.fixed[member.member_id] = [bench.directory.me]
     bench.model.refuse(StatementKind.READ, ZeroDivisionError("a fault"))
     bench.model.refuse(StatementKind.WRITE, ZeroDivisionError("a fault"))
     body = {**READ, "idempotent": True} if path == "/v1/write" else READ
--- a/tests/test_config_accept.py
+++ b/tests/test_config_accept.py
@@ -15,16 +15,22 @@
     history_key,
     part_key,
 )
-from reedhook.process.configuring.edit import EditConflict
-from reedhook.process.configuring.exchange import MAX_ANSWER, parts_answer
+from reedhook.process.configuring.edit import EditConflictError
+from reedhook.process.configuring.exchange import MAX_ANSWER_BYTES, parts_answer
 from reedhook.process.worker import ThreadWorker
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 from reedhook.version import edition as edition_module
-from reedhook.version.check import check
-from reedhook.version.document import Documents
-from reedhook.version.edition import MAX_PART, EditionError, Head, make_edition, unpack
-from reedhook.version.fault import InvalidConfiguration
+from reedhook.version.check import validate_documents
+from reedhook.version.document import ConfigurationDocuments
+from reedhook.version.edition import (
+    MAX_PART_BYTES,
+    SnapshotError,
+    SnapshotManifest,
+    build_snapshot,
+    decompress_part,
+)
+from reedhook.version.fault import InvalidConfigurationError
 
 from .config_fleet import BASE, Fleet, FleetHost, documents
 from .fakes_clock import run_virtual
@@ -60,7 +66,7 @@
 @using(two_hosts, run_virtual)
 async def test_an_invalid_edit_touches_nothing(host: FleetHost) -> None:
     before = host.fleet.store.keys()
-    with pytest.raises(InvalidConfiguration):
+    with pytest.raises(InvalidConfigurationError):
         await host.apply(-1, "second")
     assert host.fleet.store.keys() == before
 
@@ -77,17 +83,17 @@
         for one, queue in zip(host.fleet.hosts, queues)
     ]
     results = await asyncio.gather(*edits, return_exceptions=True)
-    won = [one for one in results if isinstance(one, Head)]
-    lost = [one for one in results if isinstance(one, EditConflict)]
+    won = [one for one in results if isinstance(one, SnapshotManifest)]
+    lost = [one for one in results if isinstance(one, EditConflictError)]
     assert (len(won), len(lost)) == (1, 1)
     assert lost[0].verdict is Verdict.NOT_RUN
     (since,) = lost[0].since
-    assert since.head == won[0]
+    assert since.manifest == won[0]
     assert [change.path for change in since.changes] == ["limits.queue"]
     assert await edit_ids(host) == [won[0].edit_id, "first"]
     # The loser's parts are gone, the winner's are not.
     assert len(host.fleet.store.keys(PART_PREFIX)) == 2
-    await host.editor.reader.archive.edition(won[0], {})
+    await host.editor.reader.archive.read_snapshot(won[0], {})
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3, 4])
@@ -104,8 +110,8 @@
         )
     edits = [one.apply(n + 7, f"edit-{n}", 1) for n, one in enumerate(host.fleet.hosts)]
     results = await asyncio.gather(*edits, return_exceptions=True)
-    assert {type(one) for one in results} == {Head, EditConflict}
-    (won,) = [one for one in results if isinstance(one, Head)]
+    assert {type(one) for one in results} == {SnapshotManifest, EditConflictError}
+    (won,) = [one for one in results if isinstance(one, SnapshotManifest)]
     assert won.version == 2
     assert await edit_ids(host) == [won.edit_id, "first"]
 
@@ -114,7 +120,7 @@
 async def test_a_conflict_names_each_version_since(host: FleetHost) -> None:
     for queue in range(2, 14):
         await host.apply(queue, f"edit-{queue}")
-    with pytest.raises(EditConflict) as conflict:
+    with pytest.raises(EditConflictError) as conflict:
         await host.apply(99, "late", 1)
     told = conflict.value.to_json()
     assert told["version"] == 13
@@ -170,10 +176,10 @@
         await host.fleet.hosts[1].apply(7, "winner", 1)
 
     before_swap(host, overtake)
-    with pytest.raises(EditConflict):
+    with pytest.raises(EditConflictError):
         await host.apply(7, "loser", 1)
     head, _ = await host.editor.history()
-    edition = await host.editor.reader.archive.edition(head, {})
+    edition = await host.editor.reader.archive.read_snapshot(head, {})
     assert edition.documents() == documents(7)
 
 
@@ -234,7 +240,7 @@
     head = await other.apply(3, "third", 2)
     assert head.version == 3
     reads = iter([1, 1, 1])
-    with pytest.raises(EditConflict):
+    with pytest.raises(EditConflictError):
         await other.apply(4, "fourth", 2)
     reads = iter([1])
     with pytest.raises(RefusalError) as refused:
@@ -292,38 +298,38 @@
 @on_loop
 async def test_checks_run_in_threads_beside_the_loop() -> None:
     worker = ThreadWorker()
-    checked = await worker.run(check, documents(5), only="comiso")
+    checked = await worker.run(validate_documents, documents(5), only_site="comiso")
     assert checked.catalog(1, "comiso").limits.queue == 5
-    with pytest.raises(InvalidConfiguration):
-        await worker.run(check, documents(-5))
+    with pytest.raises(InvalidConfigurationError):
+        await worker.run(validate_documents, documents(-5))
 
 
 def test_a_part_cut_short_or_lengthened_is_refused() -> None:
-    edition = make_edition(documents(1), None, "first", "ana", "", 0.0)
-    (part,) = edition.head.parts
+    edition = build_snapshot(documents(1), None, "first", "ana", "", 0.0)
+    (part,) = edition.manifest.parts
     packed = edition.packed[part.digest]
-    assert unpack(part, packed)
+    assert decompress_part(part, packed)
     for damaged in [packed[:size] for size in range(len(packed))] + [packed + b"x"]:
-        with pytest.raises(EditionError):
-            unpack(part, damaged)
+        with pytest.raises(SnapshotError):
+            decompress_part(part, damaged)
 
 
 def test_parts_go_out_in_answers_of_bounded_size() -> None:
     noise = random.Random(1)
     lines = [f"# {noise.randbytes(500).hex()}\n" for _ in range(900)]
-    edition = make_edition(documents(1, "".join(lines)), None, "e", "ana", "", 0.0)
-    wanted = [part.digest for part in edition.head.parts]
+    edition = build_snapshot(documents(1, "".join(lines)), None, "e", "ana", "", 0.0)
+    wanted = [part.digest for part in edition.manifest.parts]
     sent: list[str] = []
     while len(sent) < len(wanted):
         parts = parts_answer(edition, wanted[len(sent) :])["parts"]
         packed = sum(len(edition.packed[digest]) for digest in parts)
-        assert 0 < packed <= MAX_ANSWER
+        assert 0 < packed <= MAX_ANSWER_BYTES
         sent += parts
     assert sent == wanted
-    assert sum(map(len, edition.packed.values())) > MAX_ANSWER
+    assert sum(map(len, edition.packed.values())) > MAX_ANSWER_BYTES
 
 
-def large(groups: int = 280, note: str = "") -> Documents:
+def large(groups: int = 280, note: str = "") -> ConfigurationDocuments:
     """Return documents with 3 members for each group."""
     lines = ["services:", "  feedlog-db:", "    slots: 2", "    connections: 15"]
     lines.append("    groups:")
@@ -333,7 +339,9 @@
             address = f"10.{group // 250}.{group % 250}.{member}:17101"
             text = f'{{zone: vittoria, address: "{address}"}}'
             lines.append(f"          target-{group}-{member}: {text}{note}")
-    return Documents("\n".join([*lines, "workspaces: {}", ""]), {"vittoria": ""})
+    return ConfigurationDocuments(
+        "\n".join([*lines, "workspaces: {}", ""]), {"vittoria": ""}
+    )
 
 
 @using(two_hosts, run_virtual)
@@ -350,12 +358,14 @@
         assert one.keeper.catalog is not None
         assert len(one.keeper.catalog.groups) == 280
         assert (await one.editor.show())[1] == edition
-    assert host.store.largest <= MAX_PART
+    assert host.store.largest <= MAX_PART_BYTES
     parts = len(host.fleet.store.keys(PART_PREFIX))
     assert parts > 4
     # A change of one line writes one part anew, not the whole.
     text = edition.base.replace("10.0.100.1:17101", "10.9.9.9:17101")
-    await host.editor.apply(Documents(text, edition.overlays), 2, "ana", "", "third")
+    await host.editor.apply(
+        ConfigurationDocuments(text, edition.overlays), 2, "ana", "", "third"
+    )
     assert len(host.fleet.store.keys(PART_PREFIX)) <= parts + 2
     changes = await host.editor.diff(2, 3)
     member = "services.feedlog-db.groups.group-100.members.target-100-1"
@@ -377,9 +387,9 @@
         if version == 12:
             # An edit that lost had deleted history before it lost.
             archive = host.editor.reader.archive
-            stored = await archive.head()
-            assert stored.head is not None
-            assert await archive.trim(stored.head) > stored.head.trimmed
+            stored = await archive.read_head()
+            assert stored.manifest is not None
+            assert await archive.trim(stored.manifest) > stored.manifest.trimmed
     heads = await host.editor.history(100)
     assert [head.version for head in heads] == list(range(20, 14, -1))
     used = {part_key(part) for head in heads for part in head.parts}
@@ -408,7 +418,7 @@
     host.fleet.store.past[key][-1] = b"damaged"
     other = host.fleet.hosts[1]
     await other.restart()
-    other.keeper.edition = None
+    other.keeper.snapshot = None
     await other.keeper.close()
     with pytest.raises(RefusalError):
         await other.editor.show(2)
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -9,9 +9,13 @@
 from hypothesis import given, strategies as st
 
 from reedhook.version.catalog import Limits
-from reedhook.version.check import check
-from reedhook.version.document import Documents
-from reedhook.version.fault import DuplicateKeyFault, InvalidConfiguration, SyntaxFault
+from reedhook.version.check import validate_documents
+from reedhook.version.document import ConfigurationDocuments
+from reedhook.version.fault import (
+    ConfigurationSyntaxError,
+    DuplicateKeyError,
+    InvalidConfigurationError,
+)
 
 EXAMPLES: Final = Path(__file__).parent.parent / "examples"
 DIGEST: Final = "0" * 64
@@ -32,15 +36,17 @@
 OVERLAYS: Final = {"vittoria": "limits: {queue: 9}\n", "comiso": ""}
 
 
-def example(name: str) -> Documents:
+def example(name: str) -> ConfigurationDocuments:
     root = EXAMPLES / name
     overlays = {path.stem: path.read_text() for path in root.glob("overlays/*.yaml")}
-    return Documents((root / "base.yaml").read_text(), overlays)
+    return ConfigurationDocuments((root / "base.yaml").read_text(), overlays)
 
 
 def faults(base: str, overlays: dict[str, str] | None = None) -> list[str]:
-    with pytest.raises(InvalidConfiguration) as refused:
-        check(Documents(base, OVERLAYS if overlays is None else overlays))
+    with pytest.raises(InvalidConfigurationError) as refused:
+        validate_documents(
+            ConfigurationDocuments(base, OVERLAYS if overlays is None else overlays)
+        )
     return [str(fault) for fault in refused.value.exceptions]
 
 
@@ -52,7 +58,7 @@
     name: str, service: str, connections: int, sites: int
 ) -> None:
     documents = example(name)
-    checked = check(documents)
+    checked = validate_documents(documents)
     catalogs = [checked.catalog(1, site) for site in documents.overlays]
     assert len(catalogs) == sites
     for catalog in catalogs:
@@ -67,14 +73,14 @@
     page = (EXAMPLES.parent / "docs" / "CONFIGURATION.md").read_text()
     base, overlay = re.findall(r"```yaml\n(.*?)```", page, re.DOTALL)
     overlays = {"vittoria": overlay, "comiso": "", "ispica": ""}
-    checked = check(Documents(base, overlays))
+    checked = validate_documents(ConfigurationDocuments(base, overlays))
     assert checked.catalog(1, "comiso").limits == Limits()
     assert checked.catalog(1, "vittoria").limits.deadline_ms == 4000
     assert checked.catalog(1, "vittoria").workspaces.by_name["gate"].rate == 400
 
 
 def test_an_overlay_changes_its_own_site_alone() -> None:
-    checked = check(Documents(BASE, OVERLAYS))
+    checked = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
     assert checked.catalog(3, "vittoria").limits.queue == 9
     assert checked.catalog(3, "comiso").limits.queue == 64
     assert checked.catalog(3, "elsewhere").limits.queue == 64
@@ -180,16 +186,18 @@
 def test_faults_are_typed() -> None:
     doubled = BASE.replace("limits:", "workspaces: {}\nlimits:")
     with pytest.raises(ExceptionGroup) as refused:
-        check(Documents(doubled, {"vittoria": "\t", "comiso": ""}))
-    doubles, rest = refused.value.split(DuplicateKeyFault)
+        validate_documents(
+            ConfigurationDocuments(doubled, {"vittoria": "\t", "comiso": ""})
+        )
+    doubles, rest = refused.value.split(DuplicateKeyError)
     assert doubles is not None and rest is not None
-    assert [type(fault) for fault in rest.exceptions] == [SyntaxFault]
+    assert [type(fault) for fault in rest.exceptions] == [ConfigurationSyntaxError]
 
 
 @given(st.text(max_size=200), st.text(max_size=80))
 def test_any_text_is_accepted_or_refused_with_reasons(base: str, overlay: str) -> None:
-    with pytest.raises(InvalidConfiguration) as refused:
-        check(Documents(base, {"vittoria": overlay}))
+    with pytest.raises(InvalidConfigurationError) as refused:
+        validate_documents(ConfigurationDocuments(base, {"vittoria": overlay}))
     assert all(str(fault) for fault in refused.value.exceptions)
 
 
@@ -199,8 +207,12 @@
     @given(st.lists(st.sampled_from([*lines, "  ? [a]", "x: !!timestamp 1", "<<: {}"])))
     def attempt(chosen: list[str]) -> None:
         try:
-            check(Documents("\n".join(chosen), {"vittoria": "\n".join(chosen[::-1])}))
-        except InvalidConfiguration as refused:
+            validate_documents(
+                ConfigurationDocuments(
+                    "\n".join(chosen), {"vittoria": "\n".join(chosen[::-1])}
+                )
+            )
+        except InvalidConfigurationError as refused:
             assert refused.exceptions
 
     attempt()
@@ -210,8 +222,8 @@
     former = BASE.replace("workspaces:", "teams:")
     assert former != BASE
     with logbook.TestHandler() as said:
-        checked = check(Documents(former, OVERLAYS))
-    now = check(Documents(BASE, OVERLAYS))
+        checked = validate_documents(ConfigurationDocuments(former, OVERLAYS))
+    now = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
     assert checked.catalog(3, "comiso") == now.catalog(3, "comiso")
     assert said.has_warning(
         "base.yaml states teams, which is called workspaces now.",
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -11,14 +11,14 @@
 
 from reedhook.peer import HostRef
 from reedhook.process.configuring.archive import HEAD_KEY
-from reedhook.process.configuring.edit import EditConflict
+from reedhook.process.configuring.edit import EditConflictError
 from reedhook.process.configuring.editor import ConfigurationEditor
 from reedhook.process.configuring.store_http import HttpStore
 from reedhook.process.events.timeline import EventKind
 from reedhook.request.refusal import RefusalError
 from reedhook.request.verdict import Verdict
-from reedhook.version.document import Documents
-from reedhook.version.edition import Head, pack
+from reedhook.version.document import ConfigurationDocuments
+from reedhook.version.edition import SnapshotManifest, compress_part
 from reedhook.wire import Json
 from reedhook_standins.store import StoreStandin
 
@@ -171,7 +171,7 @@
     """Send other content of the same length in the place of parts."""
     if not answer.get("parts"):
         return answer
-    other = base64.b64encode(pack(documents(9).base.encode())).decode()
+    other = base64.b64encode(compress_part(documents(9).base.encode())).decode()
     return {"parts": dict.fromkeys(answer["parts"], other)}
 
 
@@ -215,7 +215,9 @@
 async def test_an_edition_that_this_release_refuses_is_not_put_in_force(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def accept_all(editor: ConfigurationEditor, documents: Documents) -> None:
+    async def accept_all(
+        editor: ConfigurationEditor, documents: ConfigurationDocuments
+    ) -> None:
         return
 
     monkeypatch.setattr(ConfigurationEditor, "check", accept_all)
@@ -239,7 +241,7 @@
 @using(fleet_of, run_virtual)
 async def test_a_false_rumour_moves_nobody_and_is_forgotten(fleet: Fleet) -> None:
     keeper = fleet.hosts[5].keeper
-    keeper.heard(1000, fleet.hosts[3].ref)
+    keeper.record_peer_version(1000, fleet.hosts[3].ref)
     await asyncio.sleep(60.0)
     assert fleet.versions() == {1}
     assert keeper.sources == {}
@@ -277,13 +279,13 @@
         standin.lose_answers = 2
         await fleet.hosts[0].apply(1, "first", 0)
         await until(lambda: fleet.versions() == {1})
-        with pytest.raises(EditConflict):
+        with pytest.raises(EditConflictError):
             await fleet.hosts[1].apply(2, "late", 0)
         standin.drop_watches()
         edits = [host.apply(3, host.ref.host, 1) for host in fleet.hosts]
         results = await asyncio.gather(*edits, return_exceptions=True)
-        assert sum(isinstance(one, Head) for one in results) == 1
-        assert sum(isinstance(one, EditConflict) for one in results) == 5
+        assert sum(isinstance(one, SnapshotManifest) for one in results) == 1
+        assert sum(isinstance(one, EditConflictError) for one in results) == 5
         await until(lambda: fleet.versions() == {2})
         await fleet.hosts[2].restart()
         assert fleet.hosts[2].versions == [2]
@@ -369,7 +371,9 @@
             case "mute":
                 host.store.mute_watches = True
             case "old_news":
-                host.keeper.heard(host.keeper.version + 1, fleet.hosts[0].ref)
+                host.keeper.record_peer_version(
+                    host.keeper.version + 1, fleet.hosts[0].ref
+                )
             case "outage":
                 fleet.store.down = True
             case "cut":
--- a/tests/test_connection_reset.py
+++ b/tests/test_connection_reset.py
@@ -7,7 +7,7 @@
 from reedhook.connection.channel import ResponseIncompleteError, open_channel
 from reedhook.connection.member import SessionTargetNoReplyError, TargetQuery
 from reedhook.platform.driver import WireDriver
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 
 SHORT = 0.05
 PATIENCE = 2.0
@@ -61,7 +61,7 @@
     async def main() -> None:
         silent = Silent(b"READY I 1.1\r\n")
         server = await silent.start()
-        entry = TargetEntry("i-1", "db", silent.address, "z", False, False)
+        entry = TargetAnnouncement("i-1", "db", silent.address, "z", False, False)
         connection = await WireDriver("h1").connect(entry, PATIENCE)
         with pytest.raises(SessionTargetNoReplyError):
             await connection.exchange([TargetQuery("1", "READ a")], SHORT)
--- a/tests/test_delta.py
+++ b/tests/test_delta.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from reedhook.version.delta import EMPTY, Delta, digest, pack, unpack
+from reedhook.version.delta import EMPTY_DIGEST, Delta, apply_delta, digest, make_delta
 from reedhook.wire import WireError
 
 DOCUMENTS = st.lists(
@@ -14,8 +14,8 @@
 
 @given(DOCUMENTS, DOCUMENTS)
 def test_a_difference_gives_the_document_back(document: bytes, base: bytes) -> None:
-    delta = Delta.from_json(pack(document, base).to_json())
-    assert unpack(delta, base) == document
+    delta = Delta.from_json(make_delta(document, base).to_json())
+    assert apply_delta(delta, base) == document
 
 
 def routes(count: int, changed: int = -1) -> bytes:
@@ -25,23 +25,23 @@
 
 
 def test_a_small_change_of_a_long_document_is_short() -> None:
-    delta = pack(routes(1500, 700), routes(1500))
-    assert len(delta.packed) < 200 < len(pack(routes(1500), b"").packed)
+    delta = make_delta(routes(1500, 700), routes(1500))
+    assert len(delta.packed) < 200 < len(make_delta(routes(1500), b"").packed)
 
 
 @pytest.mark.parametrize(
     "delta",
     [
-        Delta(digest(b"other"), digest(b"x"), pack(b"x", b"").packed),
-        Delta(EMPTY, digest(b"y"), pack(b"x", b"").packed),
-        Delta(EMPTY, digest(b"x"), "no base64"),
-        Delta(EMPTY, digest(b"x"), "AAAA"),
-        Delta(EMPTY, digest(b"x"), pack(b"[[0,2]]", b"").packed[:-4]),
+        Delta(digest(b"other"), digest(b"x"), make_delta(b"x", b"").packed),
+        Delta(EMPTY_DIGEST, digest(b"y"), make_delta(b"x", b"").packed),
+        Delta(EMPTY_DIGEST, digest(b"x"), "no base64"),
+        Delta(EMPTY_DIGEST, digest(b"x"), "AAAA"),
+        Delta(EMPTY_DIGEST, digest(b"x"), make_delta(b"[[0,2]]", b"").packed[:-4]),
     ],
 )
 def test_a_wrong_difference_gives_nothing(delta: Delta) -> None:
     with pytest.raises(WireError):
-        unpack(delta, b"")
+        apply_delta(delta, b"")
 
 
 @pytest.mark.parametrize("value", [None, [], ["a", "b"], ["a", "b", 3], {"a": 1}])
@@ -52,6 +52,6 @@
 
 def test_a_part_that_the_base_lacks_is_refused() -> None:
     base = b"{}{}"
-    delta = pack(b"{}{}{}", base)
+    delta = make_delta(b"{}{}{}", base)
     with pytest.raises(WireError):
-        unpack(Delta(digest(b"{}"), delta.digest, delta.packed), b"{}")
+        apply_delta(Delta(digest(b"{}"), delta.digest, delta.packed), b"{}")
--- a/tests/test_group_hint.py
+++ b/tests/test_group_hint.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from reedhook.process.configuring.store import Entry
+from reedhook.process.configuring.store import StoreEntry
 from reedhook.process.groups.coordinator import PrimaryChange
 from reedhook.process.groups.hint import PrimaryHints
 
@@ -56,7 +56,7 @@
 @in_virtual_time
 async def test_a_hint_that_cannot_be_read_is_replaced() -> None:
     store = FakeStore()
-    written: Entry = await store.put("primary/g", b"not JSON", 0, 1.0)
+    written: StoreEntry = await store.put("primary/g", b"not JSON", 0, 1.0)
     assert written.revision == 1
     writer = hints(store)
     assert await writer.read("g") is None
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -313,7 +313,7 @@
 
     class Broken(FakeHome):
         async def start(self) -> None:
-            failures.append(self.member.member)
+            failures.append(self.member.member_id)
             raise OSError("no route")
 
     one.make_home = Broken
--- a/tests/test_hostlist_http.py
+++ b/tests/test_hostlist_http.py
@@ -6,7 +6,11 @@
 
 import pytest
 
-from reedhook.process.fleet.hostlist import HostListUnavailable, ListedHost, ListedState
+from reedhook.process.fleet.hostlist import (
+    HostListEntry,
+    HostListUnavailableError,
+    ListedState,
+)
 from reedhook.process.fleet.hostlist_http import HttpHostList
 from reedhook_standins.hostlist import HostListStandin
 
@@ -15,8 +19,8 @@
 
 Pair: TypeAlias = tuple[HostListStandin, HttpHostList]
 
-FIRST = ListedHost("h1", "vittoria", "127.0.0.1:1001", ListedState.LIVE)
-SECOND = ListedHost("h2", "comiso", "127.0.0.1:1002", ListedState.LIVE)
+FIRST = HostListEntry("h1", "vittoria", "127.0.0.1:1001", ListedState.LIVE)
+SECOND = HostListEntry("h2", "comiso", "127.0.0.1:1002", ListedState.LIVE)
 
 
 @asynccontextmanager
@@ -41,7 +45,7 @@
     assert await hosts.hosts(1.0) == [FIRST, SECOND]
     standin.leave("h1")
     standin.remove("h2")
-    leaving = ListedHost("h1", "vittoria", FIRST.address, ListedState.LEAVING)
+    leaving = HostListEntry("h1", "vittoria", FIRST.address, ListedState.LEAVING)
     assert await hosts.hosts(1.0) == [leaving]
 
 
@@ -59,7 +63,7 @@
 async def test_a_list_that_is_down_is_unavailable(pair: Pair) -> None:
     standin, hosts = pair
     standin.down = True
-    with pytest.raises(HostListUnavailable):
+    with pytest.raises(HostListUnavailableError):
         await hosts.hosts(1.0)
     standin.down = False
     assert len(await hosts.hosts(1.0)) == 2
@@ -69,5 +73,5 @@
 async def test_an_answer_of_another_form_is_no_list(pair: Pair) -> None:
     standin, hosts = pair
     hosts.url = hosts.url.with_path("/nothing")
-    with pytest.raises(HostListUnavailable):
+    with pytest.raises(HostListUnavailableError):
         await hosts.hosts(1.0)
--- a/tests/test_lead_claim.py
+++ b/tests/test_lead_claim.py
@@ -8,7 +8,7 @@
 from reedhook.process.lead.book import PrimaryLeaseRegistry
 from reedhook.process.lead.claim import HolderClaim
 from reedhook.process.lead.record import HostIncarnation, PrimaryLeaseRecord, lease_key
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_keyspace import FakeStore
@@ -38,9 +38,9 @@
     )
 
 
-def entry_of(target: str) -> TargetEntry:
+def entry_of(target: str) -> TargetAnnouncement:
     """Return what a target announces."""
-    return TargetEntry(target, "db", "10.0.0.9:1", "z1", False, False, 7, 2, 1)
+    return TargetAnnouncement(target, "db", "10.0.0.9:1", "z1", False, False, 7, 2, 1)
 
 
 def stored(store: FakeStore) -> PrimaryLeaseRecord:
@@ -79,7 +79,7 @@
     assert await claim.write(claim.record)
     found = stored(store)
     assert (found.primary, found.term, found.backup_holder) == ("m2", 4, DEPUTY)
-    assert found.primary_started_at_ms == entry_of("m2").born
+    assert found.primary_started_at_ms == entry_of("m2").started_at_ms
 
 
 @in_virtual_time
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 import pytest
 
 from reedhook.process.events.timeline import EventKind, Timeline
-from reedhook.process.fleet.leaving import LeavingTargets
+from reedhook.process.fleet.leaving import LeavingTargetHandler
 from reedhook.process.groups.group import GroupManager
 from reedhook.request.refusal import RefusalError
 from reedhook.request.view import GroupView
@@ -43,10 +43,10 @@
         return self.succeeds
 
 
-def part(home: FakeHome | None, keeper: FakeKeeper) -> LeavingTargets:
+def part(home: FakeHome | None, keeper: FakeKeeper) -> LeavingTargetHandler:
     """Return the part under test on fakes."""
     clock = LoopClock()
-    return LeavingTargets(
+    return LeavingTargetHandler(
         lambda member: cast("None", home),
         lambda group: cast(GroupManager, keeper),
         clock,
@@ -62,8 +62,8 @@
     home, keeper = FakeHome(), FakeKeeper("db-a", 60.0, succeeds)
     leaving = part(home, keeper)
     # A repeated message starts no second hand-over.
-    await leaving.answer({"member": "db-a", "leaving": True})
-    await leaving.answer({"member": "db-a", "leaving": True})
+    await leaving.handle_leaving({"member": "db-a", "leaving": True})
+    await leaving.handle_leaving({"member": "db-a", "leaving": True})
     await asyncio.sleep(1.0)
     assert not home.leaving
     await asyncio.sleep(1.0)
@@ -78,11 +78,11 @@
 async def test_a_leaving_replica_takes_no_new_work_at_once_and_may_come_back() -> None:
     home, keeper = FakeHome(), FakeKeeper("db-b", 60.0)
     leaving = part(home, keeper)
-    await leaving.answer({"member": "db-a", "leaving": True})
+    await leaving.handle_leaving({"member": "db-a", "leaving": True})
     await asyncio.sleep(0)
     assert home.leaving
     assert keeper.asked == 0
-    await leaving.answer({"member": "db-a", "leaving": False})
+    await leaving.handle_leaving({"member": "db-a", "leaving": False})
     assert not home.leaving
 
 
@@ -90,4 +90,4 @@
 async def test_a_host_that_is_not_home_says_so() -> None:
     leaving = part(None, FakeKeeper("db-a", 0.0))
     with pytest.raises(RefusalError):
-        await leaving.answer({"member": "db-a", "leaving": True})
+        await leaving.handle_leaving({"member": "db-a", "leaving": True})
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -9,13 +9,17 @@
 from reedhook.peer import HostRef
 from reedhook.process.fleet.hostlist import (
     HostList,
-    HostListUnavailable,
-    ListedHost,
+    HostListEntry,
+    HostListUnavailableError,
     ListedKind,
     ListedState,
 )
-from reedhook.process.fleet.listing import LONGEST_INTERVAL, TRUSTED_AFTER, Listing
-from reedhook.process.fleet.membership_record import HostState
+from reedhook.process.fleet.listing import (
+    LEAVING_CONFIRMATION_SECONDS,
+    MAX_POLL_INTERVAL_SECONDS,
+    HostListPoller,
+)
+from reedhook.process.fleet.membership_record import MembershipState
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 from reedhook.wire import Json
@@ -35,12 +39,12 @@
     """Serve what a test puts in."""
 
     def __init__(self) -> None:
-        self.lines: list[ListedHost] = []
+        self.lines: list[HostListEntry] = []
         self.down = False
 
-    async def hosts(self, timeout: float) -> list[ListedHost]:
+    async def hosts(self, timeout: float) -> list[HostListEntry]:
         if self.down:
-            raise HostListUnavailable("down")
+            raise HostListUnavailableError("down")
         return self.lines
 
     async def close(self) -> None:
@@ -56,11 +60,11 @@
         self.told: list[Json] = []
         self.host.routes.add("leaving", self.take)
         self.other = FakeHost(network, OTHER, [ME.address])
-        self.host.membership.learn(self.other.membership.own, 0.0)
+        self.host.membership.merge_record(self.other.membership.own_record, 0.0)
         self.lines = FakeHostList()
         group = Group("db", "feedlog-db", (TARGET, FAR), 2, 15)
         catalog = Catalog(1, "comiso", {"db": group}, Workspaces(), Limits())
-        self.listing = Listing(
+        self.listing = HostListPoller(
             self.lines,
             self.host.membership,
             self.host.directory,
@@ -80,13 +84,13 @@
 
     def list_host(self, state: ListedState) -> None:
         """Let the list show the other host in `state`."""
-        self.lines.lines = [ListedHost("h2", "comiso", OTHER.address, state)]
+        self.lines.lines = [HostListEntry("h2", "comiso", OTHER.address, state)]
 
     def list_target(self, member: Member, state: ListedState) -> None:
         """Let the list show a target in `state`."""
         self.lines.lines = [
-            ListedHost(
-                member.member, member.zone, member.address, state, ListedKind.TARGET
+            HostListEntry(
+                member.member_id, member.zone, member.address, state, ListedKind.TARGET
             )
         ]
 
@@ -106,10 +110,10 @@
 ) -> None:
     scene.list_host(ListedState.LIVE)
     await scene.listing.poll()
-    assert scene.host.state("h2") is HostState.LIVE
+    assert scene.host.state("h2") is MembershipState.LIVE
     scene.list_host(ListedState.LEAVING)
     await scene.listing.poll()
-    assert scene.host.state("h2") is HostState.LEAVING
+    assert scene.host.state("h2") is MembershipState.LEAVING
 
 
 @using(a_scene, run_virtual)
@@ -118,13 +122,13 @@
 ) -> None:
     scene.list_host(ListedState.LEAVING)
     await scene.listing.poll()
-    await scene.host.clock.sleep(TRUSTED_AFTER / 2)
+    await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS / 2)
     await scene.listing.poll()
-    assert scene.host.state("h2") is HostState.LIVE
+    assert scene.host.state("h2") is MembershipState.LIVE
     scene.list_host(ListedState.LIVE)
     await scene.listing.poll()
-    await scene.host.clock.sleep(TRUSTED_AFTER)
-    assert scene.host.state("h2") is HostState.LIVE
+    await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS)
+    assert scene.host.state("h2") is MembershipState.LIVE
 
 
 @using(a_scene, run_virtual)
@@ -133,9 +137,9 @@
 ) -> None:
     scene.list_host(ListedState.LEAVING)
     await scene.listing.poll()
-    await scene.host.clock.sleep(TRUSTED_AFTER + 1.0)
+    await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS + 1.0)
     await scene.listing.poll()
-    assert scene.host.state("h2") is HostState.LEAVING
+    assert scene.host.state("h2") is MembershipState.LEAVING
 
 
 @using(a_scene, run_virtual)
@@ -166,19 +170,20 @@
     scene.list_host(ListedState.LEAVING)
     scene.lines.down = True
     await scene.listing.poll()
-    assert scene.host.state("h2") is HostState.LIVE
+    assert scene.host.state("h2") is MembershipState.LIVE
     assert await scene.listing.addresses() == []
 
 
 @pytest.mark.parametrize(
-    ("lines", "seconds"), [(0, 1.0), (300, 1.0), (900, 3.0), (5000, LONGEST_INTERVAL)]
+    ("lines", "seconds"),
+    [(0, 1.0), (300, 1.0), (900, 3.0), (5000, MAX_POLL_INTERVAL_SECONDS)],
 )
 @using(a_scene, run_virtual)
 async def test_a_long_list_is_read_more_rarely(
     scene: Scene, lines: int, seconds: float
 ) -> None:
     scene.lines.lines = [
-        ListedHost(f"h{number}", "ispica", "127.0.0.1:1", ListedState.LIVE)
+        HostListEntry(f"h{number}", "ispica", "127.0.0.1:1", ListedState.LIVE)
         for number in range(lines)
     ]
     await scene.listing.poll()
--- a/tests/test_membership_directory.py
+++ b/tests/test_membership_directory.py
@@ -6,16 +6,16 @@
 
 from reedhook.peer import HostRef
 from reedhook.process.fleet.directory import MembershipDirectory
-from reedhook.process.fleet.membership_record import HostRecord, HostState
+from reedhook.process.fleet.membership_record import HostRecord, MembershipState
 from reedhook.process.fleet.membership_table import MembershipTable
-from reedhook.process.fleet.rendezvous import ranked_hosts, share
+from reedhook.process.fleet.rendezvous import connection_quota, ranked_hosts
 
 ZONES = ("a", "b", "c")
 TARGETS = tuple((f"t{number}", zone) for number in range(8) for zone in ZONES)
 
 connections = st.integers(1, 200)
 sizes = st.tuples(st.integers(0, 5), st.integers(0, 5), st.integers(1, 5))
-states = st.sampled_from(list(HostState))
+states = st.sampled_from(list(MembershipState))
 seeds = st.integers(0, 1000)
 
 
@@ -42,7 +42,7 @@
     """Return a record in some state for each host."""
     rng = random.Random(seed)
     return [
-        HostRecord(ref, 10, rng.choice(list(HostState)), rng.choice([0, 0, 0, 2]))
+        HostRecord(ref, 10, rng.choice(list(MembershipState)), rng.choice([0, 0, 0, 2]))
         for ref in refs
     ]
 
@@ -51,13 +51,13 @@
 def test_shares_of_any_believers_fit_the_connections(
     count: int, ranks: set[int]
 ) -> None:
-    assert sum(share(count, rank) for rank in ranks) <= count
-    assert share(count, 0) >= 1
+    assert sum(connection_quota(count, rank) for rank in ranks) <= count
+    assert connection_quota(count, 0) >= 1
 
 
 @given(connections)
 def test_shares_fall_with_the_rank(count: int) -> None:
-    shares = [share(count, rank) for rank in range(8)]
+    shares = [connection_quota(count, rank) for rank in range(8)]
     assert shares == sorted(shares, reverse=True)
     if count >= 10:
         assert shares[0] == int(count * 0.47)
@@ -66,7 +66,7 @@
 
 @given(connections.filter(lambda count: count >= 3))
 def test_two_hosts_that_both_take_themselves_for_the_first_fit(count: int) -> None:
-    assert 2 * share(count, 0) <= count
+    assert 2 * connection_quota(count, 0) <= count
 
 
 @given(sizes, st.lists(seeds, min_size=1, max_size=6), connections)
@@ -84,7 +84,7 @@
                 continue
             rank = directory.rank_of(member, zone, home.host)
             assert rank is not None
-            given_out[home.host] = share(count, rank)
+            given_out[home.host] = connection_quota(count, rank)
         assert sum(given_out.values()) <= count
 
 
@@ -133,7 +133,7 @@
     records = drawn(seed, hosts_of(counts))
     me = records[0].ref
     before = MembershipDirectory(me, table_of(records))
-    records[0] = HostRecord(me, 11, HostState.LEAVING)
+    records[0] = HostRecord(me, 11, MembershipState.LEAVING)
     after = MembershipDirectory(me, table_of(records))
     for member, zone in TARGETS:
         assert before.successor(member, zone) == after.home(member, zone)
@@ -158,7 +158,9 @@
     refs = hosts_of(counts)
     records = [HostRecord(ref, 0) for ref in refs]
     news = [
-        HostRecord(rng.choice(refs), rng.randrange(3), rng.choice(list(HostState)))
+        HostRecord(
+            rng.choice(refs), rng.randrange(3), rng.choice(list(MembershipState))
+        )
         for _ in range(20)
     ]
     tables = []
@@ -171,4 +173,4 @@
         tables.append(table)
     assert tables[0].records == tables[1].records
     assert tables[0].buckets == tables[1].buckets
-    assert tables[0].unsettled == tables[1].unsettled
+    assert tables[0].not_live_hosts == tables[1].not_live_hosts
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -8,9 +8,9 @@
 import pytest
 
 from reedhook.process.events.timeline import EventKind
-from reedhook.process.fleet.heartbeat_timing import Timing
+from reedhook.process.fleet.heartbeat_timing import HeartbeatTiming
 from reedhook.process.fleet.membership import Membership
-from reedhook.process.fleet.membership_record import HostState
+from reedhook.process.fleet.membership_record import MembershipState
 
 from .fakes_clock import in_virtual_time, run_virtual
 from .fakes_hosts import FakeHosts
@@ -65,8 +65,8 @@
     ended = hosts["a-1"]
     ended.task.cancel()
     await asyncio.sleep(0.1)
-    ended.heartbeats.doubt("b-0")
-    ended.heartbeats.greeter.offer(["10.9.9.9:1"])
+    ended.heartbeats.request_probe("b-0")
+    ended.heartbeats.discovery.update_listed_addresses(["10.9.9.9:1"])
 
 
 @using(nine_hosts, run_virtual)
@@ -101,7 +101,7 @@
 @using(nine_hosts, run_virtual)
 async def test_a_restart_at_the_same_address_supersedes(hosts: FakeHosts) -> None:
     old = hosts["a-1"]
-    incarnation = old.membership.own.incarnation
+    incarnation = old.membership.own_record.incarnation
     old.crash()
     await asyncio.sleep(2.0)
     hosts.start("a-1", "a", old.ref.address)
@@ -122,7 +122,7 @@
     hosts.start("a-9", "a", old.ref.address)
     del hosts.hosts["a-1"]
     assert await hosts.until_agreed() < 0.5
-    assert hosts["b-0"].state("a-1") is HostState.GONE
+    assert hosts["b-0"].state("a-1") is MembershipState.GONE
 
 
 @in_virtual_time
@@ -130,9 +130,9 @@
     async with hosts_of({"a": 2, "b": 1}) as hosts:
         hosts["a-1"].membership.leave()
         assert await until(out_of(hosts, "a-1")) < 0.05
-        assert hosts["b-0"].state("a-1") is HostState.LEAVING
+        assert hosts["b-0"].state("a-1") is MembershipState.LEAVING
         hosts["a-1"].crash()
-        await until(lambda: hosts["b-0"].state("a-1") is HostState.GONE, 2.0)
+        await until(lambda: hosts["b-0"].state("a-1") is MembershipState.GONE, 2.0)
         await asyncio.sleep(310.0)
         assert hosts["b-0"].state("a-1") is None
 
@@ -159,7 +159,7 @@
     await asyncio.sleep(30.0)
     hosts.network.heal()
     assert await hosts.until_agreed() < 10.0
-    penalties = [one.membership.own.penalty for one in hosts.running()]
+    penalties = [one.membership.own_record.penalty for one in hosts.running()]
     assert penalties == [0] * len(penalties)
 
 
@@ -190,7 +190,7 @@
         if event.kind is EventKind.MEMBER_LEFT
     ]
     assert left == []
-    assert one.state("a-1") is HostState.LIVE
+    assert one.state("a-1") is MembershipState.LIVE
 
 
 @using(nine_hosts, run_virtual)
@@ -225,18 +225,20 @@
     async with hosts_of({"a": 12, "b": 12}) as hosts:
         for one in hosts.running():
             adopt_versions(one.membership)
-        hosts["b-1"].membership.set_version(7)
+        hosts["b-1"].membership.set_configuration_version(7)
         assert await until(lambda: versions(hosts) == {7}) < 2.0
 
 
 def adopt_versions(membership: Membership) -> None:
     """Put each version in force that a peer states."""
-    membership.on_version = lambda peer, version: membership.set_version(version)
+    membership.on_newer_configuration = (
+        lambda peer, version: membership.set_configuration_version(version)
+    )
 
 
 def versions(hosts: FakeHosts) -> set[int]:
     """Return the versions in force."""
-    return {one.membership.version for one in hosts.running()}
+    return {one.membership.configuration_version for one in hosts.running()}
 
 
 def test_a_lossy_network_declares_no_living_host_dead() -> None:
@@ -308,13 +310,13 @@
         for _ in range(40):
             relay.retire_unlisted(["a-1", "a-2"])
             await asyncio.sleep(1.0)
-        assert hosts["b-0"].state("a-1") is HostState.DEAD
+        assert hosts["b-0"].state("a-1") is MembershipState.DEAD
         for _ in range(40):
             relay.retire_unlisted(["a-2"])
             await asyncio.sleep(1.0)
-        assert hosts["b-0"].state("a-1") is HostState.GONE
+        assert hosts["b-0"].state("a-1") is MembershipState.GONE
         relay.retire_unlisted([])
-        assert hosts["b-0"].state("a-2") is HostState.LIVE
+        assert hosts["b-0"].state("a-2") is MembershipState.LIVE
 
 
 @in_virtual_time
@@ -326,7 +328,7 @@
     other.start("b-1", "b", "10.0.0.9:2")
     await asyncio.sleep(3.0)
     assert one["a-0"].live() == {"a-0", "a-1"}
-    one["a-0"].heartbeats.greeter.offer(["10.0.0.9:1"])
+    one["a-0"].heartbeats.discovery.update_listed_addresses(["10.0.0.9:1"])
     await asyncio.sleep(8.0)
     everyone = {"a-0", "a-1", "b-0", "b-1"}
     for fake in one.running() + other.running():
@@ -343,8 +345,10 @@
     await asyncio.sleep(0.5)
     hosts["a-1"].crash()
     near = [hosts["a-0"], hosts["a-2"]]
-    await until(lambda: any(one.state("a-1") is not HostState.LIVE for one in near))
-    bound = Timing().refute + 2 * Timing().tick
+    await until(
+        lambda: any(one.state("a-1") is not MembershipState.LIVE for one in near)
+    )
+    bound = HeartbeatTiming().refute_timeout + 2 * HeartbeatTiming().tick_interval
     assert await until(out_of(hosts, "a-1", "a-0", "a-2")) < bound
 
 
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -14,7 +14,7 @@
     SessionStatementKind,
     TransactionMode,
 )
-from reedhook.version.registry import RouteKind
+from reedhook.version.registry import RouteConsistency
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent, Viewer
 
@@ -157,7 +157,7 @@
         viewer = Viewer(
             session.name,
             session.name,
-            RouteKind.BOUNDED,
+            RouteConsistency.BOUNDED,
             1.0,
             session.values,
             session.prepared,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -18,7 +18,7 @@
 from reedhook.process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
 from reedhook.request.command import SessionCommandKind
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind, TargetEntry
+from reedhook.version.registry import RouteConsistency, TargetAnnouncement
 from reedhook.wire import WireError, encode
 
 ENTRY: dict[str, object] = {
@@ -48,7 +48,7 @@
 )
 
 
-def read_entry(**fields: object) -> TargetEntry:
+def read_entry(**fields: object) -> TargetAnnouncement:
     """Read what a target announces with these fields."""
     return PlatformDocuments().read_target("servers/i-7f3a", orjson.dumps(fields))
 
@@ -191,8 +191,8 @@
     assert table.version == 7
     assert set(table.routes) == {"lepu270"}
     route = table.routes["lepu270"]
-    assert route.kind is RouteKind.BOUNDED
-    assert (route.timeout, route.max_age) == (1.2, 1.5)
+    assert route.kind is RouteConsistency.BOUNDED
+    assert (route.statement_timeout_seconds, route.max_age) == (1.2, 1.5)
     assert table.services["huvo11a"].connections == 16
     assert (table.transaction_idle, table.start_timeout) == (3.0, 2.0)
 
@@ -206,13 +206,13 @@
 def test_a_target_is_read() -> None:
     entry = read_entry(**ENTRY)
     assert entry.target == "i-7f3a"
-    assert entry.leaving and entry.claims_lead
-    assert (entry.born, entry.sequence) == (1_764_720_000_000, 4)
+    assert entry.leaving and entry.claims_primary
+    assert (entry.started_at_ms, entry.sequence) == (1_764_720_000_000, 4)
 
 
 def test_a_target_whose_start_is_not_stated_is_read() -> None:
     entry = read_entry(**{name: ENTRY[name] for name in ENTRY if name != "born"})
-    assert entry.born == 0
+    assert entry.started_at_ms == 0
 
 
 @pytest.mark.parametrize("name", [name for name in ENTRY if name != "born"])
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -18,7 +18,7 @@
 from reedhook.process.callers import Callers
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason, may_have_run, not_run
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 from reedhook_standins.wiremember import WireMemberStandIn
 
 from .session_world import SessionWorld
@@ -29,7 +29,7 @@
 
 
 def with_member(
-    test: Callable[[WireMemberStandIn, TargetEntry], Awaitable[None]],
+    test: Callable[[WireMemberStandIn, TargetAnnouncement], Awaitable[None]],
     answers: dict[str, bytes] | None = None,
 ) -> None:
     """Run a test with a stand-in of a target."""
@@ -37,7 +37,7 @@
     async def run() -> None:
         member = WireMemberStandIn(answers)
         await member.start()
-        entry = TargetEntry("i-1", "huvo11a", member.address, "z", False, False)
+        entry = TargetAnnouncement("i-1", "huvo11a", member.address, "z", False, False)
         try:
             await test(member, entry)
         finally:
@@ -47,7 +47,7 @@
 
 
 def test_queries_that_travel_together_are_answered_in_order() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         queries = [
             TargetQuery("", "RESET"),
@@ -76,7 +76,7 @@
 
 
 def test_the_state_of_a_target_is_read() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         status = await connection.status(TIMEOUT)
         assert not status.is_primary
@@ -97,7 +97,7 @@
 def test_a_start_that_is_refused_says_why(
     answer: bytes, error: type[SessionTargetUnreachableError]
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         member.start_answer = answer
         with pytest.raises(error):
             await WireDriver("reedhook").connect(entry, TIMEOUT)
@@ -112,7 +112,7 @@
 def test_an_answer_that_cannot_be_read_leaves_the_exchange_in_doubt(
     answer: bytes,
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         with pytest.raises(SessionTargetNoReplyError):
             await connection.exchange([TargetQuery("1", "READ a")], 0.1)
@@ -122,7 +122,7 @@
 
 
 def test_a_silent_target_is_given_up() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         member.silent = True
         with pytest.raises(SessionTargetUnreachableError):
             await WireDriver("reedhook").connect(entry, 0.05)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -6,7 +6,7 @@
 
 from reedhook.connection.member import TargetQuery
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind
+from reedhook.version.registry import RouteConsistency
 from reedhook_standins.database import DatabaseGroup, DatabaseSession
 from reedhook_standins.promises import Promises, Sent, Viewer
 
@@ -34,7 +34,7 @@
         return "\n".join(self.promises.violations)
 
 
-def viewer(kind: RouteKind, max_age: float | None, session: str = "s") -> Viewer:
+def viewer(kind: RouteConsistency, max_age: float | None, session: str = "s") -> Viewer:
     """Return a reader that has set and prepared nothing."""
     return Viewer("c1", session, kind, max_age, {}, {})
 
@@ -49,17 +49,17 @@
 @pytest.mark.parametrize(
     ("kind", "max_age", "age", "session", "stale"),
     [
-        (RouteKind.PRIMARY, None, 0.1, "s", True),
-        (RouteKind.PRIMARY, None, 0.1, "other", True),
-        (RouteKind.BOUNDED, 1.5, 1.4, "s", False),
-        (RouteKind.BOUNDED, 1.5, 1.6, "s", True),
-        (RouteKind.OWN_WRITES, 2.5, 0.1, "s", True),
-        (RouteKind.OWN_WRITES, 2.5, 2.4, "other", False),
-        (RouteKind.OWN_WRITES, 2.5, 2.6, "other", True),
+        (RouteConsistency.PRIMARY, None, 0.1, "s", True),
+        (RouteConsistency.PRIMARY, None, 0.1, "other", True),
+        (RouteConsistency.BOUNDED, 1.5, 1.4, "s", False),
+        (RouteConsistency.BOUNDED, 1.5, 1.6, "s", True),
+        (RouteConsistency.OWN_WRITES, 2.5, 0.1, "s", True),
+        (RouteConsistency.OWN_WRITES, 2.5, 2.4, "other", False),
+        (RouteConsistency.OWN_WRITES, 2.5, 2.6, "other", True),
     ],
 )
 def test_a_read_that_misses_a_commit(
-    kind: RouteKind, max_age: float | None, age: float, session: str, stale: bool
+    kind: RouteConsistency, max_age: float | None, age: float, session: str, stale: bool
 ) -> None:
     async def run() -> None:
         one = Case()
@@ -82,7 +82,7 @@
         await one.group.promote("db-2")
         one.at += 1.0
         row = one.session("db-2").run(one.sent("r", "READ a")).rows[0]
-        one.promises.read(viewer(RouteKind.PRIMARY, None), row, one.at)
+        one.promises.read(viewer(RouteConsistency.PRIMARY, None), row, one.at)
         assert not one.promises.violations
 
     asyncio.run(run())
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -16,7 +16,7 @@
 from reedhook.request.refusal import RefusalReason, not_run
 from reedhook.request.verdict import Verdict
 from reedhook.request.work import SessionStatement, SessionStatementResult
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 from reedhook.wire import decode
 
 from .fakes_clock import in_virtual_time, run_virtual
@@ -104,11 +104,11 @@
     raise AssertionError("no write succeeded")
 
 
-def leaving(entry: TargetEntry) -> TargetEntry:
+def leaving(entry: TargetAnnouncement) -> TargetAnnouncement:
     """Return what a target announces that is about to end."""
     values = [*entry.values()]
     values[4] = True
-    return TargetEntry(*values)
+    return TargetAnnouncement(*values)
 
 
 @using(a_world, run_virtual)
@@ -591,14 +591,14 @@
     homes = [host.desk.homes.get(entry.target) for host in world.hosts.values()]
     old = [home for home in homes if home is not None]
     assert old
-    member.entry = TargetEntry(
+    member.entry = TargetAnnouncement(
         entry.target,
         entry.service,
         "10.0.9.9:1",
         entry.zone,
         entry.leaving,
-        entry.claims_lead,
-        entry.born,
+        entry.claims_primary,
+        entry.started_at_ms,
         entry.slots,
         entry.sequence,
     )
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -40,7 +40,7 @@
         await asyncio.sleep(self.random.uniform(0.0, STARTS_WITHIN))
         zone = f"z{number % ZONES}"
         host = self.hosts.start(f"h{number}", zone, f"10.0.0.{number}:1")
-        host.heartbeats.greeter.seeds = []
+        host.heartbeats.discovery.seeds = []
         self.refs.append(host)
 
     async def tell(self) -> None:
@@ -49,7 +49,9 @@
             known = [one.ref for one in self.refs]
             self.random.shuffle(known)
             known.sort(key=lambda ref: ref.zone != host.ref.zone)
-            host.heartbeats.greeter.offer([ref.address for ref in known])
+            host.heartbeats.discovery.update_listed_addresses(
+                [ref.address for ref in known]
+            )
 
 
 @pytest.mark.parametrize("count", [60, 195])
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -12,11 +12,11 @@
     SessionStatementKind,
     TransactionMode,
 )
-from reedhook.version.registry import TargetEntry
+from reedhook.version.registry import TargetAnnouncement
 
 from .fakes_clock import in_virtual_time
 
-CROWDED = TargetEntry("m2", "db", "10.0.0.2:1", "z2", False, False)
+CROWDED = TargetAnnouncement("m2", "db", "10.0.0.2:1", "z2", False, False)
 
 
 class Crowded(ReplicaReader):
@@ -26,7 +26,7 @@
         self.asked: list[str] = []
 
     async def run_at_replica(
-        self, entry: TargetEntry, statement: SessionStatement, deadline: float
+        self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
     ) -> ReplicaReadResult:
         self.asked.append(entry.target)
         assert statement.wait_limit_seconds is None
--- a/tests/test_store_http.py
+++ b/tests/test_store_http.py
@@ -9,10 +9,10 @@
 import pytest
 
 from reedhook.process.configuring.store import (
-    Entry,
-    StoreConflict,
+    StoreConflictError,
+    StoreEntry,
     StoreError,
-    StoreUnavailable,
+    StoreUnavailableError,
 )
 from reedhook.process.configuring.store_http import HttpStore
 from reedhook_standins.store import MAX_VALUE, StoreStandin
@@ -43,13 +43,13 @@
     _, store = pair
     assert await store.get("config", 1.0) is None
     first = await store.put("config", b"\x00one", 0, 1.0)
-    with pytest.raises(StoreConflict):
+    with pytest.raises(StoreConflictError):
         await store.put("config", b"two", 0, 1.0)
-    with pytest.raises(StoreConflict):
+    with pytest.raises(StoreConflictError):
         await store.put("config", b"two", first.revision + 1, 1.0)
     second = await store.put("config", b"two", first.revision, 1.0)
     assert await store.get("config", 1.0) == second
-    with pytest.raises(StoreConflict):
+    with pytest.raises(StoreConflictError):
         await store.delete("config", first.revision, 1.0)
     await store.delete("config", second.revision, 1.0)
     assert await store.get("config", 1.0) is None
@@ -66,7 +66,7 @@
     assert found is not None and found.value == largest
     with pytest.raises(StoreError) as caught:
         await store.put("config", largest + b"x", entry.revision, 5.0)
-    assert not isinstance(caught.value, (StoreUnavailable, StoreConflict))
+    assert not isinstance(caught.value, (StoreUnavailableError, StoreConflictError))
 
 
 @using(store_of)
@@ -90,7 +90,7 @@
     standin, store = pair
     await store.get("config", 1.0)
     standin.lose_answers = 1
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await store.put("config", b"one", 0, 1.0)
     assert standin.calls["put"] == 1
     found = await store.get("config", 1.0)
@@ -106,7 +106,7 @@
     for number in range(20):
         try:
             await store.put(f"key{number}", b"x", 0, 1.0)
-        except StoreUnavailable:
+        except StoreUnavailableError:
             lost.append(number)
     expected = Random(7)
     assert lost == [n for n in range(20) if expected.random() < 0.5]
@@ -124,9 +124,9 @@
     watching = asyncio.create_task(store.watch("config", first.revision, 5.0))
     await until(lambda: standin.watching)
     standin.down = True
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await watching
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await store.put("config", b"two", first.revision, 1.0)
     standin.down = False
     assert await store.get("config", 1.0) == first
@@ -138,7 +138,7 @@
     watching = asyncio.create_task(store.watch("config", 0, 5.0))
     await until(lambda: standin.watching)
     standin.drop_watches()
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await watching
 
 
@@ -148,7 +148,7 @@
 ) -> None:
     standin, store = pair
     standin.slow = 0.2
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await store.put("config", b"one", 0, 0.05)
     found = await store.get("config", 1.0)
     assert found is not None and found.value == b"one"
@@ -157,7 +157,7 @@
 @using(store_of)
 async def test_a_stale_read_gives_an_older_revision(pair: Pair) -> None:
     standin, store = pair
-    entry = Entry("config", b"", 0)
+    entry = StoreEntry("config", b"", 0)
     seen = []
     for value in (b"one", b"two", b"three"):
         entry = await store.put("config", value, entry.revision, 1.0)
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -12,7 +12,7 @@
 
 from reedhook.connection.lane import PooledConnection
 from reedhook.connection.lanes import SessionConnectionPool
-from reedhook.process.fleet.rendezvous import kept, share
+from reedhook.process.fleet.rendezvous import connection_quota, home_connection_limit
 from reedhook.request.refusal import RefusalError
 from reedhook_standins.database import DatabaseGroup
 
@@ -103,7 +103,11 @@
 
 def test_a_home_leaves_connections_for_a_successor() -> None:
     for connections in range(2, 100):
-        assert share(connections, 0) <= kept(connections) < connections
+        assert (
+            connection_quota(connections, 0)
+            <= home_connection_limit(connections)
+            < connections
+        )
 
 
 @settings(max_examples=30, deadline=None)
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -7,11 +7,11 @@
 from reedhook.platform.documents import PlatformDocuments
 from reedhook.version.registry import RouteTable
 from reedhook.version.workspace import (
-    LONGEST_KEY,
+    MAX_KEY_CHARACTERS,
     Workspace,
     Workspaces,
-    checked_rate,
     key_digest,
+    sanitize_rate,
 )
 from reedhook.wire import Json, decode, encode
 
@@ -55,8 +55,8 @@
     farm = table.workspaces.by_name["farm"]
     assert farm.digests == {key_digest("key-one"), key_digest("key-two")}
     assert (farm.priority, farm.rate, farm.burst) == (0, 15.0, 20.0)
-    assert table.workspaces.holder(key_digest("key-two")) == farm
-    assert table.workspaces.holder(key_digest("key-three")) is None
+    assert table.workspaces.find_by_digest(key_digest("key-two")) == farm
+    assert table.workspaces.find_by_digest(key_digest("key-three")) is None
     assert not table.routes["db1"].public
 
 
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf")])
 def test_a_rate_that_is_no_number_admits_nothing(rate: float) -> None:
-    assert checked_rate(rate) == 0.0
+    assert sanitize_rate(rate) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
         {"name": "two words", "api_keys": ["key-bad"]},
         {"name": "bad", "api_keys": []},
         {"name": "bad", "api_keys": "key-bad"},
-        {"name": "bad", "api_keys": ["", 7, None, "k" * (LONGEST_KEY + 1)]},
+        {"name": "bad", "api_keys": ["", 7, None, "k" * (MAX_KEY_CHARACTERS + 1)]},
         {"name": "bad"},
         {"api_keys": ["key-bad"]},
         "bad",
@@ -127,16 +127,16 @@
 )
 def test_a_bad_workspace_leaves_the_others(bad: Any) -> None:
     table = read(configuration(bad, GOOD))
-    assert table.workspaces.holder(key_digest("key-bad")) is None
-    assert table.workspaces.holder("") is None
-    holder = table.workspaces.holder(key_digest("key-one"))
+    assert table.workspaces.find_by_digest(key_digest("key-bad")) is None
+    assert table.workspaces.find_by_digest("") is None
+    holder = table.workspaces.find_by_digest(key_digest("key-one"))
     assert holder is not None and holder.name == "farm"
 
 
 def test_a_key_of_two_workspaces_is_nobodys() -> None:
     other = {**GOOD, "name": "mill", "api_keys": ["key-two", "key-four"]}
     workspaces = read(configuration(GOOD, other)).workspaces
-    assert workspaces.holder(key_digest("key-two")) is None
+    assert workspaces.find_by_digest(key_digest("key-two")) is None
     assert workspaces.by_digest[key_digest("key-one")].name == "farm"
     assert workspaces.by_digest[key_digest("key-four")].name == "mill"
 
@@ -156,5 +156,5 @@
     huge = frozenset(key_digest(f"h{key}") for key in range(10_000))
     found = Workspaces([*many, Workspace("huge", huge, 1, 1.0, 1.0)])
     assert len(found.by_digest) == 840 * 6 + 10_000
-    assert found.holder(key_digest("k839.5")) == many[839]
-    assert found.holder(key_digest("h9999")) is found.by_name["huge"]
+    assert found.find_by_digest(key_digest("k839.5")) == many[839]
+    assert found.find_by_digest(key_digest("h9999")) is found.by_name["huge"]
--- a/tests/trace_world.py
+++ b/tests/trace_world.py
@@ -17,8 +17,8 @@
 from reedhook.process.events.timeline import Event, Timeline
 from reedhook.process.fleet.hostlist import (
     HostList,
-    HostListUnavailable,
-    ListedHost,
+    HostListEntry,
+    HostListUnavailableError,
     ListedKind,
     ListedState,
 )
@@ -26,7 +26,7 @@
 from reedhook.process.settings import Settings
 from reedhook.process.worker import Worker
 from reedhook.request.api import TRANSACTION_HANDLE, Handler, refuse_on_error
-from reedhook.version.document import Documents
+from reedhook.version.document import ConfigurationDocuments
 from reedhook.wire import Json, decode, encode
 
 from .fakes_group import FakeGroup
@@ -61,9 +61,9 @@
         self.world = world
         self.host = host
 
-    async def hosts(self, timeout: float) -> list[ListedHost]:
+    async def hosts(self, timeout: float) -> list[HostListEntry]:
         if self.world.stores[self.host].down or self.world.store.down:
-            raise HostListUnavailable("the platform cannot be reached")
+            raise HostListUnavailableError("the platform cannot be reached")
         return list(self.world.listed.values())
 
     async def close(self) -> None:
@@ -91,7 +91,7 @@
             name: TraceMember(member, self.network, SLOTS, CONNECTIONS)
             for name, member in self.truth.members.items()
         }
-        self.listed: dict[str, ListedHost] = {}
+        self.listed: dict[str, HostListEntry] = {}
         self.hosts: dict[str, Host] = {}
         self.dead: list[Host] = []
         self.refs = [
@@ -123,7 +123,7 @@
         kind: ListedKind = ListedKind.HOST,
     ) -> None:
         """Set what the platform's list says."""
-        self.listed[name] = ListedHost(name, zone, self.address(name), state, kind)
+        self.listed[name] = HostListEntry(name, zone, self.address(name), state, kind)
 
     def address(self, name: str) -> str:
         found = [ref.address for ref in self.refs if ref.host == name]
@@ -172,7 +172,7 @@
             seeds=tuple(one.address for one in self.refs[:3]),
         )
 
-    def documents(self) -> Documents:
+    def documents(self) -> ConfigurationDocuments:
         """Return a configuration of the group and one workspace."""
         lines = ["services:", "  feedlog-db:"]
         lines += [f"    slots: {SLOTS}", f"    connections: {CONNECTIONS}"]
@@ -183,7 +183,7 @@
         digest = sha256(CREDENTIAL.encode()).hexdigest()
         lines += ["workspaces:", f"  {WORKSPACE}:", "    services: [feedlog-db]"]
         lines += [f"    token_sha256: {digest}", ""]
-        return Documents("\n".join(lines), dict.fromkeys(self.zones, ""))
+        return ConfigurationDocuments("\n".join(lines), dict.fromkeys(self.zones, ""))
 
     async def stop(self) -> None:
         self.truth.stop()
