--- a/bench/hop.py
+++ b/bench/hop.py
@@ -17,7 +17,7 @@
 
 from reedhook import wire
 from reedhook.process.assembly import assemble_host
-from reedhook.process.collector import spare_collector
+from reedhook.process.collector import freeze_startup_objects
 from reedhook.process.host import Host
 from reedhook.record import Record
 from reedhook.request.statement import Consistency
@@ -228,7 +228,7 @@
         documents = ConfigurationDocuments(platform["base"], platform["overlays"])
         await host.editor.apply(documents, 0, OPERATOR, "benchmark", "benchmark")
     await host.configuration.ready.wait()
-    spare_collector()
+    freeze_startup_objects()
     return listen
 
 
--- a/src/reedhook/platform/assembly.py
+++ b/src/reedhook/platform/assembly.py
@@ -12,7 +12,7 @@
 from ..peer import HostRef
 from ..process.events.timeline import Timeline
 from ..process.histograms import HistogramMetrics
-from ..process.hosting_settings import HostingSettings
+from ..process.hosting_settings import SessionHostSettings
 from ..process.network.peer_http import HttpPeers
 from ..process.network.peer_server import PeerEndpoint, PeerServer
 from ..process.network.plain_server import PlainServer
@@ -49,7 +49,7 @@
     def __init__(
         self,
         path: Path,
-        settings: HostingSettings,
+        settings: SessionHostSettings,
         clock: Clock,
         random: Random,
         decisions: Decisions,
@@ -79,7 +79,7 @@
         probe = Probe(lambda: host.ready, metrics.render)
         super().__init__(
             host,
-            Front(host.callers, settings.callers_listen),
+            Front(host.caller_sessions, settings.callers_listen),
             PeerServer(endpoint, settings.peer_listen),
             probe_server("platform", probe, settings.ready_listen),
             probe_server("metrics", probe, settings.metrics_listen),
@@ -99,7 +99,7 @@
             return
         self.store.move(settings.store)
         self.promoter.move(settings.promotions)
-        self.host.reloaded(settings)
+        self.host.apply_settings(settings)
 
     def stamp(self) -> float:
         return stamp(self.path)
--- a/src/reedhook/platform/entry.py
+++ b/src/reedhook/platform/entry.py
@@ -8,7 +8,7 @@
 from ..connection.member import StatementFault
 from ..connection.session import Session, SessionReply
 from ..connection.state import SessionState
-from ..process.callers import CallerConnection, Callers
+from ..process.callers import CallerConnection, CallerSessions
 from ..request.refusal import RefusalError, RefusalReason
 from ..request.verdict import Verdict
 from . import text
@@ -43,7 +43,7 @@
 class FrontConnection(asyncio.Protocol, CallerConnection):
     """Serve one caller, one statement after the other."""
 
-    def __init__(self, callers: Callers) -> None:
+    def __init__(self, callers: CallerSessions) -> None:
         self.callers = callers
         self.reader = LineReader()
         self.lines: deque[str] = deque()
@@ -126,7 +126,7 @@
         self.serving = True
         try:
             key = read_key(fields[2]) if len(fields) > 2 else ""
-            self.session = await self.callers.open(fields[1], key)
+            self.session = await self.callers.open_session(fields[1], key)
         except RefusalError as refusal:
             self.write(encoded("ERROR", *worded(refusal)))
             return False
@@ -165,7 +165,7 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         if self.serving or self.lines:
             return False
         if self.callers.clock.monotonic() - self.rested_at < IDLE_GRACE:
@@ -178,7 +178,7 @@
         if self.transport is not None:
             self.transport.close()
 
-    def is_denied(self) -> bool:
+    def is_access_revoked(self) -> bool:
         return self.session is not None and self.session.is_denied()
 
     def abort_transaction(self, cause: str) -> None:
@@ -192,7 +192,7 @@
     :param address: ``IP:port``; port 0 takes a free one.
     """
 
-    def __init__(self, callers: Callers, address: str) -> None:
+    def __init__(self, callers: CallerSessions, address: str) -> None:
         self.callers = callers
         self.address = address
         self.server: asyncio.Server | None = None
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..address import split_address
-from ..process.hosting_settings import HostingSettings
+from ..process.hosting_settings import SessionHostSettings
 from ..process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
 
 VARIABLE: Final = "REEDHOOK_SETTINGS"
@@ -46,7 +46,7 @@
         self.value = value
 
 
-def load(path: Path) -> HostingSettings:
+def load(path: Path) -> SessionHostSettings:
     """Read and check a settings file.
 
     :raises OSError: if it cannot be read.
@@ -55,7 +55,7 @@
     return read(path.read_text(encoding="utf-8"))
 
 
-def read(text: str) -> HostingSettings:
+def read(text: str) -> SessionHostSettings:
     """Read settings; fields that are not known here are ignored.
 
     :raises SettingsFault: as `load`.
@@ -63,7 +63,7 @@
     fields = split(text)
     ip = required(fields, "ip")
     first, last = ports(fields)
-    return HostingSettings(
+    return SessionHostSettings(
         host=required(fields, "node_name"),
         zone=required(fields, "zone"),
         callers_listen=address(fields, "listen.front"),
--- a/src/reedhook/process/administration/admin_fleet.py
+++ b/src/reedhook/process/administration/admin_fleet.py
@@ -10,7 +10,7 @@
 from ...wire import Json, WireError
 from ..events.timeline import Event
 from ..events.timeline_filter import EventFilter
-from ..events.timeline_merge import History, merge
+from ..events.timeline_merge import EventHistory, merge
 from .admin_source import AdminSource
 from .admin_status import HostStatus
 
@@ -74,7 +74,7 @@
         answers, missing = await self.ask_all(self.status_of)
         return [self.source.status(), *answers.values()], missing
 
-    async def history(self, wanted: EventFilter, everywhere: bool) -> History:
+    async def history(self, wanted: EventFilter, everywhere: bool) -> EventHistory:
         """Return the events of this host or of all hosts in one causal order."""
         parts: dict[str, RingPart] = {}
         missing: dict[str, str] = {}
@@ -90,7 +90,7 @@
         parts[self.source.me.host] = self.own_part(wanted)
         cut = tuple(host for host, part in parts.items() if part.cut)
         rings = [part.events for part in parts.values()]
-        return History(merge(rings), missing, cut)
+        return EventHistory(merge(rings), missing, cut)
 
     def asked_hosts(self, wanted: EventFilter) -> list[HostRef]:
         """Return the hosts that may have such events."""
--- a/src/reedhook/process/assembly.py
+++ b/src/reedhook/process/assembly.py
@@ -14,7 +14,7 @@
 from .events.timeline import Timeline
 from .fleet.hostlist_http import HttpHostList
 from .host import Host
-from .lifecycle import Companion, HostProcess
+from .lifecycle import Companion, HostDaemon
 from .network.peer_http import HttpPeers
 from .network.peer_server import PeerEndpoint, PeerServer
 from .network.server import ApplicationServer, HandlerServer
@@ -25,7 +25,7 @@
 METRICS_PREFIX: Final = "reedhook"
 
 
-def assemble_host(settings: Settings) -> HostProcess:
+def assemble_host(settings: Settings) -> HostDaemon:
     """Return the process of a host as the daemon runs it."""
     if settings.statsd is None:
         return assemble(settings, SystemClock(), Random(), MemoryMetrics())
@@ -39,14 +39,14 @@
     random: Random,
     metrics: Metrics,
     companions: tuple[Companion, ...] = (),
-) -> HostProcess:
+) -> HostDaemon:
     """Return the process of a host with the given clock and random source.
 
     :raises OSError: if a certificate file cannot be used.
     """
     tls = None if settings.tls is None else TlsContexts(settings.tls)
     if tls is not None:
-        companions = (*companions, tls.follow)
+        companions = (*companions, tls.watch_files)
     return serve(make_host(settings, clock, random, metrics, tls), tls, companions)
 
 
@@ -54,7 +54,7 @@
     host: Host,
     tls: TlsContexts | None = None,
     companions: tuple[Companion, ...] = (),
-) -> HostProcess:
+) -> HostDaemon:
     """Return the process of `host` with its three servers."""
     settings = host.settings
     endpoint = PeerEndpoint(host.routes, settings.peer_credential, host.timeline)
@@ -62,7 +62,7 @@
     operators_app = admin_app(host.admin, config_routes(host.admin, host.editor))
     limits = settings.limits
     shown = None if tls is None else tls.callers
-    return HostProcess(
+    return HostDaemon(
         host,
         HandlerServer("callers", callers.handle, settings.listen, limits, shown),
         PeerServer(endpoint, settings.peer_listen, None if tls is None else tls.peers),
--- a/src/reedhook/process/callers.py
+++ b/src/reedhook/process/callers.py
@@ -14,18 +14,18 @@
 from ..request.steering import SessionRouter
 from .announced.announcements import Announcements
 
-CONFIGURED_TIMEOUT: Final = 1.5
+CONFIGURATION_TIMEOUT_SECONDS: Final = 1.5
 """Seconds for which a new session waits for the first configuration; callers
 give up after 2 s."""
 
-IN_ROTATION: Final = 2.2
+ROTATION_DELAY_SECONDS: Final = 2.2
 """Seconds for which the platform goes on sending new connections to a host that
 is not ready: it asks each second, twice."""
 
-POLL: Final = 0.05
+POLL_INTERVAL_SECONDS: Final = 0.05
 """Seconds between two looks at what is still open."""
 
-MOVE_EVERY: Final = 1.0
+CLOSE_INTERVAL_SECONDS: Final = 1.0
 """Seconds between two rounds in which idle sessions are closed at a host that gets
 no new ones; a caller that comes back all the same has some time in between."""
 
@@ -37,7 +37,7 @@
     """Hold the connection of one caller."""
 
     @abstractmethod
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Say whether no answer is owed and no transaction is open."""
 
     @abstractmethod
@@ -49,11 +49,11 @@
         """End the open transaction on our own account."""
 
     @abstractmethod
-    def is_denied(self) -> bool:
+    def is_access_revoked(self) -> bool:
         """Say whether the key of the caller opens nothing any more."""
 
 
-class Callers:
+class CallerSessions:
     """Open sessions and keep the connections of callers.
 
     :ivar leaving: whether sessions are closed when nothing is outstanding.
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        life: str,
+        incarnation: str,
         steering: SessionRouter,
         announcements: Announcements,
         authorization: Authorizer,
@@ -69,7 +69,7 @@
         decisions: Decisions,
         metrics: Metrics,
     ) -> None:
-        self.life = life
+        self.incarnation = incarnation
         self.authorization = authorization
         self.steering = steering
         self.announcements = announcements
@@ -79,9 +79,9 @@
         self.connections: set[CallerConnection] = set()
         self.opened = 0
         self.leaving = False
-        announcements.on_table.append(lambda table: self.close_denied())
+        announcements.on_table.append(lambda table: self.close_revoked())
 
-    async def open(self, database: str, key: str = "") -> Session:
+    async def open_session(self, database: str, key: str = "") -> Session:
         """Return a new session.
 
         :param key: of the caller; empty for none.
@@ -89,7 +89,7 @@
             key does not open the database.
         """
         if not self.announcements.configured.is_set():
-            await self.wait_configured()
+            await self.wait_for_configuration()
         route = self.announcements.table.routes.get(database)
         if route is None:
             self.decisions.note(
@@ -102,7 +102,7 @@
         self.opened += 1
         self.metrics.increment("sessions")
         return Session(
-            f"{self.life}.{self.opened}",
+            f"{self.incarnation}.{self.opened}",
             database,
             digest,
             self.steering,
@@ -113,13 +113,13 @@
             self.metrics,
         )
 
-    async def wait_configured(self) -> None:
+    async def wait_for_configuration(self) -> None:
         """Wait for the first configuration.
 
         :raises Refusal: if none comes in time.
         """
         try:
-            async with asyncio.timeout(CONFIGURED_TIMEOUT):
+            async with asyncio.timeout(CONFIGURATION_TIMEOUT_SECONDS):
                 await self.announcements.configured.wait()
         except TimeoutError:
             raise not_run(
@@ -137,34 +137,34 @@
         begun = self.clock.monotonic()
         while self.clock.monotonic() - begun < transactions:
             self.close_idle(self.connections)
-            rotated = self.clock.monotonic() - begun >= IN_ROTATION
+            rotated = self.clock.monotonic() - begun >= ROTATION_DELAY_SECONDS
             if rotated and not self.connections:
                 return
-            await self.clock.sleep(POLL)
+            await self.clock.sleep(POLL_INTERVAL_SECONDS)
         for connection in list(self.connections):
             connection.abort_transaction("the host ends")
         self.close_idle(self.connections)
 
-    async def move(self, unready: Callable[[], float]) -> None:
+    async def close_while_unready(self, unready_seconds: Callable[[], float]) -> None:
         """Close idle sessions while this host is out of rotation, until cancelled.
 
         Their callers open them again at a host that can serve them. Those in which
         something is outstanding are closed as soon as it has ended: in the next
         round, a tenth of the callers of a zone cut off was refused for 1 s more.
 
-        :param unready: returns for how many seconds this host has not been ready,
+        :param unready_seconds: returns for how many seconds this host has not been ready,
             though it goes on.
         """
-        next_round = IN_ROTATION
+        next_round = ROTATION_DELAY_SECONDS
         moving: set[CallerConnection] = set()
         while True:
-            await self.clock.sleep(POLL)
-            lasted = unready()
+            await self.clock.sleep(POLL_INTERVAL_SECONDS)
+            lasted = unready_seconds()
             if lasted == 0.0:
-                next_round = IN_ROTATION
+                next_round = ROTATION_DELAY_SECONDS
                 moving.clear()
             elif lasted >= next_round:
-                next_round = lasted + MOVE_EVERY
+                next_round = lasted + CLOSE_INTERVAL_SECONDS
                 moving = set(self.connections)
                 self.decisions.note("sessions_moved", sessions=len(moving))
             moving &= self.connections
@@ -173,19 +173,19 @@
     def close_idle(self, among: Iterable[CallerConnection]) -> None:
         """Close those sessions in which nothing is outstanding."""
         for connection in list(among):
-            if connection.idle():
+            if connection.is_idle():
                 connection.close()
 
-    def close_denied(self) -> None:
+    def close_revoked(self) -> None:
         """Close idle sessions whose keys were taken away; others stay as they are.
 
         One that is busy is refused with its next statement.
         """
-        denied = [one for one in self.connections if one.is_denied()]
+        denied = [one for one in self.connections if one.is_access_revoked()]
         if denied:
             self.decisions.note("keys_removed", sessions=len(denied))
         self.close_idle(denied)
 
-    def busy(self) -> bool:
+    def has_requests_in_progress(self) -> bool:
         """Say whether an answer is owed to somebody."""
-        return any(not one.idle() for one in self.connections)
+        return any(not one.is_idle() for one in self.connections)
--- a/src/reedhook/process/collector.py
+++ b/src/reedhook/process/collector.py
@@ -3,7 +3,7 @@
 import gc
 
 
-def spare_collector() -> None:
+def freeze_startup_objects() -> None:
     """Let the collector leave alone what has been made so far.
 
     Modules, settings and the like are never garbage. A full collection that
--- a/src/reedhook/process/daemon.py
+++ b/src/reedhook/process/daemon.py
@@ -29,9 +29,9 @@
 import uvloop
 from docopt import DocoptExit, docopt
 
-from .io_uring import IoUringInUse, forbid_io_uring
+from .io_uring import IoUringInUseError, forbid_io_uring
 from .logs import logs
-from .run import Assemble, Exit, HostRun, HostSettings
+from .run import Assemble, DaemonExitCode, HostRun, HostSettings
 
 log = logbook.Logger("daemon")
 
@@ -42,7 +42,7 @@
         arguments = docopt(__doc__, argv)
     except DocoptExit as error:
         print(error, file=sys.stderr)
-        return Exit.USAGE
+        return DaemonExitCode.USAGE
     if arguments["--platform"]:
         return run_on_platform(arguments["--settings"], arguments["--check"])
     return run_by_yaml(Path(arguments["--settings"]), arguments["--check"])
@@ -60,10 +60,10 @@
     except ExceptionGroup as errors:
         for one in errors.exceptions:
             print(f"reedhookd: {one}", file=sys.stderr)
-        return Exit.USAGE
+        return DaemonExitCode.USAGE
     if check:
         print("The settings are fine.")
-        return Exit.DONE
+        return DaemonExitCode.DONE
     with logs(settings.log_level):
         return serve(settings, assemble_host)
 
@@ -78,10 +78,10 @@
         settings = load(path)
     except (OSError, SettingsFault) as error:
         print(f"reedhookd: {error}", file=sys.stderr)
-        return Exit.USAGE
+        return DaemonExitCode.USAGE
     if check:
         print("The settings are fine.")
-        return Exit.DONE
+        return DaemonExitCode.DONE
     with logs("warning"):
         return serve_bare(settings, lambda _: assemble(path))
 
@@ -90,7 +90,7 @@
     """Run a host as a service until it is told to stop; return the exit code."""
     from .service import run_service
 
-    return guarded(HostRun(settings, assemble), run_service)
+    return run_with_exit_code(HostRun(settings, assemble), run_service)
 
 
 def serve_bare(settings: HostSettings, assemble: Assemble) -> int:
@@ -99,7 +99,7 @@
     Importing aiomisc takes 0.08 to 0.1 s of a core, a quarter of a start. After
     a loss of power all hosts start together, and nobody serves meanwhile.
     """
-    return guarded(HostRun(settings, assemble), run_bare)
+    return run_with_exit_code(HostRun(settings, assemble), run_bare)
 
 
 def run_bare(run: HostRun) -> None:
@@ -108,15 +108,15 @@
         runner.run(run.whole())
 
 
-def guarded(run: HostRun, way: Callable[[HostRun], None]) -> int:
+def run_with_exit_code(run: HostRun, way: Callable[[HostRun], None]) -> int:
     """Run a host in some way; return the exit code."""
     forbid_io_uring()
     try:
         way(run)
-    except (OSError, IoUringInUse) as error:
+    except (OSError, IoUringInUseError) as error:
         log.error("The host cannot start: {}.", error)
-        return Exit.FAILED
+        return DaemonExitCode.FAILED
     except Exception:
         log.exception("The host failed.")
-        return Exit.FAILED
-    return run.code
+        return DaemonExitCode.FAILED
+    return run.exit_code
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/desk.py
@@ -28,14 +28,14 @@
 END: Final = "end"
 PROOF: Final = "proof"
 
-KEPT_SECONDS: Final = 10.0
+OUTCOME_RETENTION_SECONDS: Final = 10.0
 """Seconds for which the outcome of a write is kept for who asks again; longer
 than any deadline of a statement."""
 
-TIDY_EVERY: Final = 2.0
+CLEANUP_INTERVAL_SECONDS: Final = 2.0
 """Seconds between two looks for homes and outcomes that are needed no more."""
 
-PERHAPS_SENT: Final = frozenset(
+POSSIBLY_SENT_REASONS: Final = frozenset(
     {RefusalReason.TARGET_LOST, RefusalReason.TRANSACTION_LOST}
 )
 """Reasons of refusals of operations that may have reached a target, without effect."""
@@ -44,11 +44,11 @@
 """When to come back after a statement met a target that leaves, in milliseconds."""
 
 
-class Desk:
+class StatementServer:
     """Run statements that hosts send here, each write at most once.
 
-    :ivar homes: of replicas, by target.
-    :ivar replaced: homes of targets that are announced at another address now, or
+    :ivar replica_homes: of replicas, by target.
+    :ivar replaced_homes: homes of targets that are announced at another address now, or
         have started again; they are closed once nothing is in progress there.
     :ivar outcomes: of writes and commits, by id, for those who lost the answer.
     """
@@ -68,27 +68,27 @@
         self.make_home = make_home
         self.clock = clock
         self.decisions = decisions
-        self.homes: dict[str, SessionTargetHome] = {}
-        self.replaced: list[SessionTargetHome] = []
-        self.outcomes: OrderedDict[str, Outcome] = OrderedDict()
+        self.replica_homes: dict[str, SessionTargetHome] = {}
+        self.replaced_homes: list[SessionTargetHome] = []
+        self.outcomes: OrderedDict[str, WriteOutcome] = OrderedDict()
 
     def register(self, routes: PeerRoutes) -> None:
         """Add the handlers of this host."""
-        routes.add(WORK, self.answer_work)
-        routes.add(END, self.answer_end)
-        routes.add(PROOF, self.answer_proof)
+        routes.add(WORK, self.handle_work)
+        routes.add(END, self.handle_rollback)
+        routes.add(PROOF, self.handle_proof)
 
-    async def answer_work(self, body: Json) -> Json:
+    async def handle_work(self, body: Json) -> Json:
         """Run a statement for another host."""
         answer = await self.execute(SessionStatement.from_json(body))
         return answer.to_json(self.clock.elapsed())
 
-    async def answer_end(self, body: Json) -> Json:
+    async def handle_rollback(self, body: Json) -> Json:
         """Roll a transaction back for another host."""
-        self.end(text(body, "service"), text(body, "target"), text(body, "name"))
+        self.roll_back(text(body, "service"), text(body, "target"), text(body, "name"))
         return {}
 
-    async def answer_proof(self, body: Json) -> Json:
+    async def handle_proof(self, body: Json) -> Json:
         """Return a proof of a primary's position."""
         now = self.clock.elapsed()
         proof = await self.prove(text(body, "service"), now - float(body["age"]))
@@ -103,13 +103,13 @@
             return await self.run(work)
         known = self.outcomes.get(work.id)
         if known is not None:
-            return await known.answer()
+            return await known.wait_for_answer()
         if work.resent:
             raise may_have_run(
                 RefusalReason.HOST_UNREACHABLE,
                 "this host does not know what became of it",
             )
-        outcome = self.outcomes[work.id] = Outcome(self.clock.monotonic())
+        outcome = self.outcomes[work.id] = WriteOutcome(self.clock.monotonic())
         try:
             answer = await self.run(work)
         except RefusalError as refusal:
@@ -142,7 +142,7 @@
         try:
             answer = await self.run_at_target(work)
         except RefusalError as refusal:
-            not_sent = refusal.reason not in PERHAPS_SENT
+            not_sent = refusal.reason not in POSSIBLY_SENT_REASONS
             if refusal.verdict is Verdict.NOT_RUN and not_sent:
                 self.allowances.give_back(work.workspace)
             raise
@@ -153,17 +153,17 @@
     async def run_at_target(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement at the primary or at a replica."""
         if not work.target:
-            return await self.leader(work.service).execute(work)
-        home = self.home(work)
+            return await self.get_primary_user(work.service).execute(work)
+        home = self.get_replica_home(work)
         reply = await home.run(work)
         return SessionStatementResult(work.target, reply, None)
 
-    def home(self, work: SessionStatement) -> SessionTargetHome:
+    def get_replica_home(self, work: SessionStatement) -> SessionTargetHome:
         """Return the home of a replica, made when it is first needed.
 
         :raises Refusal: not run, if the target takes no new work.
         """
-        home = self.holding(work.target, work.transaction)
+        home = self.find_transaction_home(work.target, work.transaction)
         if home is not None:
             return home
         entry = self.announcements.targets.get(work.target)
@@ -173,41 +173,43 @@
                 f"{work.target} takes no new work",
                 RETRY_MS,
             )
-        home = self.homes.get(work.target)
+        home = self.replica_homes.get(work.target)
         if home is not None and has_moved(home.entry, entry):
-            self.replaced.append(home)
+            self.replaced_homes.append(home)
             home = None
         if home is None:
-            home = self.homes[work.target] = self.make_home(
+            home = self.replica_homes[work.target] = self.make_home(
                 entry, always, lambda position, asked: None
             )
         return home
 
-    def holding(self, target: str, transaction: str) -> SessionTargetHome | None:
+    def find_transaction_home(
+        self, target: str, transaction: str
+    ) -> SessionTargetHome | None:
         """Return the home of a replica at which a transaction is open, or None."""
-        homes = [self.homes.get(target), *self.replaced]
+        homes = [self.replica_homes.get(target), *self.replaced_homes]
         for home in homes:
             if home is not None and transaction in home.transactions:
                 return home
         return None
 
-    def end(self, service: str, target: str, name: str) -> None:
+    def roll_back(self, service: str, target: str, transaction_id: str) -> None:
         """Roll a transaction back, if it is open here."""
         lead = self.leads.primary_client(service)
-        home = self.holding(target, name)
+        home = self.find_transaction_home(target, transaction_id)
         if not target and lead is not None:
             home = lead.home
         if home is not None:
-            home.transactions.end(name)
+            home.transactions.end(transaction_id)
 
-    async def prove(self, service: str, younger_than: float) -> PositionProof:
+    async def prove(self, service: str, not_before: float) -> PositionProof:
         """Return a proof of a primary's position that is young enough.
 
         :raises Refusal: if this host cannot give one.
         """
-        return await self.leader(service).prove(younger_than)
+        return await self.get_primary_user(service).prove(not_before)
 
-    def leader(self, service: str) -> PrimaryClient:
+    def get_primary_user(self, service: str) -> PrimaryClient:
         """Return what uses the primary of a service here.
 
         :raises Refusal: not run, if this host does not.
@@ -219,59 +221,62 @@
             )
         return user
 
-    async def tidy(self) -> None:
+    async def run_cleanup(self) -> None:
         """Close what is needed no more, until cancelled."""
         while True:
-            await self.clock.sleep(TIDY_EVERY)
+            await self.clock.sleep(CLEANUP_INTERVAL_SECONDS)
             self.allowances.tidy()
-            before = self.clock.monotonic() - KEPT_SECONDS
+            before = self.clock.monotonic() - OUTCOME_RETENTION_SECONDS
             while self.outcomes:
                 oldest = next(iter(self.outcomes))
-                if self.outcomes[oldest].begun > before:
+                if self.outcomes[oldest].started_at > before:
                     break
                 del self.outcomes[oldest]
-            await self.tidy_homes()
+            await self.close_unused_homes()
 
-    async def tidy_homes(self) -> None:
+    async def close_unused_homes(self) -> None:
         """Close homes of targets that lead, leave or have left."""
         primaries = {one.primary for one in self.leads.registry.records.values()}
-        for target, home in list(self.homes.items()):
+        for target, home in list(self.replica_homes.items()):
             home.connections.drop_unused()
             entry = self.announcements.targets.get(target)
             gone = entry is None or entry.leaving or target in primaries
             if gone and home.is_idle():
-                del self.homes[target]
+                del self.replica_homes[target]
                 await home.close()
-        for home in [one for one in self.replaced if one.is_idle()]:
-            self.replaced.remove(home)
+        for home in [one for one in self.replaced_homes if one.is_idle()]:
+            self.replaced_homes.remove(home)
             await home.close()
         for lead in self.leads.held.values():
             if lead.home is not None:
                 lead.home.connections.drop_unused()
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Say whether no statement and no transaction is in progress here."""
-        return all(home.is_idle() for home in [*self.homes.values(), *self.replaced])
+        return all(
+            home.is_idle()
+            for home in [*self.replica_homes.values(), *self.replaced_homes]
+        )
 
     async def close(self) -> None:
         """Close all homes of replicas."""
         self.allowances.close()
-        for home in [*self.homes.values(), *self.replaced]:
+        for home in [*self.replica_homes.values(), *self.replaced_homes]:
             await home.close()
-        self.homes.clear()
-        self.replaced.clear()
+        self.replica_homes.clear()
+        self.replaced_homes.clear()
 
 
-class Outcome:
+class WriteOutcome:
     """Hold what became of a write, for all who ask.
 
-    :ivar begun: monotonic time at which it began.
+    :ivar started_at: monotonic time at which it began.
     """
 
-    __slots__ = ("begun", "result")
+    __slots__ = ("started_at", "result")
 
-    def __init__(self, begun: float) -> None:
-        self.begun = begun
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
         self.result: asyncio.Future[SessionStatementResult | RefusalError] = (
             asyncio.get_running_loop().create_future()
         )
@@ -284,7 +289,7 @@
         """Keep a refusal."""
         self.result.set_result(refusal)
 
-    async def answer(self) -> SessionStatementResult:
+    async def wait_for_answer(self) -> SessionStatementResult:
         """Return the answer or raise the refusal, once it is there."""
         result = await asyncio.shield(self.result)
         if isinstance(result, RefusalError):
--- a/src/reedhook/process/events/timeline_merge.py
+++ b/src/reedhook/process/events/timeline_merge.py
@@ -9,7 +9,7 @@
 from .timeline import Event, EventKind
 
 
-class History(Record):
+class EventHistory(Record):
     """Carry the events of many hosts in one causal order.
 
     :param events: in that order.
@@ -38,7 +38,7 @@
         }
 
     @classmethod
-    def from_json(cls, message: Json) -> "History":
+    def from_json(cls, message: Json) -> "EventHistory":
         """Read a history from the wire.
 
         :raises WireError: if an event has another form.
--- a/src/reedhook/process/events/timeline_page.py
+++ b/src/reedhook/process/events/timeline_page.py
@@ -7,7 +7,7 @@
 
 from ...record import Record
 from .timeline import Event, EventKind
-from .timeline_merge import Failover, History, failovers, order
+from .timeline_merge import EventHistory, Failover, failovers, order
 from .timeline_text import clock_time, details, failover_lines, gaps
 
 LEFT: Final = 170
@@ -80,7 +80,7 @@
 """
 
 
-class Place(Record):
+class MarkPosition(Record):
     """Carry where an event stands in the picture, in pixels."""
 
     __slots__ = ("event", "x", "y")
@@ -106,13 +106,13 @@
     def __init__(self, events: tuple[Event, ...]) -> None:
         hosts = sorted({event.host for event in events})
         self.lanes = {host: TOP + LANE * (i + 0.5) for i, host in enumerate(hosts)}
-        self.places: list[Place] = []
+        self.places: list[MarkPosition] = []
         x = float(LEFT)
         previous: Event | None = None
         for event in events:
             if previous is not None:
                 x += distance(previous, event)
-            self.places.append(Place(event, x, self.lanes[event.host]))
+            self.places.append(MarkPosition(event, x, self.lanes[event.host]))
             previous = event
         self.width = x + MARGIN
         self.height = TOP + LANE * len(hosts) + MARGIN
@@ -130,7 +130,7 @@
     return min(WIDEST_STEP, NARROWEST_STEP + STEP_PER_DECADE * log10(1 + passed))
 
 
-def page_of(history: History, title: str = "Time line") -> str:
+def page_of(history: EventHistory, title: str = "Time line") -> str:
     """Return a self-contained HTML page."""
     heading = escape(title)
     parts = [
@@ -207,7 +207,7 @@
         yield f'<text class="time" x="{place.x:.1f}" y="{TOP - 14}">{time}</text>'
 
 
-def mark(place: Place) -> str:
+def mark(place: MarkPosition) -> str:
     """Return the mark of one event."""
     event = place.event
     colour = COLOURS.get(event.kind, OTHER)
@@ -218,7 +218,7 @@
     return f'<circle data-subject="{subject}" {where}><title>{title}</title></circle>'
 
 
-def failover_texts(history: History) -> Iterator[str]:
+def failover_texts(history: EventHistory) -> Iterator[str]:
     """Give the changes of primary in words."""
     found = failovers(history.events)
     if found:
--- a/src/reedhook/process/events/timeline_text.py
+++ b/src/reedhook/process/events/timeline_text.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from .timeline import Event, Stamp
-from .timeline_merge import Failover, History, failovers, order
+from .timeline_merge import EventHistory, Failover, failovers, order
 
 
-def text_of(history: History) -> str:
+def text_of(history: EventHistory) -> str:
     """Return the history as a person reads it."""
     lines = list(event_lines(history.events)) or ["No events."]
     for failover in failovers(history.events):
@@ -18,7 +18,7 @@
     return "\n".join(lines)
 
 
-def gaps(history: History) -> Iterator[str]:
+def gaps(history: EventHistory) -> Iterator[str]:
     """Say what is not there."""
     for host, reason in sorted(history.missing.items()):
         yield f"The events of {host} are missing: {reason}."
--- a/src/reedhook/process/histograms.py
+++ b/src/reedhook/process/histograms.py
@@ -5,7 +5,19 @@
 
 from ..metrics import MemoryMetrics
 
-BOUNDS: Final = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0)
+BUCKET_BOUNDS_SECONDS: Final = (
+    0.002,
+    0.005,
+    0.01,
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.5,
+    1.0,
+    2.0,
+)
 """Upper bounds of the buckets in seconds; the objectives are among them."""
 
 
@@ -22,9 +34,9 @@
     def timing(self, name: str, seconds: float) -> None:
         buckets = self.histograms.get(name)
         if buckets is None:
-            buckets = self.histograms[name] = [0] * (len(BOUNDS) + 1)
+            buckets = self.histograms[name] = [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
             self.sums[name] = 0.0
-        buckets[bisect_left(BOUNDS, seconds)] += 1
+        buckets[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.sums[name] += seconds
 
     def render(self) -> str:
@@ -39,7 +51,9 @@
         """Return a line for each bucket, with the counts of those below."""
         lines = []
         total = 0
-        for bound, count in zip(BOUNDS, self.histograms[name], strict=False):
+        for bound, count in zip(
+            BUCKET_BOUNDS_SECONDS, self.histograms[name], strict=False
+        ):
             total += count
             lines.append(f"{name}_seconds_bucket{{le={bound}}} {total}")
         total += self.histograms[name][-1]
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -42,7 +42,7 @@
 from .groups.hint import PrimaryHints
 from .groups.homes import LocalHomes
 from .groups.keepers import GroupManagers
-from .lifecycle import LINGER, Lifecycle
+from .lifecycle import DRAIN_NOTICE_SECONDS, Lifecycle
 from .settings import Settings
 
 DRAIN_POLL: Final = 0.02
@@ -122,7 +122,7 @@
         self.configuration = ConfigurationManager(
             self.me,
             self.peers,
-            self.some_peers,
+            self.sample_peers,
             self.clock,
             self.random,
             self.timeline,
@@ -148,24 +148,24 @@
             self.make_home,
             self.heartbeats.discovery.joined,
         )
-        self.keepers = GroupManagers(
-            self.make_keeper, self.homes.open_and_closing_homes
+        self.group_managers = GroupManagers(
+            self.make_group_manager, self.homes.open_and_closing_homes
         )
         self.leaving_targets = LeavingTargetHandler(
-            self.homes.get, self.keepers.get, self.clock, self.timeline
+            self.homes.get, self.group_managers.get, self.clock, self.timeline
         )
         self.hints = PrimaryHints(self.store, self.clock, self.random)
         self.executor = LocalStatementExecutor(
             self.homes.get,
             self.homes.find_transaction_home,
-            self.keepers.get,
+            self.group_managers.get,
             self.clock,
             self.me,
         )
         self.group_routes = GroupRoutes(
             self.catalog,
             self.homes.get,
-            self.keepers.get,
+            self.group_managers.get,
             self.executor,
             self.targets,
             self.directory,
@@ -236,12 +236,12 @@
         self.group_routes.register(self.routes)
         self.leaving_targets.register(self.routes)
         self.fleet.register(self.routes)
-        self.homes.on_change(self.keepers.reconcile)
+        self.homes.on_change(self.group_managers.reconcile)
         self.listing.on_addresses = self.heartbeats.discovery.update_listed_addresses
         self.membership.on_newer_configuration = self.heard_version
-        self.dispatch.on_host_lost = self.host_lost
+        self.dispatch.on_host_lost = self.suspect_host
         self.membership.on_leave_requested = self.start_drain
-        self.configuration.on_change(self.configured)
+        self.configuration.on_change(self.apply_configuration)
 
     async def start(self) -> None:
         """Join the other hosts and begin to serve."""
@@ -268,7 +268,7 @@
         self.timeline.record(EventKind.HOST_STOPPING, self.me.host)
         self.source.state = HostState.DRAINING
         self.api.leaving = True
-        await asyncio.gather(self.homes.drain(), self.clock.sleep(LINGER))
+        await asyncio.gather(self.homes.drain(), self.clock.sleep(DRAIN_NOTICE_SECONDS))
         self.api.draining = True
         while self.api.active_requests > 0:
             await self.clock.sleep(DRAIN_POLL)
@@ -280,7 +280,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.leaving_targets.close()
-        await self.keepers.close()
+        await self.group_managers.close()
         await self.homes.close()
         await self.relay.close()
         await self.configuration.close()
@@ -292,10 +292,10 @@
 
     def start_drain(self) -> None:
         """Begin to drain; `on_drained` is called when that is done."""
-        task = asyncio.create_task(self.drain_and_tell())
+        task = asyncio.create_task(self.drain_and_notify())
         self.tasks.append(task)
 
-    async def drain_and_tell(self) -> None:
+    async def drain_and_notify(self) -> None:
         """Drain on an order, then tell who waits for it."""
         await self.drain()
         self.on_drained()
@@ -304,17 +304,17 @@
         """Return the configuration in force."""
         return self.configuration.catalog
 
-    def configured(self, catalog: Catalog) -> None:
+    def apply_configuration(self, catalog: Catalog) -> None:
         """Put a configuration in force in all parts."""
         self.membership.set_configuration_version(catalog.version)
         self.homes.apply(catalog)
-        self.keepers.apply_catalog(catalog)
+        self.group_managers.apply_catalog(catalog)
 
     def heard_version(self, peer: HostRef, version: int) -> None:
         """Pass on that a peer has a newer configuration."""
         self.configuration.record_peer_version(version, peer)
 
-    def some_peers(self, count: int) -> list[HostRef]:
+    def sample_peers(self, count: int) -> list[HostRef]:
         """Return up to `count` live peers, chosen at random."""
         others = self.source.others()
         return self.random.sample(others, min(count, len(others)))
@@ -334,7 +334,7 @@
             self.metrics,
         )
 
-    def make_keeper(self, group: Group) -> GroupManager:
+    def make_group_manager(self, group: Group) -> GroupManager:
         """Make the keeper of a group."""
         return GroupManager(
             group,
@@ -346,10 +346,10 @@
             self.timeline,
             self.metrics,
             self.hints.publish,
-            self.host_lost,
+            self.suspect_host,
         )
 
-    def host_lost(self, peer: HostRef) -> None:
+    def suspect_host(self, peer: HostRef) -> None:
         """Have a host asked that seems dead while its target lives."""
         self.heartbeats.request_probe(peer.host)
 
--- a/src/reedhook/process/hosting_settings.py
+++ b/src/reedhook/process/hosting_settings.py
@@ -4,7 +4,7 @@
 from .rates.terms import DEFAULT_TOLERANCE, RateTolerance
 
 
-class HostingSettings(Record):
+class SessionHostSettings(Record):
     """Carry the settings; addresses are ``IP:port``.
 
     :param host: the host's id, unique in the deployment.
--- a/src/reedhook/process/io_uring.py
+++ b/src/reedhook/process/io_uring.py
@@ -10,7 +10,7 @@
 SWITCH: Final = "UV_USE_IO_URING"
 
 
-class IoUringInUse(RuntimeError):
+class IoUringInUseError(RuntimeError):
     """Say that the process holds io_uring descriptors."""
 
 
@@ -28,7 +28,7 @@
     found = [link.name for link in descriptors.iterdir() if points_to_ring(link)]
     if found:
         numbers = ", ".join(sorted(found))
-        raise IoUringInUse(f"io_uring is in use by the descriptors {numbers}")
+        raise IoUringInUseError(f"io_uring is in use by the descriptors {numbers}")
 
 
 def points_to_ring(link: Path) -> bool:
--- a/src/reedhook/process/lifecycle.py
+++ b/src/reedhook/process/lifecycle.py
@@ -10,11 +10,11 @@
 from ..clock import Clock
 from .network.plain_server import PlainServer
 from .network.server import Server
-from .overdue import ShutdownOverdue
+from .overdue import ShutdownTimeoutError
 
 Companion: TypeAlias = Callable[[Clock], Coroutine[Any, Any, None]]
 
-LINGER: Final = 1.0
+DRAIN_NOTICE_SECONDS: Final = 1.0
 
 log = logbook.Logger("daemon")
 
@@ -40,23 +40,23 @@
         """Release everything at once."""
 
 
-class HostProcess:
+class HostDaemon:
     """Run a host behind its servers.
 
-    :param callers: serves callers; opened last and closed first.
-    :param peers: serves other hosts, which may wait for this one's homes.
-    :param admin: serves operators.
-    :param bound: time in seconds for a graceful shutdown.
+    :param caller_server: serves callers; opened last and closed first.
+    :param peer_server: serves other hosts, which may wait for this one's homes.
+    :param admin_server: serves operators.
+    :param shutdown_seconds: time in seconds for a graceful shutdown.
     :param companions: run beside the host until it has stopped.
     """
 
     __slots__ = (
         "host",
-        "callers",
-        "peers",
-        "admin",
+        "caller_server",
+        "peer_server",
+        "admin_server",
         "clock",
-        "bound",
+        "shutdown_seconds",
         "companions",
         "tasks",
     )
@@ -64,19 +64,19 @@
     def __init__(
         self,
         host: Lifecycle,
-        callers: Server,
-        peers: Server | PlainServer,
-        admin: Server,
+        caller_server: Server,
+        peer_server: Server | PlainServer,
+        admin_server: Server,
         clock: Clock,
-        bound: float,
+        shutdown_seconds: float,
         companions: tuple[Companion, ...] = (),
     ) -> None:
         self.host = host
-        self.callers = callers
-        self.peers = peers
-        self.admin = admin
+        self.caller_server = caller_server
+        self.peer_server = peer_server
+        self.admin_server = admin_server
         self.clock = clock
-        self.bound = bound
+        self.shutdown_seconds = shutdown_seconds
         self.companions = companions
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -85,12 +85,12 @@
 
         :raises OSError: if an address cannot be had.
         """
-        self.host.on_drained = self.callers.start_leaving
+        self.host.on_drained = self.caller_server.start_leaving
         self.tasks = [asyncio.create_task(run(self.clock)) for run in self.companions]
-        await self.peers.start()
-        await self.admin.start()
+        await self.peer_server.start()
+        await self.admin_server.start()
         await self.host.start()
-        await self.callers.start()
+        await self.caller_server.start()
 
     async def stop(self) -> None:
         """Shut down without cutting a request in progress.
@@ -99,11 +99,13 @@
             progress is cut then.
         """
         try:
-            async with asyncio.timeout(self.bound):
+            async with asyncio.timeout(self.shutdown_seconds):
                 await self.drain()
         except TimeoutError as error:
-            log.error("Requests in progress are cut after {} s.", self.bound)
-            raise ShutdownOverdue(f"not done after {self.bound} s") from error
+            log.error("Requests in progress are cut after {} s.", self.shutdown_seconds)
+            raise ShutdownTimeoutError(
+                f"not done after {self.shutdown_seconds} s"
+            ) from error
         finally:
             await self.host.close()
             for task in self.tasks:
@@ -113,11 +115,11 @@
     async def drain(self) -> None:
         """Hand over, then close the servers one by one."""
         log.info("The host drains.")
-        self.callers.start_leaving()
+        self.caller_server.start_leaving()
         # Idle clients get a chance to be told before their connections close.
-        await asyncio.gather(self.host.drain(), self.clock.sleep(LINGER))
-        self.peers.start_leaving()
-        await self.callers.stop()
-        await self.peers.stop()
-        await self.admin.stop()
+        await asyncio.gather(self.host.drain(), self.clock.sleep(DRAIN_NOTICE_SECONDS))
+        self.peer_server.start_leaving()
+        await self.caller_server.stop()
+        await self.peer_server.stop()
+        await self.admin_server.stop()
         log.info("The host is drained.")
--- a/src/reedhook/process/network/heard_peers.py
+++ b/src/reedhook/process/network/heard_peers.py
@@ -6,43 +6,45 @@
 from ...wire import Json
 
 
-class HeardPeers(Peers):
+class AnswerTrackingPeers(Peers):
     """Pass calls on, and keep when each host and each zone last answered.
 
-    :param calls: makes the calls.
-    :ivar heard_at: time of the last answer by zone, by `Clock.monotonic`.
-    :ivar host_heard_at: the same by host.
+    :param delegate: makes the calls.
+    :ivar zone_answered_at: time of the last answer by zone, by `Clock.monotonic`.
+    :ivar host_answered_at: the same by host.
     """
 
-    def __init__(self, calls: Peers, clock: Clock) -> None:
-        self.calls = calls
+    def __init__(self, delegate: Peers, clock: Clock) -> None:
+        self.delegate = delegate
         self.clock = clock
-        self.heard_at: dict[str, float] = {}
-        self.host_heard_at: dict[str, float] = {}
+        self.zone_answered_at: dict[str, float] = {}
+        self.host_answered_at: dict[str, float] = {}
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         try:
-            answer = await self.calls.call(peer, path, body, timeout)
+            answer = await self.delegate.call(peer, path, body, timeout)
         except RefusalError:
             # A refusal is an answer, too.
-            self.heard(peer)
+            self.record_answer(peer)
             raise
-        self.heard(peer)
+        self.record_answer(peer)
         return answer
 
-    def heard(self, peer: HostRef) -> None:
+    def record_answer(self, peer: HostRef) -> None:
         """Take note of an answer."""
         now = self.clock.monotonic()
-        self.heard_at[peer.zone] = now
-        self.host_heard_at[peer.host] = now
+        self.zone_answered_at[peer.zone] = now
+        self.host_answered_at[peer.host] = now
 
-    def heard_since(self, host: str, moment: float) -> bool:
+    def host_answered_since(self, host: str, moment: float) -> bool:
         """Say whether a host has answered a call since then."""
-        return self.host_heard_at.get(host, float("-inf")) > moment
+        return self.host_answered_at.get(host, float("-inf")) > moment
 
-    def other_zone_heard_since(self, zone: str, moment: float) -> bool:
+    def other_zone_answered_since(self, zone: str, moment: float) -> bool:
         """Say whether a host of any zone but this one has answered since then."""
-        return any(at > moment for other, at in self.heard_at.items() if other != zone)
+        return any(
+            at > moment for other, at in self.zone_answered_at.items() if other != zone
+        )
 
     async def close(self) -> None:
-        await self.calls.close()
+        await self.delegate.close()
--- a/src/reedhook/process/network/listener.py
+++ b/src/reedhook/process/network/listener.py
@@ -50,7 +50,7 @@
         Requests in progress after the runner's own limit are cut.
         """
         await self.stop_listening()
-        await self.until_unused()
+        await self.wait_until_unused()
         await self.runner.cleanup()
 
     async def stop_listening(self) -> None:
@@ -60,7 +60,7 @@
         for site in self.runner.sites:
             await site.stop()
 
-    async def until_unused(self) -> None:
+    async def wait_until_unused(self) -> None:
         """Return once no connection is open, or after `idle_grace` seconds.
 
         The first look comes late, since the last connections that were
--- a/src/reedhook/process/network/parsing.py
+++ b/src/reedhook/process/network/parsing.py
@@ -47,7 +47,7 @@
     ) -> web.StreamResponse:
         if not isinstance(exc, HttpProcessingError):
             return super().handle_error(request, status, exc, message)
-        refusal = unparsed(message or "")
+        refusal = malformed_request_refusal(message or "")
         log.warning("A request of {} was refused: {}", request.remote, refusal.detail)
         response = web.Response(
             body=encode(refusal.to_json()),
@@ -58,7 +58,7 @@
         return response
 
 
-def unparsed(message: str) -> RefusalError:
+def malformed_request_refusal(message: str) -> RefusalError:
     """Return the refusal of a request by what the parser says."""
     first = message.strip().partition("\n")[0]
     detail = f"the request cannot be read: {first[:DETAIL_MOST]}"
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -11,14 +11,14 @@
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_wire import BODY_LIMIT, CLIENT_KEEPALIVE, CREDENTIAL, PREFIX
+from .peer_wire import CLIENT_KEEPALIVE, CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX
 
-LINK_IDLE: Final = 60.0
+LINK_IDLE_SECONDS: Final = 60.0
 SWEEP_INTERVAL: Final = 10.0
 NEAR: Final = "zone"
 FAR: Final = "other_zones"
 
-HEADS: Final = 220
+HEADERS_BYTES: Final = 220
 """Bytes of the heads of a call and its answer."""
 
 PATH_PREFIX: Final = PREFIX.lstrip("/")
@@ -67,7 +67,7 @@
         link = self.link(peer.address)
         try:
             answer = await link.exchange(
-                PATH_PREFIX + path, envelope, timeout, self.clock, BODY_LIMIT
+                PATH_PREFIX + path, envelope, timeout, self.clock, MAX_PEER_BODY_BYTES
             )
         except ChannelClosedError as error:
             self.retire(link)
@@ -77,7 +77,7 @@
             detail = f"{peer.host} did not answer: {error}"
             raise PeerError(detail, sent=True) from None
         where = NEAR if peer.zone == self.me.zone else FAR
-        size = len(envelope) + len(answer.body) + HEADS
+        size = len(envelope) + len(answer.body) + HEADERS_BYTES
         self.metrics.increment(f"peers.{path}.{where}_bytes", size)
         return self.read_answer(peer, answer.status, answer.body)
 
@@ -111,7 +111,7 @@
         self.swept = now
         for link in list(self.links.values()):
             link.close_unused(now - CLIENT_KEEPALIVE)
-            if not link.in_use and now - link.used > LINK_IDLE:
+            if not link.in_use and now - link.used > LINK_IDLE_SECONDS:
                 self.retire(link)
 
     def retire(self, link: ChannelPool) -> None:
--- a/src/reedhook/process/network/peer_server.py
+++ b/src/reedhook/process/network/peer_server.py
@@ -10,7 +10,7 @@
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_wire import BODY_LIMIT, CREDENTIAL, PREFIX, SERVER_KEEPALIVE
+from .peer_wire import CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX, SERVER_KEEPALIVE
 from .plain_server import LENGTH, PlainRequest, PlainResponse, PlainServer
 
 SHUTDOWN: Final = 10.0
@@ -42,7 +42,7 @@
             "peers",
             endpoint.handle,
             address,
-            BODY_LIMIT,
+            MAX_PEER_BODY_BYTES,
             SERVER_KEEPALIVE,
             IDLE_GRACE,
             tls,
--- a/src/reedhook/process/network/peer_wire.py
+++ b/src/reedhook/process/network/peer_wire.py
@@ -9,7 +9,7 @@
 
 CREDENTIAL: Final = "X-Peer"
 PREFIX: Final = "/peer/"
-BODY_LIMIT: Final = 4 * 1024 * 1024
+MAX_PEER_BODY_BYTES: Final = 4 * 1024 * 1024
 CLIENT_KEEPALIVE: Final = 15.0
 # Longer than at the client, so that no call meets a closing connection.
 SERVER_KEEPALIVE: Final = 75.0
--- a/src/reedhook/process/network/plain_server.py
+++ b/src/reedhook/process/network/plain_server.py
@@ -23,20 +23,20 @@
 
 LENGTH: Final = "content-length"
 
-HEAD_LIMIT: Final = 16384
+MAX_HEAD_BYTES: Final = 16384
 """Bytes of the head of a request."""
 
 REQUEST_TIMEOUT: Final = 5.0
 """Seconds in which a request arrives once its first byte is there."""
 
-LINGERING: Final = 1.0
+REFUSED_READ_SECONDS: Final = 1.0
 """Seconds for which what a refused client still sends is read and dropped: a
 connection closed with unread bytes is reset, and the refusal lost."""
 
-POLL: Final = 0.02
+POLL_INTERVAL_SECONDS: Final = 0.02
 """Seconds between two looks at whether connections have ended."""
 
-MOST_QUEUED: Final = 8
+MAX_QUEUED_REQUESTS: Final = 8
 """Requests of one connection that may wait for their turn; a client of ours waits
 for each answer."""
 
@@ -166,26 +166,26 @@
             return
         await end_listening(self.listener)
         self.server.close()
-        await self.until(lambda: not self.connections, self.idle_grace)
+        await self.wait_until(lambda: not self.connections, self.idle_grace)
         for connection in list(self.connections):
             connection.close_idle()
-        await self.until(lambda: not self.connections, self.shutdown)
-        self.cut()
+        await self.wait_until(lambda: not self.connections, self.shutdown)
+        self.abort()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Stop at once, with the requests in progress."""
         if self.server is not None:
             self.server.close()
         self.server = None
         for connection in list(self.connections):
-            connection.cut()
+            connection.abort()
 
-    async def until(self, done: Callable[[], bool], timeout: float) -> None:
+    async def wait_until(self, done: Callable[[], bool], timeout: float) -> None:
         """Return once something is so, or after `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while not done():
-                    await asyncio.sleep(POLL)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
             # What is left is ended by the caller.
             return
@@ -216,7 +216,7 @@
         self.headers: dict[str, bytes] = {}
         self.head_size = 0
         self.parts: list[bytes] = []
-        self.begun = False
+        self.request_started = False
 
     # Bytes that arrive
 
@@ -224,15 +224,15 @@
         """Begin to serve; called by the loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
-        self.await_bytes(self.server.keepalive)
+        self.restart_timeout(self.server.keepalive)
         self.task = asyncio.get_running_loop().create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
         """Read bytes of requests; called by the loop."""
         if self.refused:
             return
-        if not self.begun:
-            self.await_bytes(REQUEST_TIMEOUT)
+        if not self.request_started:
+            self.restart_timeout(REQUEST_TIMEOUT)
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade) as error:
@@ -260,7 +260,7 @@
     def on_message_begin(self) -> None:
         """Take note that a request begins; called by the parser."""
         self.clear()
-        self.begun = True
+        self.request_started = True
 
     def on_url(self, url: bytes) -> None:
         """Keep a part of the path; called by the parser."""
@@ -275,7 +275,7 @@
     def add_to_head(self, size: int) -> None:
         """Refuse a head that is too large."""
         self.head_size += size
-        if self.head_size > HEAD_LIMIT:
+        if self.head_size > MAX_HEAD_BYTES:
             self.refuse(not_run(RefusalReason.TOO_LARGE, "the head is too large"))
 
     def on_headers_complete(self) -> None:
@@ -291,10 +291,10 @@
 
     def on_message_complete(self) -> None:
         """Hand the request over; called by the parser."""
-        self.begun = False
+        self.request_started = False
         if self.refused:
             return
-        if len(self.waiting) >= MOST_QUEUED:
+        if len(self.waiting) >= MAX_QUEUED_REQUESTS:
             self.refuse(not_run(RefusalReason.BAD_REQUEST, "too many requests at once"))
             return
         self.waiting.append(
@@ -332,7 +332,7 @@
             self.write(response.encoded(closes))
             if closes:
                 break
-            self.await_bytes(self.server.keepalive)
+            self.restart_timeout(self.server.keepalive)
         await self.finish()
 
     async def next_request(self) -> PlainRequest | RefusalError | None:
@@ -357,7 +357,7 @@
     async def finish(self) -> None:
         """Close, once what a refused client still sends was read for a while."""
         if self.refused and not self.ended:
-            await self.server.until(lambda: self.ended, LINGERING)
+            await self.server.wait_until(lambda: self.ended, REFUSED_READ_SECONDS)
         if self.transport is not None:
             self.transport.close()
 
@@ -368,7 +368,7 @@
 
     # The end
 
-    def await_bytes(self, seconds: float) -> None:
+    def restart_timeout(self, seconds: float) -> None:
         """Close the connection unless something arrives in time."""
         if self.timer is not None:
             self.timer.cancel()
@@ -380,7 +380,7 @@
         if not self.serving and not self.waiting and self.transport is not None:
             self.transport.close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End at once, with the request in progress."""
         if self.task is not None:
             self.task.cancel()
--- a/src/reedhook/process/network/tls.py
+++ b/src/reedhook/process/network/tls.py
@@ -13,7 +13,7 @@
 
 RELOAD_INTERVAL: Final = 10.0
 
-Marks: TypeAlias = tuple[tuple[int, int], ...]
+FileVersions: TypeAlias = tuple[tuple[int, int], ...]
 
 log = logbook.Logger("tls")
 
@@ -41,7 +41,7 @@
         self.peers = server_context()
         self.peers.verify_mode = ssl.CERT_REQUIRED
         self.client = client_context()
-        self.marks: Marks = ()
+        self.file_versions: FileVersions = ()
         self.load()
 
     def load(self) -> None:
@@ -56,7 +56,7 @@
         marks = marks_of(self.files())
         self.load_into([client_context()])
         self.load_into([self.callers, self.peers, self.client])
-        self.marks = marks
+        self.file_versions = marks
 
     def load_into(self, contexts: Iterable[ssl.SSLContext]) -> None:
         """Load all files into `contexts`."""
@@ -71,7 +71,7 @@
     def reload(self) -> bool:
         """Load the files if they have changed; return whether that worked."""
         try:
-            if marks_of(self.files()) == self.marks:
+            if marks_of(self.files()) == self.file_versions:
                 return False
             self.load()
         except (OSError, ssl.SSLError) as error:
@@ -80,7 +80,7 @@
         log.info("The certificate files were loaded again.")
         return True
 
-    async def follow(self, clock: Clock) -> None:
+    async def watch_files(self, clock: Clock) -> None:
         """Reload whenever the files change, until cancelled."""
         while True:
             await clock.sleep(RELOAD_INTERVAL)
@@ -101,7 +101,7 @@
     return context
 
 
-def marks_of(files: Iterable[Path]) -> Marks:
+def marks_of(files: Iterable[Path]) -> FileVersions:
     """Return what tells one content of the files from another."""
     found = [os.stat(file) for file in files]
     return tuple((one.st_mtime_ns, one.st_ino) for one in found)
--- a/src/reedhook/process/partition.py
+++ b/src/reedhook/process/partition.py
@@ -12,26 +12,26 @@
 from .fleet.membership_table import MembershipTable
 from .lead.states import TargetStatusClient
 from .lead.vigil import HolderFailureDetector
-from .network.heard_peers import HeardPeers
+from .network.heard_peers import AnswerTrackingPeers
 
-TICK: Final = 0.1
+CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks."""
 
-QUIET: Final = 0.2
+RECENT_ANSWER_SECONDS: Final = 0.2
 """Seconds without an answer from another zone after which answers are asked for;
 a call takes 3 ms, and a busy host hears from other zones many times a second."""
 
-FIRST_PATIENCE: Final = 0.08
+FIRST_PROBE_TIMEOUT_SECONDS: Final = 0.08
 """Seconds for the first answer, which takes 3 ms; without it all zones are asked.
 To notice a cut 0.4 s sooner sends a quarter of the callers of four zones elsewhere
 as much sooner, until when their writes are refused."""
 
-PATIENCE: Final = 0.25
+PROBE_TIMEOUT_SECONDS: Final = 0.25
 """Seconds for the answers that decide; targets may have statements of 110 ms ahead
 of a new connection."""
 
 
-class Partition:
+class ZoneIsolationDetector:
     """Notice that no other availability zone can be reached any more.
 
     A host that is cut off serves what the targets of its zone can prove, which
@@ -41,7 +41,7 @@
     Hosts alone do not tell: where all other hosts are down, this one serves
     everybody. So targets of other zones have to be silent, too.
 
-    :ivar since: when it was noticed, by `Clock.monotonic`; None while another
+    :ivar isolated_since: when it was noticed, by `Clock.monotonic`; None while another
         zone is reached.
     """
 
@@ -51,8 +51,8 @@
         table: MembershipTable,
         announcements: Announcements,
         states: TargetStatusClient,
-        vigil: HolderFailureDetector,
-        peers: HeardPeers,
+        failure_detector: HolderFailureDetector,
+        peers: AnswerTrackingPeers,
         clock: Clock,
         random: Random,
         decisions: Decisions,
@@ -61,60 +61,66 @@
         self.table = table
         self.announcements = announcements
         self.states = states
-        self.vigil = vigil
+        self.failure_detector = failure_detector
         self.peers = peers
         self.clock = clock
         self.random = random
         self.decisions = decisions
-        self.since: float | None = None
-        self.others: dict[str, HostRef] = {}
+        self.isolated_since: float | None = None
+        self.probed_hosts: dict[str, HostRef] = {}
 
     @property
     def cut_off(self) -> bool:
         """Say whether no other zone is reached."""
-        return self.since is not None
+        return self.isolated_since is not None
 
-    def lasted(self) -> float:
+    def isolated_seconds(self) -> float:
         """Return for how many seconds no other zone was reached; 0 while one is."""
-        return 0.0 if self.since is None else self.clock.monotonic() - self.since
+        return (
+            0.0
+            if self.isolated_since is None
+            else self.clock.monotonic() - self.isolated_since
+        )
 
     async def run(self) -> None:
         """Look again and again until cancelled."""
         while True:
-            await self.clock.sleep(TICK)
-            await self.look()
+            await self.clock.sleep(CHECK_INTERVAL_SECONDS)
+            await self.check_zones()
 
-    async def look(self) -> None:
+    async def check_zones(self) -> None:
         """Find out whether another zone is reached, asking where none was heard.
 
         One host is asked first: a question to all, with a new connection to a
         target of each zone, would come often where a host has little to do.
         """
-        if self.heard() or not self.choose_others():
-            self.decide(True)
+        if self.has_recent_answer() or not self.choose_probed_hosts():
+            self.record_reachability(True)
             return
-        one = self.random.choice(list(self.others.values()))
-        if not self.cut_off and await self.vigil.is_reachable(one, FIRST_PATIENCE):
+        one = self.random.choice(list(self.probed_hosts.values()))
+        if not self.cut_off and await self.failure_detector.is_reachable(
+            one, FIRST_PROBE_TIMEOUT_SECONDS
+        ):
             return
-        answers = await asyncio.gather(*self.questions())
-        self.decide(any(answers) or self.heard())
+        answers = await asyncio.gather(*self.make_probes())
+        self.record_reachability(any(answers) or self.has_recent_answer())
 
-    def heard(self) -> bool:
+    def has_recent_answer(self) -> bool:
         """Say whether a host of another zone answered a call lately."""
-        after = self.clock.monotonic() - QUIET
-        return self.peers.other_zone_heard_since(self.me.zone, after)
+        after = self.clock.monotonic() - RECENT_ANSWER_SECONDS
+        return self.peers.other_zone_answered_since(self.me.zone, after)
 
-    def choose_others(self) -> bool:
+    def choose_probed_hosts(self) -> bool:
         """Choose a host of each other zone to ask; return whether there is one.
 
         It is kept where none lives: membership forgets those that are cut off.
         """
         for zone in self.table.zones:
             if zone != self.me.zone and (live := self.table.refs(zone)):
-                self.others[zone] = self.random.choice(live)
-        return bool(self.others)
+                self.probed_hosts[zone] = self.random.choice(live)
+        return bool(self.probed_hosts)
 
-    def questions(self) -> list[Coroutine[Any, Any, bool]]:
+    def make_probes(self) -> list[Coroutine[Any, Any, bool]]:
         """Ask one host and one target of each other zone for an answer."""
         targets = [
             entry
@@ -124,15 +130,23 @@
         self.random.shuffle(targets)
         chosen = {entry.zone: entry for entry in targets}
         return [
-            *(self.vigil.is_reachable(host, PATIENCE) for host in self.others.values()),
-            *(self.states.is_reachable(target, PATIENCE) for target in chosen.values()),
+            *(
+                self.failure_detector.is_reachable(host, PROBE_TIMEOUT_SECONDS)
+                for host in self.probed_hosts.values()
+            ),
+            *(
+                self.states.is_reachable(target, PROBE_TIMEOUT_SECONDS)
+                for target in chosen.values()
+            ),
         ]
 
-    def decide(self, reached: bool) -> None:
+    def record_reachability(self, reached: bool) -> None:
         """Take note of a change."""
-        if reached and self.since is not None:
-            self.decisions.note("zones_reached", after=round(self.lasted(), 2))
-            self.since = None
-        elif not reached and self.since is None:
-            self.since = self.clock.monotonic()
-            self.decisions.note("cut_off", zones=sorted(self.others))
+        if reached and self.isolated_since is not None:
+            self.decisions.note(
+                "zones_reached", after=round(self.isolated_seconds(), 2)
+            )
+            self.isolated_since = None
+        elif not reached and self.isolated_since is None:
+            self.isolated_since = self.clock.monotonic()
+            self.decisions.note("cut_off", zones=sorted(self.probed_hosts))
--- a/src/reedhook/process/run.py
+++ b/src/reedhook/process/run.py
@@ -9,9 +9,9 @@
 
 import logbook
 
-from .collector import spare_collector
+from .collector import freeze_startup_objects
 from .io_uring import require_no_io_uring
-from .overdue import ShutdownOverdue
+from .overdue import ShutdownTimeoutError
 
 
 class Process(Protocol):
@@ -37,7 +37,7 @@
 log = logbook.Logger("daemon")
 
 
-class Exit(IntEnum):
+class DaemonExitCode(IntEnum):
     """Name the exit codes."""
 
     DONE = 0
@@ -51,13 +51,13 @@
 
     :param settings: of the host.
     :param assemble: makes the host.
-    :ivar code: the exit code of the process.
+    :ivar exit_code: the exit code of the process.
     """
 
     def __init__(self, settings: HostSettings, assemble: Assemble) -> None:
         self.settings = settings
         self.assemble = assemble
-        self.code = Exit.DONE
+        self.exit_code = DaemonExitCode.DONE
         self.stopping = asyncio.Event()
         self.process: Process | None = None
 
@@ -67,7 +67,7 @@
         :raises OSError: if the host cannot start.
         """
         await self.start()
-        await self.finished()
+        await self.wait_for_stop_signal()
         await self.stop()
 
     async def start(self) -> None:
@@ -86,13 +86,13 @@
         if starting.done():
             told.cancel()
             await starting
-            spare_collector()
+            freeze_startup_objects()
             log.info("Host {} serves.", self.settings.host)
             return
         starting.cancel()
         await asyncio.gather(starting, return_exceptions=True)
 
-    async def finished(self) -> None:
+    async def wait_for_stop_signal(self) -> None:
         """Return once a signal to stop has come.
 
         Further signals change nothing: the shutdown has its bound, and a
@@ -106,8 +106,8 @@
             return
         try:
             await self.process.stop()
-        except ShutdownOverdue:
-            self.code = Exit.OVERDUE
+        except ShutdownTimeoutError:
+            self.exit_code = DaemonExitCode.OVERDUE
 
 
 def handle_reloads(
--- a/src/reedhook/process/service.py
+++ b/src/reedhook/process/service.py
@@ -33,4 +33,4 @@
         catch_signals=(),
         loop_factory=uvloop.new_event_loop,
     ) as loop:
-        loop.run_until_complete(run.finished())
+        loop.run_until_complete(run.wait_for_stop_signal())
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -31,15 +31,15 @@
 from .announced.registration import HostRegistration
 from .announced.tables import RouteTableFetcher, RouteTableServer
 from .announced.watch import StoreWatcher
-from .callers import Callers
-from .desk import Desk
+from .callers import CallerSessions
+from .desk import StatementServer
 from .events.timeline import Timeline
 from .fleet.directory import MembershipDirectory
 from .fleet.heartbeat import Heartbeats
 from .fleet.membership import Membership
 from .fleet.rendezvous import connection_quota, home_connection_limit
 from .histograms import HistogramMetrics
-from .hosting_settings import HostingSettings
+from .hosting_settings import SessionHostSettings
 from .lead.book import PrimaryLeaseRegistry
 from .lead.claim import BackupHolderClaim, HolderClaim, LeaseClaim
 from .lead.deputies import BackupHolders
@@ -54,21 +54,21 @@
 from .lead.states import TargetStatusClient
 from .lead.vigil import HolderFailureDetector
 from .lead.witness import IndirectProber
-from .network.heard_peers import HeardPeers
-from .partition import Partition
+from .network.heard_peers import AnswerTrackingPeers
+from .partition import ZoneIsolationDetector
 from .rates.allowances import WorkspaceRateLimiter
 from .rates.owner import RateOwner
 
-LIFE_BITS: Final = 48
+INCARNATION_BITS: Final = 48
 """Random bits that tell one life of a process from another."""
 
-TRANSACTIONS_SHARE: Final = 0.5
+TRANSACTION_DRAIN_FRACTION: Final = 0.5
 """Share of the time to stop for which open transactions may go on."""
 
-HANDOVER_TIMEOUT: Final = 1.5
+HANDOVER_TIMEOUT_SECONDS: Final = 1.5
 """Seconds in which other hosts take the leads of one that ends."""
 
-END_MARGIN: Final = 1.2
+KILL_MARGIN_SECONDS: Final = 1.2
 """Seconds before the process is killed at which it ends by itself."""
 
 DEFAULT_CONNECTIONS: Final = 16
@@ -77,7 +77,7 @@
 PROVER: Final = "prover"
 """Ranks the hosts of which the first asks the store how new the configuration is."""
 
-POLL: Final = 0.05
+POLL_INTERVAL_SECONDS: Final = 0.05
 """Seconds between two looks at what is still in progress."""
 
 log = logbook.Logger("host")
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        settings: HostingSettings,
+        settings: SessionHostSettings,
         clock: Clock,
         random: Random,
         keyspace: KeyValueStore,
@@ -111,11 +111,13 @@
         self.promoter = promoter
         self.driver = driver
         self.phrases = phrases
-        self.peers = HeardPeers(peers, clock)
+        self.peers = AnswerTrackingPeers(peers, clock)
         self.decisions = decisions
         self.metrics = metrics
         self.me = HostRef(settings.host, settings.zone, settings.peer_listen)
-        self.holder = HostIncarnation(self.me, f"{random.getrandbits(LIFE_BITS):x}")
+        self.holder = HostIncarnation(
+            self.me, f"{random.getrandbits(INCARNATION_BITS):x}"
+        )
         self.routes = PeerRoutes()
         self.leaving = False
         self.background = Background(decisions)
@@ -123,7 +125,7 @@
         self.freshness = ConfigurationFreshness(self.announcements, clock)
         self.capacities = HostCapacities(self.announcements)
         self.make_membership(timeline)
-        self.make_news()
+        self.make_updates()
         self.registration = HostRegistration(
             self.me,
             capacity(settings.cores, settings.link_mbps),
@@ -133,7 +135,7 @@
             random,
             decisions,
         )
-        self.make_leads()
+        self.make_leases()
         self.make_requests()
         self.connect()
 
@@ -151,15 +153,17 @@
             list_addresses=self.addresses,
         )
 
-    def make_news(self) -> None:
+    def make_updates(self) -> None:
         """Make what learns from the store, and hands on what it has learned."""
-        self.news = UpdateServer(self.announcements, self.clock, self.freshness)
-        self.table_desk = RouteTableServer(self.announcements, self.clock)
+        self.updates_server = UpdateServer(
+            self.announcements, self.clock, self.freshness
+        )
+        self.table_server = RouteTableServer(self.announcements, self.clock)
         self.tables = RouteTableFetcher(
             self.me,
             self.peers,
             self.announcements,
-            self.holders,
+            self.hosts_with_version,
             self.clock,
             self.random,
             self.decisions,
@@ -183,7 +187,7 @@
             self.random,
             self.freshness,
         )
-        self.proving = FreshnessProver(
+        self.freshness_prover = FreshnessProver(
             self.keyspace,
             self.announcements,
             self.freshness,
@@ -195,11 +199,11 @@
             self.random,
         )
 
-    def make_leads(self) -> None:
+    def make_leases(self) -> None:
         """Make what holds and passes on the leads of services."""
         table = self.membership.table
-        self.book = PrimaryLeaseRegistry(self.announcements, self.decisions)
-        self.duty = PromotionCoordinator(
+        self.lease_registry = PrimaryLeaseRegistry(self.announcements, self.decisions)
+        self.promotion_duty = PromotionCoordinator(
             self.holder,
             self.keyspace,
             self.promoter,
@@ -209,18 +213,18 @@
             self.decisions,
         )
         self.states = TargetStatusClient(self.announcements, self.driver)
-        self.witnesses = IndirectProber(
+        self.indirect_probers = IndirectProber(
             self.me, table, self.peers, self.announcements, self.states, self.random
         )
-        self.vigil = HolderFailureDetector(
+        self.failure_detector = HolderFailureDetector(
             self.me, table, self.peers, self.clock, self.random, self.decisions
         )
-        self.partition = Partition(
+        self.zone_isolation = ZoneIsolationDetector(
             self.me,
             table,
             self.announcements,
             self.states,
-            self.vigil,
+            self.failure_detector,
             self.peers,
             self.clock,
             self.random,
@@ -230,22 +234,22 @@
             self.me,
             self.directory,
             self.announcements,
-            self.book,
-            self.vigil,
+            self.lease_registry,
+            self.failure_detector,
             self.capacities.is_weak,
         )
-        self.leads = PrimaryLeaseManager(
+        self.primary_leases = PrimaryLeaseManager(
             self.holder,
             self.keyspace,
             self.announcements,
-            self.book,
+            self.lease_registry,
             table,
             self.ranking,
-            BackupHolders(self.holder, self.make_deputy, self.decisions),
-            self.witnesses,
-            self.vigil,
+            BackupHolders(self.holder, self.make_backup_holder, self.decisions),
+            self.indirect_probers,
+            self.failure_detector,
             self.peers,
-            self.make_lead,
+            self.make_lease,
             self.clock,
             self.decisions,
         )
@@ -256,7 +260,7 @@
             self.directory,
             lambda: self.announcements.table.workspaces,
             self.freshness,
-            lambda: self.partition.cut_off,
+            lambda: self.zone_isolation.cut_off,
             self.membership.table.sees_majority,
             self.heartbeats.request_probe,
             self.settings.rates,
@@ -271,9 +275,9 @@
             self.decisions,
             self.metrics,
         )
-        self.desk = Desk(
+        self.statement_server = StatementServer(
             self.announcements,
-            self.leads,
+            self.primary_leases,
             self.make_home,
             allowances,
             self.clock,
@@ -281,16 +285,16 @@
         )
         self.hops = StatementForwarder(
             self.me,
-            self.desk,
+            self.statement_server,
             self.peers,
-            lambda: self.partition.cut_off,
+            lambda: self.zone_isolation.cut_off,
             self.clock,
             self.decisions,
         )
         self.replicas = ReplicaReader(
             self.hops,
-            self.desk,
-            self.book,
+            self.statement_server,
+            self.lease_registry,
             self.directory,
             self.peers,
             self.announcements,
@@ -300,7 +304,7 @@
         self.steering = SessionRouter(
             self.hops,
             self.replicas,
-            self.book,
+            self.lease_registry,
             self.directory,
             self.peers,
             self.clock,
@@ -313,7 +317,7 @@
             self.decisions,
             self.metrics,
         )
-        self.callers = Callers(
+        self.caller_sessions = CallerSessions(
             self.holder.incarnation,
             self.steering,
             self.announcements,
@@ -326,21 +330,21 @@
     def connect(self) -> None:
         """Register the handlers of peer calls and tell the parts of each other."""
         self.heartbeats.register(self.routes)
-        self.duty.register(self.routes)
-        self.witnesses.register(self.routes)
-        self.vigil.register(self.routes)
-        self.leads.register(self.routes)
-        self.desk.register(self.routes)
+        self.promotion_duty.register(self.routes)
+        self.indirect_probers.register(self.routes)
+        self.failure_detector.register(self.routes)
+        self.primary_leases.register(self.routes)
+        self.statement_server.register(self.routes)
         self.rate_owner.register(self.routes)
-        self.news.register(self.routes)
-        self.table_desk.register(self.routes)
-        self.hops.on_host_lost = self.host_lost
+        self.updates_server.register(self.routes)
+        self.table_server.register(self.routes)
+        self.hops.on_host_lost = self.suspect_host
         self.membership.on_newer_configuration = self.tables.request_version
         self.membership.on_answer = self.state_age
         self.heartbeats.on_answer = self.freshness.read_age
         self.heartbeats.on_presumed_dead = self.rate_owner.reset
-        self.announcements.on_table.append(self.configured)
-        self.announcements.on_update.append(self.learned)
+        self.announcements.on_table.append(self.publish_version)
+        self.announcements.on_update.append(self.offer_announced_hosts)
         self.announcements.on_restart.append(self.replicas.forget_target)
 
     def make_home(
@@ -367,21 +371,28 @@
             home_connection_limit(connections),
         )
 
-    def make_lead(self, record: PrimaryLeaseRecord, asked: float) -> PrimaryLeaseHolder:
+    def make_lease(
+        self, record: PrimaryLeaseRecord, requested_at: float
+    ) -> PrimaryLeaseHolder:
         """Return a lead that this host has taken."""
-        claim = self.claim(HolderClaim, record, asked)
+        claim = self.make_claim(HolderClaim, record, requested_at)
         others = OtherHolders(
-            claim, self.ranking, self.vigil, self.peers, self.clock, self.decisions
+            claim,
+            self.ranking,
+            self.failure_detector,
+            self.peers,
+            self.clock,
+            self.decisions,
         )
         promotion = PrimaryReplacement(
-            claim, others, self.states, self.duty, self.clock, self.decisions
+            claim, others, self.states, self.promotion_duty, self.clock, self.decisions
         )
         return PrimaryLeaseHolder(
             claim,
             others,
             promotion,
             self.ranking,
-            self.witnesses,
+            self.indirect_probers,
             self.announcements,
             self.states,
             self.driver,
@@ -391,10 +402,12 @@
             self.decisions,
         )
 
-    def make_deputy(self, record: PrimaryLeaseRecord, asked: float) -> BackupHolder:
+    def make_backup_holder(
+        self, record: PrimaryLeaseRecord, requested_at: float
+    ) -> BackupHolder:
         """Return what stands in for the holder of a lead."""
         return BackupHolder(
-            self.claim(BackupHolderClaim, record, asked),
+            self.make_claim(BackupHolderClaim, record, requested_at),
             self.announcements,
             self.states,
             self.make_home,
@@ -402,16 +415,16 @@
             self.decisions,
         )
 
-    def claim(
-        self, kind: type[LeaseClaim], record: PrimaryLeaseRecord, asked: float
+    def make_claim(
+        self, kind: type[LeaseClaim], record: PrimaryLeaseRecord, requested_at: float
     ) -> LeaseClaim:
         """Return this host's place in a record."""
         return kind(
             record,
-            asked,
+            requested_at,
             self.holder,
             self.keyspace,
-            self.book,
+            self.lease_registry,
             self.clock,
             self.decisions,
         )
@@ -428,53 +441,62 @@
         )
         for work in (
             self.watch.run(),
-            self.proving.run(),
+            self.freshness_prover.run(),
             self.registration.run(),
             self.heartbeats.run(),
-            self.desk.tidy(),
-            self.leads.run(),
-            self.partition.run(),
-            self.callers.move(self.partition.lasted),
+            self.statement_server.run_cleanup(),
+            self.primary_leases.run(),
+            self.zone_isolation.run(),
+            self.caller_sessions.close_while_unready(
+                self.zone_isolation.isolated_seconds
+            ),
         ):
             self.background.spawn(work)
 
     @property
     def ready(self) -> bool:
         """Say whether callers may be sent here."""
-        if self.leaving or self.partition.cut_off:
+        if self.leaving or self.zone_isolation.cut_off:
             return False
         return self.announcements.configured.is_set()
 
     async def drain(self) -> None:
         """Pass the leads on and end all sessions, within the time to stop."""
-        self.decisions.note("stop", sessions=len(self.callers.connections))
+        self.decisions.note("stop", sessions=len(self.caller_sessions.connections))
         self.leaving = True
         # The process is killed at the end of `grace`.
-        deadline = self.clock.monotonic() + self.settings.grace - END_MARGIN
+        deadline = self.clock.monotonic() + self.settings.grace - KILL_MARGIN_SECONDS
         await asyncio.gather(
-            self.pass_leads_on(),
-            self.callers.drain(self.settings.grace * TRANSACTIONS_SHARE),
+            self.hand_over_leases(),
+            self.caller_sessions.drain(
+                self.settings.grace * TRANSACTION_DRAIN_FRACTION
+            ),
         )
         self.membership.leave()
-        while self.in_progress() and self.clock.monotonic() < deadline:
-            self.callers.close_idle(self.callers.connections)
-            await self.clock.sleep(POLL)
+        while self.has_work_in_progress() and self.clock.monotonic() < deadline:
+            self.caller_sessions.close_idle(self.caller_sessions.connections)
+            await self.clock.sleep(POLL_INTERVAL_SECONDS)
         await self.registration.withdraw()
-        self.decisions.note("stopped", cut=len(self.callers.connections))
+        self.decisions.note("stopped", cut=len(self.caller_sessions.connections))
 
-    async def pass_leads_on(self) -> None:
+    async def hand_over_leases(self) -> None:
         """Have other hosts take the leads over."""
         try:
-            async with asyncio.timeout(HANDOVER_TIMEOUT):
-                await self.leads.transfer_all()
+            async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
+                await self.primary_leases.transfer_all()
         except TimeoutError:
-            self.decisions.note("leads_not_passed_on", left=list(self.leads.held))
+            self.decisions.note(
+                "leads_not_passed_on", left=list(self.primary_leases.held)
+            )
 
-    def in_progress(self) -> bool:
+    def has_work_in_progress(self) -> bool:
         """Say whether this host still works for somebody."""
-        if self.callers.busy() or not self.desk.quiet():
+        if (
+            self.caller_sessions.has_requests_in_progress()
+            or not self.statement_server.is_idle()
+        ):
             return True
-        return bool(self.leads.held)
+        return bool(self.primary_leases.held)
 
     async def close(self) -> None:
         """Release everything at once."""
@@ -482,12 +504,12 @@
         self.background.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         self.tables.close()
-        await self.leads.close()
-        await self.desk.close()
+        await self.primary_leases.close()
+        await self.statement_server.close()
         await self.peers.close()
         await self.keyspace.close()
 
-    def reloaded(self, settings: HostingSettings) -> None:
+    def apply_settings(self, settings: SessionHostSettings) -> None:
         """Take over settings that may change while the host runs."""
         self.decisions.note(
             "reload", store=settings.store, promotions=settings.promotions
@@ -500,7 +522,7 @@
         """Return the addresses of hosts that announce themselves."""
         return self.registration.addresses()
 
-    def learned(self) -> None:
+    def offer_announced_hosts(self) -> None:
         """Have heartbeats look for hosts that announce themselves."""
         if addresses := self.registration.pop_new_addresses():
             self.heartbeats.discovery.update_listed_addresses(addresses)
@@ -509,15 +531,15 @@
         """Say in the answer to a heartbeat how surely the version is the newest."""
         self.freshness.add_age(answer, self.clock.elapsed())
 
-    def configured(self, table: RouteTable) -> None:
+    def publish_version(self, table: RouteTable) -> None:
         """State the version in force with the heartbeats."""
         self.membership.set_configuration_version(table.version)
 
-    def host_lost(self, host: HostRef) -> None:
+    def suspect_host(self, host: HostRef) -> None:
         """Have heartbeats look at a host that gave no answer."""
         self.heartbeats.request_probe(host.host)
 
-    def holders(self, version: int) -> list[HostRef]:
+    def hosts_with_version(self, version: int) -> list[HostRef]:
         """Return live hosts that said they have a version, if any of this zone."""
         table = self.membership.table
         said = self.membership.configuration_versions
--- a/src/reedhook/process/session_process.py
+++ b/src/reedhook/process/session_process.py
@@ -8,7 +8,7 @@
 from .network.plain_server import PlainServer
 from .session_host import SessionHost
 
-FOLLOW_EVERY: Final = 1.0
+SETTINGS_POLL_SECONDS: Final = 1.0
 """Seconds between two looks at whether the settings file has changed."""
 
 
@@ -25,29 +25,29 @@
 class SessionProcess(ABC):
     """Run a host behind its servers.
 
-    :param front: serves callers; opened last.
+    :param caller_listener: serves callers; opened last.
     :param peers: serves other hosts.
-    :param platform: answers whether this host is ready.
+    :param readiness_server: answers whether this host is ready.
     :param metrics: shows the metrics.
-    :param known: `stamp` from before the settings in force were read.
+    :param loaded_stamp: `stamp` from before the settings in force were read.
     """
 
     def __init__(
         self,
         host: SessionHost,
-        front: CallersListener,
+        caller_listener: CallersListener,
         peers: PeerServer,
-        platform: PlainServer,
+        readiness_server: PlainServer,
         metrics: PlainServer,
-        known: float,
+        loaded_stamp: float,
     ) -> None:
         self.host = host
-        self.front = front
+        self.caller_listener = caller_listener
         self.peers = peers
-        self.platform = platform
+        self.readiness_server = readiness_server
         self.metrics = metrics
-        self.known = known
-        self.following: asyncio.Task[None] | None = None
+        self.loaded_stamp = loaded_stamp
+        self.watch_task: asyncio.Task[None] | None = None
 
     @abstractmethod
     def reload(self) -> None:
@@ -62,26 +62,26 @@
 
         :raises OSError: if an address cannot be had.
         """
-        await self.platform.start()
+        await self.readiness_server.start()
         await self.peers.start()
         await self.metrics.start()
         await self.host.start()
-        await self.front.start()
-        self.following = asyncio.get_running_loop().create_task(self.follow())
+        await self.caller_listener.start()
+        self.watch_task = asyncio.get_running_loop().create_task(self.watch_settings())
 
-    async def follow(self) -> None:
+    async def watch_settings(self) -> None:
         """Reload when the settings change without a signal."""
         while True:
-            await self.host.clock.sleep(FOLLOW_EVERY)
+            await self.host.clock.sleep(SETTINGS_POLL_SECONDS)
             found = self.stamp()
-            if found and found != self.known:
-                self.known = found
+            if found and found != self.loaded_stamp:
+                self.loaded_stamp = found
                 self.reload()
 
     async def stop(self) -> None:
         """Shut down without cutting a statement in progress."""
         await self.host.drain()
-        self.front.stop()
-        if self.following is not None:
-            self.following.cancel()
+        self.caller_listener.stop()
+        if self.watch_task is not None:
+            self.watch_task.cancel()
         await self.host.close()
--- a/src/reedhook/process/settings_check.py
+++ b/src/reedhook/process/settings_check.py
@@ -5,13 +5,13 @@
 
 from jsonschema import Draft202012Validator, ValidationError
 
-from .settings_schema import FORMATS, SETTINGS, SHORTEST_SECRET
+from .settings_schema import FORMATS, MIN_SECRET_CHARACTERS, SETTINGS
 
 LISTENERS: Final = ("listen", "peer_listen", "admin_listen")
 REASONS: Final = {
     "format": "an IP number with a port is expected, such as 10.0.0.1:8000",
     "additionalProperties": "unknown setting",
-    "oneOf": f"a text of {SHORTEST_SECRET} characters or more, or 'file: PATH',"
+    "oneOf": f"a text of {MIN_SECRET_CHARACTERS} characters or more, or 'file: PATH',"
     " is expected",
     "uniqueItems": "an entry stands twice",
     "minProperties": "at least one entry is expected",
--- a/src/reedhook/process/settings_files.py
+++ b/src/reedhook/process/settings_files.py
@@ -6,7 +6,7 @@
 from typing import Any, Final
 
 from .settings_check import SettingsError
-from .settings_schema import SHORTEST_SECRET
+from .settings_schema import MIN_SECRET_CHARACTERS
 
 SECRETS: Final = ("peer_credential", "token_secret")
 FORMER: Final = "former_token_secrets"
@@ -57,8 +57,8 @@
         detail = getattr(error, "strerror", None) or "not UTF-8"
         yield SettingsError(f"{name}.file", f"the file cannot be read: {detail}")
         return
-    if len(secret) < SHORTEST_SECRET:
-        reason = f"the file holds fewer than {SHORTEST_SECRET} characters"
+    if len(secret) < MIN_SECRET_CHARACTERS:
+        reason = f"the file holds fewer than {MIN_SECRET_CHARACTERS} characters"
         yield SettingsError(f"{name}.file", reason)
 
 
--- a/src/reedhook/process/settings_schema.py
+++ b/src/reedhook/process/settings_schema.py
@@ -7,14 +7,14 @@
 
 from ..address import split_address
 
-SHORTEST_SECRET: Final = 16
+MIN_SECRET_CHARACTERS: Final = 16
 
 ADDRESS: Final = {"type": "string", "format": "address"}
 NAME: Final = {"type": "string", "pattern": "^[a-z0-9][a-z0-9-]{0,62}$"}
 PATH: Final = {"type": "string", "minLength": 1}
 SECRET: Final = {
     "oneOf": [
-        {"type": "string", "minLength": SHORTEST_SECRET},
+        {"type": "string", "minLength": MIN_SECRET_CHARACTERS},
         {
             "type": "object",
             "properties": {"file": PATH},
--- a/src/reedhook/process/tool/command_timeline.py
+++ b/src/reedhook/process/tool/command_timeline.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from ...wire import WireError
-from ..events.timeline_merge import History
+from ..events.timeline_merge import EventHistory
 from ..events.timeline_page import page_of
 from ..events.timeline_text import text_of
 from .command_client import Client
@@ -39,7 +39,7 @@
         since=None if since is None else since_ms(since, time.time()),
     )
     try:
-        history = History.from_json(body)
+        history = EventHistory.from_json(body)
     except WireError as error:
         problem = f"the host gave events of another form: {error}"
         advice = "use the tool of the hosts' version"
--- a/src/reedhook/request/hop.py
+++ b/src/reedhook/request/hop.py
@@ -7,10 +7,10 @@
 from ..clock import Clock
 from ..decisions import Decisions
 from ..peer import HostRef, PeerError
-from ..process.desk import END, WORK, Desk
+from ..process.desk import END, WORK, StatementServer
 from ..process.lead.record import PrimaryLeaseRecord
 from ..process.lead.vigil import ALIVE_PATH as ALIVE
-from ..process.network.heard_peers import HeardPeers
+from ..process.network.heard_peers import AnswerTrackingPeers
 from ..record import Record
 from ..wire import Json, WireError
 from .position import Position
@@ -90,8 +90,8 @@
     def __init__(
         self,
         me: HostRef,
-        local_handler: Desk,
-        peers: HeardPeers,
+        local_handler: StatementServer,
+        peers: AnswerTrackingPeers,
         is_zone_isolated: Callable[[], bool],
         clock: Clock,
         decisions: Decisions,
@@ -187,7 +187,7 @@
 
         :param pending_answer: an answer of it that would tell, too.
         """
-        if self.peers.heard_since(host.host, since):
+        if self.peers.host_answered_since(host.host, since):
             return True
         try:
             await self.peers.call(host, ALIVE, {}, LIVENESS_PROBE_TIMEOUT_SECONDS)
@@ -259,7 +259,7 @@
         :param sent_at: when the statement was sent, by `Clock.monotonic`.
         :raises Refusal: unless the host still tells the outcome.
         """
-        lives = self.peers.heard_since(location.host.host, sent_at)
+        lives = self.peers.host_answered_since(location.host.host, sent_at)
         if not lives:
             self.on_host_lost(location.host)
             self.lost_since.setdefault(location.host.host, self.clock.monotonic())
@@ -295,7 +295,7 @@
     ) -> None:
         """Roll a transaction back; without an answer its home does so itself."""
         if location.host.host == self.me.host:
-            self.local_handler.end(service, location.target, name)
+            self.local_handler.roll_back(service, location.target, name)
             return
         body: Json = {"service": service, "target": location.target, "name": name}
         try:
--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replicas.py
@@ -8,7 +8,7 @@
 from ..directory import Directory
 from ..peer import PeerError, Peers
 from ..process.announced.announcements import Announcements
-from ..process.desk import PROOF, Desk
+from ..process.desk import PROOF, StatementServer
 from ..process.lead.book import PrimaryLeaseRegistry
 from ..record import Record
 from ..version.registry import Route, TargetAnnouncement
@@ -69,7 +69,7 @@
     def __init__(
         self,
         forwarder: StatementForwarder,
-        local_handler: Desk,
+        local_handler: StatementServer,
         lease_registry: PrimaryLeaseRegistry,
         directory: Directory,
         peers: Peers,
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -19,7 +19,7 @@
 from reedhook.process.assembly import serve
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.host import Host
-from reedhook.process.lifecycle import HostProcess
+from reedhook.process.lifecycle import HostDaemon
 from reedhook.process.network.peer_http import HttpPeers
 from reedhook.process.network.peer_server import PeerServer
 from reedhook.process.network.tls import TlsContexts
@@ -75,7 +75,7 @@
         self.platform = Platform(deployment, self.clock)
         self.zones = deployment.host_zones(hosts)
         self.settings: dict[str, Settings] = {}
-        self.running: dict[str, HostProcess] = {}
+        self.running: dict[str, HostDaemon] = {}
         self.http: aiohttp.ClientSession | None = None
         self.partition = Partition(self.clock)
 
@@ -219,10 +219,10 @@
     async def kill_host(self, name: str) -> None:
         """Let a host die: its connections end at once, nothing is handed over."""
         process = self.running.pop(name)
-        for server in (process.callers, process.admin):
+        for server in (process.caller_server, process.admin_server):
             await cut(server.runner)
-        assert isinstance(process.peers, PeerServer)
-        process.peers.cut()
+        assert isinstance(process.peer_server, PeerServer)
+        process.peer_server.abort()
         await process.host.close()
 
     def cut_target_off(self, member: str) -> None:
--- a/tests/daemon_fakes.py
+++ b/tests/daemon_fakes.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from reedhook.clock import SystemClock
-from reedhook.process.lifecycle import HostProcess, Lifecycle
+from reedhook.process.lifecycle import HostDaemon, Lifecycle
 from reedhook.process.network.limits import ServerLimits
 from reedhook.process.network.server import ApplicationServer
 
@@ -67,11 +67,11 @@
         return app
 
 
-def a_process(host: FakeHost, app: web.Application, bound: float) -> HostProcess:
+def a_process(host: FakeHost, app: web.Application, bound: float) -> HostDaemon:
     """Return a process around `host` on free ports."""
     limits = ServerLimits()
     here = "127.0.0.1:0"
-    return HostProcess(
+    return HostDaemon(
         host,
         ApplicationServer("callers", app, here, limits),
         ApplicationServer("peers", web.Application(), here, limits),
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -19,7 +19,7 @@
 from reedhook.process.announced.documents import StoreValueParser
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.histograms import HistogramMetrics
-from reedhook.process.hosting_settings import HostingSettings
+from reedhook.process.hosting_settings import SessionHostSettings
 from reedhook.process.session_host import SessionHost
 from reedhook.request.command import SessionCommand, SessionCommandKind
 from reedhook.request.verdict import Verdict
@@ -210,9 +210,9 @@
         await host.start()
         return host
 
-    def settings_of(self, *values: Any) -> HostingSettings:
+    def settings_of(self, *values: Any) -> SessionHostSettings:
         """Return the settings of a host; `values` as `HostingSettings` takes them."""
-        return HostingSettings(*values)
+        return SessionHostSettings(*values)
 
     async def kill(self, name: str) -> None:
         """End a process without a word; its connections break."""
@@ -220,8 +220,8 @@
         self.network.crash(name)
         host.background.cancel()
         for lead in [
-            *host.leads.held.values(),
-            *host.leads.backup_holders.found.values(),
+            *host.primary_leases.held.values(),
+            *host.primary_leases.backup_holders.found.values(),
         ]:
             lead.stop()
         for member in self.group.members.values():
@@ -256,7 +256,7 @@
 
         :raises Refusal: if the host refuses.
         """
-        session = await self.hosts[host].callers.open(database, key)
+        session = await self.hosts[host].caller_sessions.open_session(database, key)
         self.callers += 1
         return Caller(self, session, f"c{self.callers}")
 
--- a/tests/test_admin_docs.py
+++ b/tests/test_admin_docs.py
@@ -8,7 +8,7 @@
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
 from reedhook.process.administration.admin_operator import Operators
-from reedhook.process.run import Exit as DaemonExit
+from reedhook.process.run import DaemonExitCode as DaemonExit
 from reedhook.process.settings_schema import LIMITS, SETTINGS, TLS
 from reedhook.process.tool import command
 from reedhook.process.tool.command_error import Exit
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -10,7 +10,7 @@
 import yaml
 
 from reedhook.process.daemon import main, serve
-from reedhook.process.lifecycle import HostProcess
+from reedhook.process.lifecycle import HostDaemon
 from reedhook.process.settings import Settings, parse_settings
 
 from .daemon_fakes import Counted, FakeHost, a_process
@@ -43,7 +43,7 @@
         await super().drain()
 
 
-def assembled(host: FakeHost, bound: float = 10) -> Callable[[Settings], HostProcess]:
+def assembled(host: FakeHost, bound: float = 10) -> Callable[[Settings], HostDaemon]:
     """Return what makes a process around `host`."""
     return lambda settings: a_process(host, Counted().app(), bound)
 
@@ -80,9 +80,9 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
 
-        def assemble(given: Settings) -> HostProcess:
+        def assemble(given: Settings) -> HostDaemon:
             process = a_process(FakeHost(), Counted().app(), 10)
-            process.callers.address = f"127.0.0.1:{port}"
+            process.caller_server.address = f"127.0.0.1:{port}"
             return process
 
         assert serve(settings(), assemble) == 1
--- a/tests/test_daemon_collector.py
+++ b/tests/test_daemon_collector.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from reedhook.process.collector import spare_collector
+from reedhook.process.collector import freeze_startup_objects
 
 
 class Cycle:
@@ -18,7 +18,7 @@
 @contextmanager
 def spared() -> Iterator[None]:
     """Spare the collector what exists, and undo that at the end."""
-    spare_collector()
+    freeze_startup_objects()
     try:
         yield
     finally:
--- a/tests/test_daemon_host.py
+++ b/tests/test_daemon_host.py
@@ -10,7 +10,7 @@
 from reedhook.clock import SystemClock
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.assembly import assemble
-from reedhook.process.lifecycle import HostProcess
+from reedhook.process.lifecycle import HostDaemon
 from reedhook.process.settings import Settings, TlsSettings
 from reedhook.process.tool.command_access import Endpoint, trust
 from reedhook.process.tool.command_client import Client
@@ -40,7 +40,7 @@
     )
 
 
-def assembled(given: Settings) -> HostProcess:
+def assembled(given: Settings) -> HostDaemon:
     """Return the process of a host."""
     return assemble(given, SystemClock(), Random(1), MemoryMetrics())
 
@@ -49,7 +49,7 @@
 async def test_a_host_without_its_platform_starts_answers_and_ends() -> None:
     process = assembled(settings())
     await process.start()
-    endpoint = Endpoint((process.admin.address,), CREDENTIAL)
+    endpoint = Endpoint((process.admin_server.address,), CREDENTIAL)
     async with Client(endpoint) as client:
         assert (await client.get("/admin/status"))["state"] == "serving"
     await process.stop()
@@ -66,7 +66,7 @@
     files = TlsSettings(tmp_path / "pair", tmp_path / "pair", tmp_path / "ca")
     process = assembled(settings(files))
     await process.start()
-    here = (process.admin.address,)
+    here = (process.admin_server.address,)
     async with Client(
         Endpoint(here, CREDENTIAL, trust(str(tmp_path / "ca")))
     ) as client:
--- a/tests/test_daemon_io_uring.py
+++ b/tests/test_daemon_io_uring.py
@@ -8,7 +8,7 @@
 
 from reedhook.process.io_uring import (
     IO_URING,
-    IoUringInUse,
+    IoUringInUseError,
     forbid_io_uring,
     require_no_io_uring,
 )
@@ -18,7 +18,7 @@
     (tmp_path / "3").symlink_to("socket:[1234]")
     require_no_io_uring(tmp_path)
     (tmp_path / "7").symlink_to(IO_URING)
-    with pytest.raises(IoUringInUse, match="descriptors 7"):
+    with pytest.raises(IoUringInUseError, match="descriptors 7"):
         require_no_io_uring(tmp_path)
 
 
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -5,8 +5,8 @@
 import aiohttp
 import pytest
 
-from reedhook.process.lifecycle import HostProcess
-from reedhook.process.overdue import ShutdownOverdue
+from reedhook.process.lifecycle import HostDaemon
+from reedhook.process.overdue import ShutdownTimeoutError
 
 from .daemon_fakes import Counted, FakeHost, a_process
 from .support import on_loop
@@ -50,7 +50,7 @@
     host, counted = FakeHost(), Counted()
     process = a_process(host, counted.app(), 10)
     await process.start()
-    load = Load(f"http://{process.callers.address}/")
+    load = Load(f"http://{process.caller_server.address}/")
     running = asyncio.create_task(load.run())
     await asyncio.sleep(0.2)
     await process.stop()
@@ -70,9 +70,9 @@
     stopping = asyncio.create_task(process.stop())
     await asyncio.sleep(0.3)
     async with aiohttp.ClientSession() as session:
-        async with session.post(f"http://{process.callers.address}/") as response:
+        async with session.post(f"http://{process.caller_server.address}/") as response:
             assert response.status == 200
-        async with session.get(f"http://{process.peers.address}/") as response:
+        async with session.get(f"http://{process.peer_server.address}/") as response:
             assert response.status == 404
     host.drained.set()
     await stopping
@@ -84,7 +84,7 @@
     host.drained.clear()
     process = a_process(host, Counted().app(), 0.2)
     await process.start()
-    with pytest.raises(ShutdownOverdue):
+    with pytest.raises(ShutdownTimeoutError):
         await process.stop()
     assert host.steps[-1] == "close"
 
@@ -92,6 +92,6 @@
 @on_loop
 async def test_a_process_that_has_not_started_can_be_stopped() -> None:
     host = FakeHost()
-    process: HostProcess = a_process(host, Counted().app(), 10)
+    process: HostDaemon = a_process(host, Counted().app(), 10)
     await process.stop()
     assert host.steps[-1] == "close"
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -6,8 +6,8 @@
 
 from reedhook.decisions import Decisions
 from reedhook.peer import HostRef, PeerError, Peers
-from reedhook.process.desk import Desk
-from reedhook.process.network.heard_peers import HeardPeers
+from reedhook.process.desk import StatementServer
+from reedhook.process.network.heard_peers import AnswerTrackingPeers
 from reedhook.request.hop import (
     READ_WAIT_LIMIT_SECONDS,
     StatementForwarder,
@@ -42,7 +42,7 @@
         pass
 
 
-class NoDesk(Desk):
+class NoDesk(StatementServer):
     """Stand in for a desk at which nothing runs."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
 
 
 def hops_to(
-    peers: HeardPeers, lost: list[str], cut_off: bool = False
+    peers: AnswerTrackingPeers, lost: list[str], cut_off: bool = False
 ) -> StatementForwarder:
     """Return hops that note which hosts they held for lost."""
     clock = LoopClock()
@@ -86,7 +86,7 @@
 
 @in_virtual_time
 async def test_a_host_that_answers_others_is_not_lost() -> None:
-    peers, lost = HeardPeers(SlowWork(), LoopClock()), list[str]()
+    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
     hops = hops_to(peers, lost)
     waiting = asyncio.ensure_future(refused(hops))
     await asyncio.sleep(0.2)
@@ -114,7 +114,7 @@
 @in_virtual_time
 async def test_a_host_that_answers_nobody_is_lost_and_soon() -> None:
     calls = Silent()
-    peers, lost = HeardPeers(calls, LoopClock()), list[str]()
+    peers, lost = AnswerTrackingPeers(calls, LoopClock()), list[str]()
     hops = hops_to(peers, lost)
     await peers.call(OTHER, "alive", {}, 1.0)
     calls.silent = True
@@ -136,7 +136,7 @@
 ) -> None:
     calls = Silent()
     calls.silent = True
-    hops = hops_to(HeardPeers(calls, LoopClock()), [])
+    hops = hops_to(AnswerTrackingPeers(calls, LoopClock()), [])
     work = a_read()
     work.kind, work.transaction = kind, "t"
     begun = asyncio.get_running_loop().time()
@@ -151,7 +151,7 @@
 async def test_a_write_in_doubt_is_waited_for_at_a_silent_host() -> None:
     calls = Silent()
     calls.silent = True
-    hops = hops_to(HeardPeers(calls, LoopClock()), [])
+    hops = hops_to(AnswerTrackingPeers(calls, LoopClock()), [])
     work = a_read()
     work.kind = SessionStatementKind.WRITE
     begun = asyncio.get_running_loop().time()
@@ -163,7 +163,7 @@
 
 @in_virtual_time
 async def test_a_host_that_says_it_lives_is_waited_for() -> None:
-    peers, lost = HeardPeers(SlowWork(), LoopClock()), list[str]()
+    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
     hops = hops_to(peers, lost)
     begun = asyncio.get_running_loop().time()
     refusal = await refused(hops)
@@ -179,7 +179,7 @@
 async def test_nothing_is_sent_to_a_zone_that_is_known_to_be_out_of_reach(
     kind: SessionStatementKind,
 ) -> None:
-    peers, lost = HeardPeers(SlowWork(), LoopClock()), list[str]()
+    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
     hops = hops_to(peers, lost, cut_off=True)
     work = a_read()
     work.kind = kind
@@ -195,7 +195,7 @@
 
 @in_virtual_time
 async def test_hosts_of_the_own_zone_are_asked_during_a_cut() -> None:
-    peers, lost = HeardPeers(SlowWork(), LoopClock()), list[str]()
+    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
     hops = hops_to(peers, lost, cut_off=True)
     near = HostRef("h3", ME.zone, "10.0.0.3:1")
     begun = asyncio.get_running_loop().time()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 
 from reedhook.connection.session import SessionReply
 from reedhook.connection.state import SessionState
-from reedhook.process.hosting_settings import HostingSettings
+from reedhook.process.hosting_settings import SessionHostSettings
 from reedhook.request.authorization import REVOCATION_MARGIN_SECONDS
 from reedhook.request.command import SessionCommandKind
 from reedhook.request.refusal import RefusalError, RefusalReason
@@ -48,7 +48,7 @@
 
         self.network.carry = noted  # type: ignore[method-assign]
 
-    def settings_of(self, *values: Any) -> HostingSettings:
+    def settings_of(self, *values: Any) -> SessionHostSettings:
         settings = super().settings_of(*values)
         settings.revoke = REVOKE
         return settings
--- a/tests/test_keys_on_the_wire.py
+++ b/tests/test_keys_on_the_wire.py
@@ -54,7 +54,7 @@
         host = await world.start_host(world.refs[0])
         use(host, Decisions(host.me.host, host.clock, out=write))
         await host.announcements.configured.wait()
-        front = Front(host.callers, "127.0.0.1:0")
+        front = Front(host.caller_sessions, "127.0.0.1:0")
         await front.start()
         address, _, port = front.address.rpartition(":")
 
@@ -75,10 +75,10 @@
 
 def use(host: SessionHost, decisions: Decisions) -> None:
     """Have the parts that see callers write their lines."""
-    host.callers.decisions = decisions
-    host.callers.authorization.decisions = decisions
+    host.caller_sessions.decisions = decisions
+    host.caller_sessions.authorization.decisions = decisions
     host.announcements.decisions = decisions
-    host.desk.decisions = decisions
+    host.statement_server.decisions = decisions
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
         await asyncio.sleep(1.5)
         said.extend(await line.ask("QUERY 4 READ a"))
         said.append(host.metrics.render())
-        said.append(repr(vars(host.callers)))
+        said.append(repr(vars(host.caller_sessions)))
         said.append(repr(host.announcements.table_value))
         said.append(repr(host.announcements.table.workspaces.by_digest))
 
@@ -147,7 +147,7 @@
             await line.ask(f"START tickets {WRONG}{index}")
             line.writer.close()
         await asyncio.sleep(0.05)
-        assert not host.callers.connections
+        assert not host.caller_sessions.connections
         assert not host.announcements.table.workspaces.by_name.keys() - {"farm"}
 
     logged = with_host(test)
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from reedhook.process.callers import IN_ROTATION, CallerConnection
+from reedhook.process.callers import ROTATION_DELAY_SECONDS, CallerConnection
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import run_virtual
@@ -31,13 +31,13 @@
         self.busy = busy
         self.closed = False
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return not self.busy
 
     def close(self) -> None:
         self.closed = True
 
-    def is_denied(self) -> bool:
+    def is_access_revoked(self) -> bool:
         return False
 
     def abort_transaction(self, cause: str) -> None:
@@ -110,10 +110,10 @@
     world: SessionWorld,
 ) -> None:
     idle, busy = IdleConnection(), IdleConnection(busy=True)
-    callers = world.hosts["h10"].callers
+    callers = world.hosts["h10"].caller_sessions
     callers.connections |= {idle, busy}
     world.cut_zone("z1")
-    await asyncio.sleep(IN_ROTATION)
+    await asyncio.sleep(ROTATION_DELAY_SECONDS)
     assert not idle.closed
     await asyncio.sleep(NOTICED)
     assert idle.closed
@@ -128,9 +128,9 @@
     world: SessionWorld,
 ) -> None:
     world.cut_zone("z1")
-    await asyncio.sleep(IN_ROTATION + NOTICED)
+    await asyncio.sleep(ROTATION_DELAY_SECONDS + NOTICED)
     late = IdleConnection()
-    world.hosts["h10"].callers.connections.add(late)
+    world.hosts["h10"].caller_sessions.connections.add(late)
     await asyncio.sleep(SOON)
     assert not late.closed
 
@@ -154,7 +154,7 @@
 @using(a_world, run_virtual)
 async def test_sessions_elsewhere_stay_open(world: SessionWorld) -> None:
     idle = IdleConnection()
-    world.hosts["h00"].callers.connections.add(idle)
+    world.hosts["h00"].caller_sessions.connections.add(idle)
     world.cut_zone("z1")
     await asyncio.sleep(8.0)
     assert not idle.closed
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -14,9 +14,13 @@
 from reedhook.connection.link import MAX_IDLE_CHANNELS
 from reedhook.peer import HostRef, PeerError, PeerRoutes
 from reedhook.process.events.timeline import Timeline
-from reedhook.process.network.peer_http import LINK_IDLE, HttpPeers
+from reedhook.process.network.peer_http import LINK_IDLE_SECONDS, HttpPeers
 from reedhook.process.network.peer_server import PeerEndpoint, PeerServer
-from reedhook.process.network.peer_wire import BODY_LIMIT, CLIENT_KEEPALIVE, CREDENTIAL
+from reedhook.process.network.peer_wire import (
+    CLIENT_KEEPALIVE,
+    CREDENTIAL,
+    MAX_PEER_BODY_BYTES,
+)
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json, WireError
@@ -285,7 +289,7 @@
     peers.sweep(now + CLIENT_KEEPALIVE + 1.0)
     assert link.idle == []
     assert peers.links == {listener.ref.address: link}
-    peers.sweep(now + LINK_IDLE + 1.0)
+    peers.sweep(now + LINK_IDLE_SECONDS + 1.0)
     assert peers.links == {}
 
 
@@ -308,7 +312,7 @@
         number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"}}")
-        head = f"HTTP/1.1 200 OK\r\nContent-Length: {BODY_LIMIT + 1}\r\n\r\n"
+        head = f"HTTP/1.1 200 OK\r\nContent-Length: {MAX_PEER_BODY_BYTES + 1}\r\n\r\n"
         writer.write(head.encode())
         await writer.drain()
 
@@ -345,7 +349,7 @@
 async def test_a_large_body_is_refused_before_it_is_read(both: Both) -> None:
     peers, listener = both
     with pytest.raises(RefusalError) as refused:
-        await peers.call(listener.ref, "note", {"x": "y" * BODY_LIMIT}, 5.0)
+        await peers.call(listener.ref, "note", {"x": "y" * MAX_PEER_BODY_BYTES}, 5.0)
     assert refused.value.reason is RefusalReason.TOO_LARGE
     assert listener.seen == []
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -15,7 +15,7 @@
 )
 from reedhook.platform.driver import WireDriver
 from reedhook.platform.entry import Front, worded
-from reedhook.process.callers import Callers
+from reedhook.process.callers import CallerSessions
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason, may_have_run, not_run
 from reedhook.version.registry import TargetAnnouncement
@@ -149,7 +149,9 @@
         return (await self.reader.readline()).decode("latin-1").rstrip("\r\n")
 
 
-def with_front(test: Callable[[Callers, Line, SessionWorld], Awaitable[None]]) -> None:
+def with_front(
+    test: Callable[[CallerSessions, Line, SessionWorld], Awaitable[None]],
+) -> None:
     """Run a test with a front whose host knows a configuration and no target."""
 
     async def run() -> None:
@@ -157,12 +159,12 @@
         world.configure(1, ["tickets", "views"])
         host = await world.start_host(world.refs[0])
         await host.announcements.configured.wait()
-        front = Front(host.callers, "127.0.0.1:0")
+        front = Front(host.caller_sessions, "127.0.0.1:0")
         await front.start()
         address, _, port = front.address.rpartition(":")
         reader, writer = await asyncio.open_connection(address, int(port))
         try:
-            await test(host.callers, Line(reader, writer), world)
+            await test(host.caller_sessions, Line(reader, writer), world)
         finally:
             writer.close()
             front.stop()
@@ -172,7 +174,7 @@
 
 
 def test_a_session_answers_what_needs_no_target() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         assert await line.send(b"START tickets u1\r\n") == "READY I -"
         assert await line.send(b"QUERY 1 SET a b\r\n") == "COMPLETE -"
         assert await line.next() == "READY I -"
@@ -204,7 +206,7 @@
 def test_a_start_that_makes_no_sense_is_refused_and_closed(
     first: bytes, code: str
 ) -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         assert (await line.send(first)).startswith(code)
         assert await line.next() == ""
 
@@ -212,7 +214,7 @@
 
 
 def test_a_smuggled_statement_closes_the_session() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         await line.send(b"START tickets u1\r\n")
         answer = await line.send(b"QUERY 1 READ a\nQUERY 2 WRITE a b\r\n")
         assert answer.startswith("ERROR MALFORMED")
@@ -223,7 +225,7 @@
 
 
 def test_a_host_that_ends_closes_idle_sessions() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         await line.send(b"START tickets u1\r\n")
         draining = asyncio.create_task(callers.drain(0.5))
         assert await line.next() == ""
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -139,7 +139,11 @@
     for _ in range(20):
         await caller.read()
         await asyncio.sleep(0.05)
-    homes = {name for name, host in world.hosts.items() if host.desk.homes}
+    homes = {
+        name
+        for name, host in world.hosts.items()
+        if host.statement_server.replica_homes
+    }
     assert not homes & weak
     world.check()
     await world.stop()
@@ -220,7 +224,7 @@
     while world.leader().me.zone == old.zone:
         await asyncio.sleep(0.01)
     await asyncio.sleep(0.1)
-    lead = world.leader().leads.held["db"]
+    lead = world.leader().primary_leases.held["db"]
     assert lead.ready.is_set()
     assert lead.home is not None
     assert lead.home.entry.target == world.group.primary.entry.target
@@ -230,7 +234,7 @@
 async def test_the_lead_of_a_lost_holder_is_taken_at_once(world: SessionWorld) -> None:
     old = world.leader().me
     await world.kill(old.host)
-    while not any(host.vigil.is_lost(old) for host in world.hosts.values()):
+    while not any(host.failure_detector.is_lost(old) for host in world.hosts.values()):
         await asyncio.sleep(0.001)
     # Two calls of the store and a little more.
     await asyncio.sleep(0.03)
@@ -550,7 +554,7 @@
 ) -> None:
     lead = world.leader().me.host
     other = next(ref.host for ref in world.refs if ref.host != lead)
-    assert await world.hosts[other].duty.claim_role(None)
+    assert await world.hosts[other].promotion_duty.claim_role(None)
     await world.restart(other)
     await asyncio.sleep(4.0)
     caller = await world.caller(world.leader().me.host, "tickets")
@@ -588,7 +592,10 @@
     await traffic(world, 1.0, 9)
     member = next(one for one in world.group.members.values() if not one.leads)
     entry = member.entry
-    homes = [host.desk.homes.get(entry.target) for host in world.hosts.values()]
+    homes = [
+        host.statement_server.replica_homes.get(entry.target)
+        for host in world.hosts.values()
+    ]
     old = [home for home in homes if home is not None]
     assert old
     member.entry = TargetAnnouncement(
@@ -614,13 +621,13 @@
 ) -> None:
     lead = world.leader().me
     other = next(one for one in world.hosts.values() if one.me != lead)
-    other.vigil.lost_at[lead.host] = other.clock.monotonic()
-    record = other.book.get("db")
+    other.failure_detector.lost_at[lead.host] = other.clock.monotonic()
+    record = other.lease_registry.get("db")
     assert record is not None
     news = record.with_revision(record.revision + 1)
     news.holder = HostIncarnation(lead, "another life")
-    other.book.update(news, "peer")
-    assert not other.vigil.is_lost(lead)
+    other.lease_registry.update(news, "peer")
+    assert not other.failure_detector.is_lost(lead)
 
 
 OLDER = "zone store late losing kill pause primary cut lag deaf answers heal"
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -125,7 +125,7 @@
     await traffic(world, 2.0, 6)
     await asyncio.sleep(0.5)
     host = world.leader()
-    promotion = host.leads.held["db"].promotion
+    promotion = host.primary_leases.held["db"].promotion
     ordered: list[str] = []
     chosen: list[str] = []
     order = promotion.coordinator.order
@@ -181,8 +181,12 @@
     await traffic(world, 2.0, 8)
     member = replicas(world)[0]
     target = member.entry.target
-    host = next(one for one in world.hosts.values() if target in one.desk.homes)
-    old = host.desk.homes[target]
+    host = next(
+        one
+        for one in world.hosts.values()
+        if target in one.statement_server.replica_homes
+    )
+    old = host.statement_server.replica_homes[target]
     seen = host.replicas.observations("db").target(target)
     seen.position = Position(9, 9)
     member.deaf = True
@@ -191,7 +195,7 @@
     assert host.replicas.observations("db").target(target).position is None
     await traffic(world, 3.0, 9)
     assert old.connections.closed
-    assert host.desk.homes[target] is not old
+    assert host.statement_server.replica_homes[target] is not old
 
 
 @using(a_world, run_virtual)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -14,7 +14,7 @@
     Timeline,
 )
 from reedhook.process.events.timeline_filter import EventFilter
-from reedhook.process.events.timeline_merge import History, failovers, merge, order
+from reedhook.process.events.timeline_merge import EventHistory, failovers, merge, order
 from reedhook.process.events.timeline_page import page_of
 from reedhook.process.events.timeline_text import text_of
 from reedhook.wire import WireError
@@ -112,16 +112,18 @@
 
 
 def test_a_failover_is_told_step_by_step(snapshot: SnapshotAssertion) -> None:
-    history = History(merge(a_failover()), {"ragusa-office-1": "no answer in time"})
+    history = EventHistory(
+        merge(a_failover()), {"ragusa-office-1": "no answer in time"}
+    )
     assert text_of(history) == snapshot
 
 
 def test_what_is_left_out_is_said() -> None:
-    history = History(merge(a_failover()), {"i": "no answer"}, ("comiso-1",))
+    history = EventHistory(merge(a_failover()), {"i": "no answer"}, ("comiso-1",))
     for shown in (text_of(history), page_of(history)):
         assert "The events of i are missing: no answer." in shown
         assert "Older events of comiso-1 are left out." in shown
-    assert History.from_json(json.loads(json.dumps(history.to_json()))) == history
+    assert EventHistory.from_json(json.loads(json.dumps(history.to_json()))) == history
 
 
 def test_a_failover_names_who_suspected_agreed_and_resumed() -> None:
@@ -155,7 +157,7 @@
 def test_the_page_is_whole_and_escapes(snapshot: SnapshotAssertion) -> None:
     rings = a_failover()
     rings.append([event(6000, "h", EventKind.STORE, "<script>alert(1)</script>")])
-    page = page_of(History(merge(rings), {"i": "a <b> reason"}))
+    page = page_of(EventHistory(merge(rings), {"i": "a <b> reason"}))
     assert "<script>alert" not in page
     assert "a <b> reason" not in page
     assert "http" not in page.replace("http://www.w3.org/2000/svg", "")
@@ -166,5 +168,5 @@
 
 
 def test_an_empty_history_is_said_to_be_so() -> None:
-    assert text_of(History((), {})) == "No events."
-    assert "<svg" in page_of(History((), {}))
+    assert text_of(EventHistory((), {})) == "No events."
+    assert "<svg" in page_of(EventHistory((), {}))
--- a/tests/trace_replay.py
+++ b/tests/trace_replay.py
@@ -531,7 +531,7 @@
         await network.awake(host)
 
     for host in replay.world.hosts.values():
-        keeper = host.keepers.get(GROUP)
+        keeper = host.group_managers.get(GROUP)
         if keeper is None:
             continue
         stepped = SteppedController(host.me.host, keeper.controller, before, None)
