--- a/src/reedhook/address.py
+++ b/src/reedhook/address.py
@@ -3,7 +3,7 @@
 import ipaddress
 from typing import Final
 
-HIGHEST_PORT: Final = 65535
+MAX_PORT: Final = 65535
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -19,6 +19,6 @@
         host = host[1:-1]
     else:
         ipaddress.IPv4Address(host)
-    if not (port.isascii() and port.isdigit()) or int(port) > HIGHEST_PORT:
+    if not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
         raise ValueError("the port is no number up to 65535")
     return host, int(port)
--- a/src/reedhook/clock.py
+++ b/src/reedhook/clock.py
@@ -12,7 +12,7 @@
     def monotonic(self) -> float:
         """Return monotonic time in seconds."""
 
-    def elapsed(self) -> float:
+    def boottime(self) -> float:
         """Return seconds that also pass while the machine is suspended.
 
         Permissions and proofs of age run on it: the monotonic clock stands
@@ -35,7 +35,7 @@
     def monotonic(self) -> float:
         return time.monotonic()
 
-    def elapsed(self) -> float:
+    def boottime(self) -> float:
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
--- a/src/reedhook/connection/channel.py
+++ b/src/reedhook/connection/channel.py
@@ -178,7 +178,8 @@
         :param path: without the leading slash, with its query.
         :param timeout: in seconds, for the whole answer.
         :param limit: the most bytes that an answer may have.
-        :param progress_timeout: seconds after each piece of the answer in which the next
+        :param progress_timeout: seconds after each piece of the answer in which the
+            next
             may come, also beyond `timeout`; 0 for an answer within it.
         :raises ChannelClosed: if nothing was sent.
         :raises ChannelBroken: if no whole answer came.
--- a/src/reedhook/connection/health.py
+++ b/src/reedhook/connection/health.py
@@ -29,7 +29,8 @@
     """Probe a target and keep since when it has been unreachable.
 
     :param on_state: takes a state and the monotonic time when it was asked.
-    :param on_reachability_change: called when the target becomes unreachable or answers again.
+    :param on_reachability_change: called when the target becomes unreachable or answers
+        again.
     :ivar unreachable_since: monotonic time in seconds; None while it answers.
     :ivar last_success_at: monotonic time at which the last answered probe began.
     """
--- a/src/reedhook/connection/lanes.py
+++ b/src/reedhook/connection/lanes.py
@@ -75,7 +75,8 @@
     :ivar lent: connections in use.
     :ivar evicted: connections closed so far to make room for other workspaces.
     :ivar on_free: is called when a connection, or the room for one, is free.
-    :ivar mean_lend_seconds: seconds for which connections were lent of late, on average.
+    :ivar mean_lend_seconds: seconds for which connections were lent of late, on
+        average.
     """
 
     def __init__(
@@ -218,7 +219,7 @@
 
     def remove_if_lost(self, pooled: PooledConnection) -> bool:
         """Say whether the target has closed an idle connection; forget it then."""
-        if not pooled.connection.lost:
+        if not pooled.connection.closed:
             return False
         self.remove(pooled)
         return True
@@ -280,7 +281,7 @@
     def give_back(self, pooled: PooledConnection) -> None:
         """Take back a connection that is in good order."""
         self.mark_returned(pooled)
-        if pooled.connection.lost or self.closed:
+        if pooled.connection.closed or self.closed:
             self.discard(pooled)
             return
         pooled.used = self.clock.monotonic()
--- a/src/reedhook/connection/member.py
+++ b/src/reedhook/connection/member.py
@@ -121,10 +121,11 @@
     """Hold one open connection; one exchange runs at a time.
 
     :ivar lost: whether the connection has ended or is in doubt.
-    :ivar initial_position: the position that the target stated as the connection opened.
+    :ivar initial_position: the position that the target stated as the connection
+        opened.
     """
 
-    lost: bool
+    closed: bool
     initial_position: Position | None
 
     @abstractmethod
--- a/src/reedhook/connection/memberhome.py
+++ b/src/reedhook/connection/memberhome.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ..clock import Clock
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
 from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
@@ -71,7 +71,7 @@
         dialect: StatementDialect,
         max_in_use: int,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
         check_permission: Callable[[], None],
         on_position: Callable[[Position, float], None],
         transaction_idle_seconds: float,
@@ -244,7 +244,7 @@
             try:
                 lane = await self.connections.borrow(work.session, left, work.workspace)
             except SessionTargetUnreachableError as error:
-                self.decisions.note(
+                self.decisions.record(
                     "target_unreachable", target=self.entry.target, error=str(error)
                 )
                 raise not_run(
@@ -272,7 +272,7 @@
         self, work: SessionStatement, error: SessionTargetNoReplyError
     ) -> None:
         """Take note that a connection went silent or broke."""
-        self.decisions.note(
+        self.decisions.record(
             "connection_lost", id=work.id, target=self.entry.target, error=str(error)
         )
         self.connections.drop_idle()
@@ -286,7 +286,7 @@
         :raises MemberSilent: if no answer comes.
         """
         self.check_permission()
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         sent = self.clock.monotonic()
         after = None if work.transaction else work.min_position
         query = TargetQuery(work.id, work.text, after)
@@ -405,7 +405,7 @@
         """
         lane = await self.connections.borrow("", timeout, None)
         try:
-            asked = self.clock.elapsed()
+            asked = self.clock.boottime()
             lane.state_uncertain = True
             query = TargetQuery("", self.dialect.reset())
             (reply,) = await lane.connection.exchange([query], timeout)
--- a/src/reedhook/connection/opentransactions.py
+++ b/src/reedhook/connection/opentransactions.py
@@ -3,8 +3,8 @@
 import asyncio
 from typing import Final
 
-from ..background import Background
-from ..decisions import Decisions
+from ..background import BackgroundTasks
+from ..decisions import DecisionLog
 from ..request.work import SessionStatement, SessionStatementKind
 from .lane import PooledConnection
 from .lanes import SessionConnectionPool
@@ -58,7 +58,7 @@
         connections: SessionConnectionPool,
         dialect: StatementDialect,
         idle_seconds: float,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.target = target
         self.connections = connections
@@ -66,7 +66,7 @@
         self.idle_seconds = idle_seconds
         self.decisions = decisions
         self.by_name: dict[str, SessionTargetTransaction] = {}
-        self.background = Background(decisions, target=target)
+        self.background = BackgroundTasks(decisions, target=target)
 
     def __contains__(self, name: str) -> bool:
         return name in self.by_name
@@ -107,7 +107,7 @@
 
     def abort_idle(self, transaction: SessionTargetTransaction) -> None:
         """End a transaction whose session seems to be gone."""
-        self.decisions.note(
+        self.decisions.record(
             "transaction_ended",
             transaction=transaction.name,
             target=self.target,
@@ -151,7 +151,7 @@
             query = TargetQuery("", self.dialect.rollback())
             (reply,) = await lane.connection.exchange([query], ROLLBACK_TIMEOUT_SECONDS)
         except SessionTargetNoReplyError as error:
-            self.decisions.note(
+            self.decisions.record(
                 "rollback_unanswered", target=self.target, error=str(error)
             )
             self.connections.discard(lane)
@@ -161,7 +161,7 @@
     def end_all(self, cause: str) -> None:
         """Roll all open transactions back by closing their connections."""
         for transaction in list(self.by_name.values()):
-            self.decisions.note(
+            self.decisions.record(
                 "transaction_ended",
                 transaction=transaction.name,
                 target=self.target,
--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -3,9 +3,9 @@
 import asyncio
 from typing import Final
 
-from ..background import Background
+from ..background import BackgroundTasks
 from ..clock import Clock
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..metrics import Metrics
 from ..process.announced.announcements import Announcements
 from ..record import Record
@@ -79,7 +79,8 @@
 
     :ivar workspace: whose work it is; None before its first statement.
     :ivar location: where it runs; None before its first statement.
-    :ivar elapsed_seconds: seconds that its statements have taken; its rests do not count.
+    :ivar elapsed_seconds: seconds that its statements have taken; its rests do not
+        count.
     """
 
     __slots__ = (
@@ -118,7 +119,7 @@
         announcements: Announcements,
         authorization: Authorizer,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
         metrics: Metrics,
     ) -> None:
         self.name = name
@@ -140,7 +141,7 @@
         self.begun = 0
         self.busy = False
         self.committing = False
-        self.background = Background(decisions, session=name)
+        self.background = BackgroundTasks(decisions, session=name)
 
     async def run(self, id: str, command: SessionCommand) -> SessionReply:
         """Answer one statement."""
@@ -180,7 +181,7 @@
         record = None
         if self.route is not None:
             record = self.steering.lease_registry.get(self.route.service)
-        self.decisions.note(
+        self.decisions.record(
             "failed" if failure else "slow",
             id=id,
             kind=kind,
@@ -485,7 +486,7 @@
         """End the open transaction on our own account."""
         if self.transaction is None:
             return
-        self.decisions.note(
+        self.decisions.record(
             "transaction_aborted", transaction=self.transaction.name, cause=cause
         )
         self.end_transaction()
--- a/src/reedhook/connection/target.py
+++ b/src/reedhook/connection/target.py
@@ -7,7 +7,7 @@
 from ..record import Record
 from ..request.position import Position
 from ..request.statement import Row
-from ..wire import reader
+from ..wire import wraps_decode_errors
 
 
 class Role(str, Enum):
@@ -78,7 +78,7 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: dict[str, Any]) -> "MemberState":
         """Read a state from the wire."""
         return cls(
--- a/src/reedhook/connector.py
+++ b/src/reedhook/connector.py
@@ -13,7 +13,7 @@
 from aiohttp.client_proto import ResponseHandler
 
 
-class Connector(TCPConnector):
+class SingleStepConnector(TCPConnector):
     """Open connections to IP numbers in one step.
 
     aiohttp first connects a socket and then hands it to the loop. If a timeout
@@ -51,7 +51,7 @@
             raise client_error(req.connection_key, error) from error
 
 
-def plain_session(connector: Connector) -> ClientSession:
+def create_client_session(connector: SingleStepConnector) -> ClientSession:
     """Return a client without cookies, deaf to proxies that the environment names."""
     return ClientSession(
         connector=connector, cookie_jar=DummyCookieJar(), trust_env=False
--- a/src/reedhook/decisions.py
+++ b/src/reedhook/decisions.py
@@ -7,116 +7,121 @@
 from .clock import Clock
 from .wire import encode
 
-LINES_PER_SECOND: Final = 60.0
+MAX_LINES_PER_SECOND: Final = 60.0
 """Lines that are written at most in the long run; at about 200 bytes a line
 that is 12 KB/s, and 0.1 % of a core by the 20 us that a line takes."""
 
-BURST: Final = 300.0
+BURST_LINES: Final = 300.0
 """Lines that may come at once, such as those of a failed target."""
 
-EVENT_SHARE: Final = 0.25
+PER_EVENT_FRACTION: Final = 0.25
 """Share of both that one event may use: a target that is cut off makes hundreds
 of lines a second of a few events, among which the change of primary must show."""
 
-MOST_WAITING: Final = 1000
+MAX_PENDING_LINES: Final = 1000
 """Lines that wait for a reader of the output that is slow."""
 
-STANDARD_OUTPUT: Final = 1
+STDOUT_FD: Final = 1
 
 
-class Allowance:
+class LogRateLimiter:
     """Let lines through at a rate, and some more at once.
 
     :param rate: lines a second.
     :param burst: lines at once.
     """
 
-    __slots__ = ("rate", "burst", "left", "filled_at")
+    __slots__ = ("rate", "burst", "tokens", "refilled_at")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
         self.burst = burst
-        self.left = burst
-        self.filled_at = now
+        self.tokens = burst
+        self.refilled_at = now
 
     def admits(self, now: float) -> bool:
         """Say whether another line is within the rate."""
-        earned = (now - self.filled_at) * self.rate
-        self.left = min(self.burst, self.left + earned)
-        self.filled_at = now
-        return self.left >= 1.0
+        earned = (now - self.refilled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + earned)
+        self.refilled_at = now
+        return self.tokens >= 1.0
 
 
-class Decisions:
+class DecisionLog:
     """Write lines to the standard output and never wait for its reader.
 
     Each line is a JSON object: `t` in seconds by `Clock.elapsed`, `host`,
     `event`, and what decided with its age or version.
 
     :param host: the host's id.
-    :param out: the descriptor to write to; None writes nowhere.
+    :param output_fd: the descriptor to write to; None writes nowhere.
     :ivar dropped: lines that were not written.
     """
 
     def __init__(
-        self, host: str, clock: Clock, out: int | None = STANDARD_OUTPUT
+        self, host: str, clock: Clock, output_fd: int | None = STDOUT_FD
     ) -> None:
         self.host = host
         self.clock = clock
-        self.out = out
-        self.all = Allowance(LINES_PER_SECOND, BURST, clock.monotonic())
-        self.events: dict[str, Allowance] = {}
-        self.waiting: deque[bytes] = deque()
+        self.output_fd = output_fd
+        self.total_limiter = LogRateLimiter(
+            MAX_LINES_PER_SECOND, BURST_LINES, clock.monotonic()
+        )
+        self.event_limiters: dict[str, LogRateLimiter] = {}
+        self.pending_lines: deque[bytes] = deque()
         self.dropped = 0
-        if out is not None:
-            os.set_blocking(out, False)
+        if output_fd is not None:
+            os.set_blocking(output_fd, False)
 
-    def note(self, event: str, **inputs: Any) -> None:
+    def record(self, event: str, **inputs: Any) -> None:
         """Write one line, unless too many were written of late."""
-        if self.out is None:
+        if self.output_fd is None:
             return
         if not self.admits(event):
             self.dropped += 1
             return
         line = {
-            "t": round(self.clock.elapsed(), 3),
+            "t": round(self.clock.boottime(), 3),
             "host": self.host,
             "event": event,
             **inputs,
         }
         if self.dropped:
             line["dropped"], self.dropped = self.dropped, 0
-        self.waiting.append(encode(line) + b"\n")
+        self.pending_lines.append(encode(line) + b"\n")
         self.flush()
 
     def admits(self, event: str) -> bool:
         """Say whether another line of an event is within the rates."""
         now = self.clock.monotonic()
-        own = self.events.get(event)
+        own = self.event_limiters.get(event)
         if own is None:
-            rate, burst = LINES_PER_SECOND * EVENT_SHARE, BURST * EVENT_SHARE
-            own = self.events[event] = Allowance(rate, burst, now)
-        if not self.all.admits(now) or not own.admits(now):
+            rate, burst = (
+                MAX_LINES_PER_SECOND * PER_EVENT_FRACTION,
+                BURST_LINES * PER_EVENT_FRACTION,
+            )
+            own = self.event_limiters[event] = LogRateLimiter(rate, burst, now)
+        if not self.total_limiter.admits(now) or not own.admits(now):
             return False
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.pending_lines) >= MAX_PENDING_LINES:
             return False
-        self.all.left -= 1.0
-        own.left -= 1.0
+        self.total_limiter.tokens -= 1.0
+        own.tokens -= 1.0
         return True
 
     def flush(self) -> None:
         """Write what waits, as far as the reader takes it."""
-        assert self.out is not None
-        while self.waiting:
+        assert self.output_fd is not None
+        while self.pending_lines:
             try:
-                written = os.write(self.out, self.waiting[0])
+                written = os.write(self.output_fd, self.pending_lines[0])
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads the output any more, so that nobody can be told.
-                self.waiting.clear()
+                self.pending_lines.clear()
                 return
-            line = self.waiting.popleft()
+            line = self.pending_lines.popleft()
             if written < len(line):
-                self.waiting.appendleft(line[written:])
+                self.pending_lines.appendleft(line[written:])
                 return
--- a/src/reedhook/directory.py
+++ b/src/reedhook/directory.py
@@ -6,7 +6,7 @@
 from .peer import HostRef
 
 
-class Directory(ABC):
+class HostDirectory(ABC):
     """Tell the home and the standbys of each target.
 
     The home of a target is the first live host of the target's own
--- a/src/reedhook/peer.py
+++ b/src/reedhook/peer.py
@@ -46,7 +46,7 @@
         self.sent = sent
 
 
-class Peers(ABC):
+class PeerClient(ABC):
     """Call other hosts."""
 
     @abstractmethod
--- a/src/reedhook/platform/assembly.py
+++ b/src/reedhook/platform/assembly.py
@@ -8,7 +8,7 @@
 import logbook
 
 from ..clock import Clock, SystemClock
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..peer import HostRef
 from ..process.events.timeline import Timeline
 from ..process.histograms import HistogramMetrics
@@ -22,8 +22,8 @@
 from .documents import PlatformDocuments
 from .driver import WireDriver, WirePhrases
 from .duty import PlatformPromoter
-from .entry import Front
-from .probe import Probe
+from .entry import CallerListener
+from .probe import ProbeHandler
 from .store import PlatformStore
 
 PEER_CREDENTIAL: Final = "reedhook"
@@ -31,13 +31,13 @@
 hands out no secret."""
 
 
-PROBE_BODY: Final = 1024
+PROBE_MAX_BODY_BYTES: Final = 1024
 """Bytes of a question's body; it has none."""
 
-PROBE_KEEPALIVE: Final = 75.0
+PROBE_KEEPALIVE_SECONDS: Final = 75.0
 """Seconds after which an unused connection of the platform is closed."""
 
-PROBE_GRACE: Final = 1.0
+PROBE_SHUTDOWN_GRACE_SECONDS: Final = 1.0
 """Seconds for which its connections are left open at the end."""
 
 log = logbook.Logger("daemon")
@@ -52,7 +52,7 @@
         settings: SessionHostSettings,
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
         known: float,
     ) -> None:
         self.path = path
@@ -76,10 +76,10 @@
             metrics,
         )
         endpoint = PeerEndpoint(host.routes, PEER_CREDENTIAL, timeline)
-        probe = Probe(lambda: host.ready, metrics.render)
+        probe = ProbeHandler(lambda: host.ready, metrics.render)
         super().__init__(
             host,
-            Front(host.caller_sessions, settings.callers_listen),
+            CallerListener(host.caller_sessions, settings.callers_listen),
             PeerServer(endpoint, settings.peer_listen),
             probe_server("platform", probe, settings.ready_listen),
             probe_server("metrics", probe, settings.metrics_listen),
@@ -94,18 +94,18 @@
         decisions = self.host.decisions
         try:
             settings = settings_file.load(self.path)
-        except (OSError, settings_file.SettingsFault) as error:
-            decisions.note("reload_refused", error=str(error))
+        except (OSError, settings_file.SettingsError) as error:
+            decisions.record("reload_refused", error=str(error))
             return
-        self.store.move(settings.store)
-        self.promoter.move(settings.promotions)
+        self.store.change_address(settings.store)
+        self.promoter.change_address(settings.promotions)
         self.host.apply_settings(settings)
 
     def stamp(self) -> float:
-        return stamp(self.path)
+        return modification_time(self.path)
 
 
-def stamp(path: Path) -> float:
+def modification_time(path: Path) -> float:
     """Return when a settings file last changed."""
     try:
         return os.stat(path).st_mtime
@@ -115,21 +115,26 @@
         return 0.0
 
 
-def probe_server(name: str, probe: Probe, address: str) -> PlainServer:
+def probe_server(name: str, probe: ProbeHandler, address: str) -> PlainServer:
     """Return a server of what the platform asks this process."""
     return PlainServer(
-        name, probe.answer, address, PROBE_BODY, PROBE_KEEPALIVE, PROBE_GRACE
+        name,
+        probe.answer,
+        address,
+        PROBE_MAX_BODY_BYTES,
+        PROBE_KEEPALIVE_SECONDS,
+        PROBE_SHUTDOWN_GRACE_SECONDS,
     )
 
 
-def assemble(path: Path) -> PlatformProcess:
+def create_process(path: Path) -> PlatformProcess:
     """Return the process of a host with the settings of a file.
 
     :raises OSError: if it cannot be read.
     :raises SettingsFault: if the settings are wrong.
     """
-    known = stamp(path)
+    known = modification_time(path)
     settings = settings_file.load(path)
     clock = SystemClock()
-    decisions = Decisions(settings.host, clock)
+    decisions = DecisionLog(settings.host, clock)
     return PlatformProcess(path, settings, clock, Random(), decisions, known)
--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -19,31 +19,39 @@
     sanitize_number,
     sanitize_rate,
 )
-from ..wire import Json, WireError, decode, encode, reader, text, whole
+from ..wire import (
+    Json,
+    WireError,
+    decode,
+    encode,
+    non_negative_int_field,
+    string_field,
+    wraps_decode_errors,
+)
 
 CONFIGURATION_KEY: Final = "op/config"
 TARGET_PREFIX: Final = "servers/"
 
-KINDS: Final = {
+ROUTE_KINDS: Final = {
     "primary": RouteConsistency.PRIMARY,
     "bounded_staleness": RouteConsistency.BOUNDED,
     "own_writes": RouteConsistency.OWN_WRITES,
 }
-LEAVING: Final = {"ready": False, "draining": True}
-CLAIMS_LEAD: Final = {"primary": True, "replica": False}
-MILLISECONDS: Final = 1000.0
+LEAVING_BY_STATE: Final = {"ready": False, "draining": True}
+IS_PRIMARY_BY_ROLE: Final = {"primary": True, "replica": False}
+MS_PER_SECOND: Final = 1000.0
 DEFAULT_CONNECTIONS: Final = 16
-DEFAULT_IDLE_MS: Final = 3000
+DEFAULT_TRANSACTION_IDLE_MS: Final = 3000
 DEFAULT_START_MS: Final = 3000
 DEFAULT_PRIORITY: Final = 1
 
-WORKSPACES: Final = "tenants"
-KEYS: Final = "api_keys"
-DIGESTS: Final = "key_digests"
+WORKSPACES_FIELD: Final = "tenants"
+API_KEYS_FIELD: Final = "api_keys"
+KEY_DIGESTS_FIELD: Final = "key_digests"
 """Stands in place of the keys wherever the system keeps a configuration."""
 
 
-@reader
+@wraps_decode_errors
 def read_table(value: bytes) -> RouteTable:
     """Read the operators' configuration.
 
@@ -53,25 +61,25 @@
     """
     message = decode(value)
     limits = message.get("limits", {})
-    keyed = WORKSPACES in message
+    keyed = WORKSPACES_FIELD in message
     routes = [read_route(one, keyed) for one in message["routes"]]
-    services = [read_terms(one) for one in message["services"]]
+    services = [read_service_limits(one) for one in message["services"]]
     return RouteTable(
         int(message["version"]),
         {route.database: route for route in routes if route is not None},
         {terms.service: terms for terms in services},
-        limits.get("transaction_idle_ms", DEFAULT_IDLE_MS) / MILLISECONDS,
-        limits.get("header_timeout_ms", DEFAULT_START_MS) / MILLISECONDS,
-        Workspaces(read_workspaces(message.get(WORKSPACES, []))),
+        limits.get("transaction_idle_ms", DEFAULT_TRANSACTION_IDLE_MS) / MS_PER_SECOND,
+        limits.get("header_timeout_ms", DEFAULT_START_MS) / MS_PER_SECOND,
+        Workspaces(read_workspaces(message.get(WORKSPACES_FIELD, []))),
     )
 
 
-def read_route(message: Any, keyed: bool) -> Route | None:
+def read_route(message: Any, keys_required: bool) -> Route | None:
     """Read a route; one of a kind that is not known here serves nobody.
 
-    :param keyed: whether callers need a key unless the route is public.
+    :param keys_required: whether callers need a key unless the route is public.
     """
-    kind = KINDS.get(message.get("kind", ""))
+    kind = ROUTE_KINDS.get(message.get("kind", ""))
     if kind is None:
         return None
     max_age = message.get("max_staleness_ms")
@@ -79,15 +87,15 @@
         database=message["host"],
         service=message["service"],
         kind=kind,
-        statement_timeout_seconds=message["timeout_ms"] / MILLISECONDS,
-        latency_objective_seconds=message["target_latency_ms"] / MILLISECONDS,
+        statement_timeout_seconds=message["timeout_ms"] / MS_PER_SECOND,
+        latency_objective_seconds=message["target_latency_ms"] / MS_PER_SECOND,
         priority=int(message.get("priority", 1)),
-        max_age=None if max_age is None else max_age / MILLISECONDS,
-        public=not keyed or message.get("public") is True,
+        max_age=None if max_age is None else max_age / MS_PER_SECOND,
+        public=not keys_required or message.get("public") is True,
     )
 
 
-def read_terms(message: Any) -> ServiceLimits:
+def read_service_limits(message: Any) -> ServiceLimits:
     """Read what the targets of a service bear."""
     connections = message.get("connection_limit", DEFAULT_CONNECTIONS)
     return ServiceLimits(message["name"], int(connections))
@@ -109,7 +117,7 @@
     if not isinstance(message, dict):
         return None
     name = message.get("name")
-    if not isinstance(name, str) or not is_one_word(name):
+    if not isinstance(name, str) or not is_valid_name(name):
         return None
     rate = sanitize_rate(message.get("rate_per_s"))
     burst = message.get("burst")
@@ -125,37 +133,37 @@
 
 def read_digests(message: Json) -> frozenset[str]:
     """Return the digests of the keys of a workspace, however they are stated."""
-    digests = message.get(DIGESTS)
+    digests = message.get(KEY_DIGESTS_FIELD)
     if isinstance(digests, list):
         return frozenset(one for one in digests if isinstance(one, str))
-    keys = message.get(KEYS)
+    keys = message.get(API_KEYS_FIELD)
     if not isinstance(keys, list):
         return frozenset()
-    return frozenset(key_digest(one) for one in keys if is_key(one))
+    return frozenset(key_digest(one) for one in keys if is_valid_key(one))
 
 
-def is_key(key: object) -> bool:
+def is_valid_key(key: object) -> bool:
     """Say whether callers can present it as a key."""
     return isinstance(key, str) and 0 < len(key) <= MAX_KEY_CHARACTERS
 
 
-@reader
-def without_keys(value: bytes) -> bytes:
+@wraps_decode_errors
+def replace_keys_by_digests(value: bytes) -> bytes:
     """Return a configuration with the digests of keys in their place.
 
     :raises WireError: if it is not a JSON object.
     """
     message = decode(value)
-    found = message.get(WORKSPACES)
+    found = message.get(WORKSPACES_FIELD)
     if isinstance(found, list):
         for one in found:
             if isinstance(one, dict):
-                one[DIGESTS] = sorted(read_digests(one))
-                one.pop(KEYS, None)
+                one[KEY_DIGESTS_FIELD] = sorted(read_digests(one))
+                one.pop(API_KEYS_FIELD, None)
     return encode(message)
 
 
-@reader
+@wraps_decode_errors
 def read_target(key: str, value: bytes) -> TargetAnnouncement:
     """Read what a target announces; its id is in the key only.
 
@@ -167,23 +175,23 @@
     if not key.startswith(TARGET_PREFIX):
         raise WireError(f"{key} names no target")
     message = decode(value)
-    split_address(text(message, "address"))
+    split_address(string_field(message, "address"))
     return TargetAnnouncement(
-        target=one_word(key[len(TARGET_PREFIX) :]),
-        service=one_word(text(message, "service")),
+        target=check_name(key[len(TARGET_PREFIX) :]),
+        service=check_name(string_field(message, "service")),
         address=message["address"],
-        zone=one_word(text(message, "zone")),
-        leaving=LEAVING[message["state"]],
-        claims_primary=CLAIMS_LEAD[message["database_role"]],
-        started_at_ms=read_born(message),
+        zone=check_name(string_field(message, "zone")),
+        leaving=LEAVING_BY_STATE[message["state"]],
+        claims_primary=IS_PRIMARY_BY_ROLE[message["database_role"]],
+        started_at_ms=read_start_time(message),
         slots=read_slots(message),
-        sequence=whole(message, "sequence"),
+        sequence=non_negative_int_field(message, "sequence"),
     )
 
 
-def read_born(message: Json) -> int:
+def read_start_time(message: Json) -> int:
     """Return when the process of a target started; 0 if that is not stated."""
-    return whole(message, "born") if "born" in message else 0
+    return non_negative_int_field(message, "born") if "born" in message else 0
 
 
 def read_slots(message: Json) -> int:
@@ -191,23 +199,23 @@
 
     :raises WireError: if it runs none.
     """
-    slots = whole(message, "slots")
+    slots = non_negative_int_field(message, "slots")
     if not slots:
         raise WireError("a target has at least one slot")
     return slots
 
 
-def one_word(field: str) -> str:
+def check_name(field: str) -> str:
     """Return a name that can stand on a line of the wire.
 
     :raises WireError: if it is empty, or would end there as another field.
     """
-    if not is_one_word(field):
+    if not is_valid_name(field):
         raise WireError("a name of printable characters without blanks is expected")
     return field
 
 
-def is_one_word(field: str) -> bool:
+def is_valid_name(field: str) -> bool:
     """Say whether a name can stand on a line of the wire."""
     return field.isascii() and field.isprintable() and " " not in field and bool(field)
 
@@ -225,7 +233,7 @@
         return key[len(TARGET_PREFIX) :]
 
     def without_keys(self, value: bytes) -> bytes:
-        return without_keys(value)
+        return replace_keys_by_digests(value)
 
     def read_table(self, value: bytes) -> RouteTable:
         return read_table(value)
--- a/src/reedhook/platform/driver.py
+++ b/src/reedhook/platform/driver.py
@@ -21,27 +21,30 @@
 from ..request.position import ORIGIN, Position
 from ..version.registry import TargetAnnouncement
 from . import text
-from .line import LineError, LineReader, encoded
+from .line import LineError, LineReader, encode_line
 
 STATUS_FIELDS: Final = 7
-REFUSALS: Final = {"OVERLOADED": SessionTargetFullError, "MISROUTED": WrongTargetError}
+REFUSAL_ERRORS: Final = {
+    "OVERLOADED": SessionTargetFullError,
+    "MISROUTED": WrongTargetError,
+}
 
 
 class WireConnection(asyncio.Protocol, SessionTargetConnection):
     """Speak to one target, several queries in one go."""
 
     def __init__(self) -> None:
-        self.lost = False
+        self.closed = False
         self.initial_position: Position | None = None
         self.reader = LineReader()
         self.transport: asyncio.Transport | None = None
         self.replies: list[SessionTargetReply] = []
-        self.expected = 0
-        self.waiting: asyncio.Future[None] | None = None
+        self.expected_replies = 0
+        self.exchange_done: asyncio.Future[None] | None = None
         self.refusal = ""
-        self.clear()
+        self.reset_reply()
 
-    def clear(self) -> None:
+    def reset_reply(self) -> None:
         """Forget what was received of the reply in progress."""
         self.rows: list[str] = []
         self.signature = ""
@@ -56,7 +59,7 @@
         """Read replies; called by the loop."""
         try:
             for line in self.reader.feed(data):
-                self.read(line)
+                self.parse_line(line)
         except (LineError, ValueError):
             # An answer that cannot be read leaves the exchange in doubt; the
             # waiting exchange reports it.
@@ -64,10 +67,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Let the exchange in progress fail; called by the loop."""
-        self.lost = True
+        self.closed = True
         self.wake()
 
-    def read(self, line: str) -> None:
+    def parse_line(self, line: str) -> None:
         """Take one line over into the reply in progress.
 
         :raises ValueError: if it has no known form.
@@ -83,11 +86,11 @@
             state, _, position = rest.partition(" ")
             if state not in text.STATES:
                 raise ValueError(f"unknown state {state!r}")
-            self.finish(text.STATES[state], text.read_position(position))
+            self.complete_reply(text.STATES[state], text.read_position(position))
         else:
             raise ValueError(f"unknown word {word!r}")
 
-    def finish(self, state: SessionState, position: Position | None) -> None:
+    def complete_reply(self, state: SessionState, position: Position | None) -> None:
         """Complete the reply in progress."""
         fault = StatementFault.NONE
         if self.code:
@@ -96,35 +99,38 @@
             self.rows, self.signature, fault, self.detail, state, position
         )
         self.refusal = self.code
-        self.clear()
+        self.reset_reply()
         self.replies.append(reply)
-        if len(self.replies) >= self.expected:
+        if len(self.replies) >= self.expected_replies:
             self.wake()
 
     def wake(self) -> None:
         """Let who waits for replies look at them."""
-        if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_result(None)
+        if self.exchange_done is not None and not self.exchange_done.done():
+            self.exchange_done.set_result(None)
 
     async def exchange(
         self, queries: list[TargetQuery], timeout: float
     ) -> list[SessionTargetReply]:
-        lines = [encoded("QUERY", one.id or text.NONE, worded(one)) for one in queries]
+        lines = [
+            encode_line("QUERY", one.id or text.NONE, query_text(one))
+            for one in queries
+        ]
         return await self.send(b"".join(lines), len(queries), timeout)
 
     async def send(
         self, data: bytes, count: int, timeout: float
     ) -> list[SessionTargetReply]:
         """Send bytes and return `count` replies; raises as `exchange`."""
-        if self.lost or self.transport is None:
+        if self.closed or self.transport is None:
             raise SessionTargetNoReplyError("the connection has ended")
         self.replies = []
-        self.expected = count
-        self.waiting = asyncio.get_running_loop().create_future()
+        self.expected_replies = count
+        self.exchange_done = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         try:
             async with asyncio.timeout(timeout):
-                await self.waiting
+                await self.exchange_done
         except TimeoutError:
             self.close()
             raise SessionTargetNoReplyError("no answer in time") from None
@@ -143,8 +149,8 @@
         return read_status(reply.rows[0])
 
     def close(self) -> None:
-        self.lost = True
-        if self.waiting is not None and len(self.replies) < self.expected:
+        self.closed = True
+        if self.exchange_done is not None and len(self.replies) < self.expected_replies:
             reset_transport(self.transport)
         elif self.transport is not None:
             self.transport.abort()
@@ -170,20 +176,20 @@
             async with asyncio.timeout(timeout):
                 await loop.create_connection(lambda: connection, host, int(port))
                 caller = workspace or self.host
-                start = encoded("START", entry.service, caller, entry.target)
+                start = encode_line("START", entry.service, caller, entry.target)
                 (opened,) = await connection.send(start, 1, timeout)
                 connection.initial_position = opened.position
         except (TimeoutError, OSError, SessionTargetNoReplyError) as error:
             connection.close()
             # A refusal of the start is an error without a state, then a close.
-            kind = REFUSALS.get(connection.code, SessionTargetUnreachableError)
+            kind = REFUSAL_ERRORS.get(connection.code, SessionTargetUnreachableError)
             raise kind(f"{entry.target}: {connection.code or error}") from error
         except asyncio.CancelledError:
             connection.close()
             raise
         if connection.refusal:
             connection.close()
-            kind = REFUSALS.get(connection.refusal, SessionTargetUnreachableError)
+            kind = REFUSAL_ERRORS.get(connection.refusal, SessionTargetUnreachableError)
             raise kind(f"{entry.target}: {connection.refusal}")
         return connection
 
@@ -207,7 +213,7 @@
         return text.demote(term)
 
 
-def worded(query: TargetQuery) -> str:
+def query_text(query: TargetQuery) -> str:
     """Return the text of a query with what its position demands."""
     if query.min_position is None:
         return query.text
--- a/src/reedhook/platform/duty.py
+++ b/src/reedhook/platform/duty.py
@@ -10,11 +10,11 @@
 from ..process.lead.duty import OrderOutcome, Promoter
 from ..wire import encode
 
-PATH: Final = "promotion"
-HOLDER: Final = "Duty-Holder"
-TOKEN: Final = "Fencing-Token"
+PROMOTION_PATH: Final = "promotion"
+HOLDER_HEADER: Final = "Duty-Holder"
+FENCING_TOKEN_HEADER: Final = "Fencing-Token"
 JSON_TYPE: Final = "application/json"
-OUTCOMES: Final = {200: OrderOutcome.DONE, 409: OrderOutcome.NOT_RUNNING}
+OUTCOME_BY_STATUS: Final = {200: OrderOutcome.DONE, 409: OrderOutcome.NOT_RUNNING}
 
 
 class PlatformPromoter(Promoter):
@@ -23,7 +23,7 @@
     def __init__(self, address: str) -> None:
         self.address = address
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Go on at another address."""
         self.address = address
 
@@ -32,14 +32,18 @@
     ) -> OrderOutcome:
         # Orders are rare and must not meet a connection that went silent, so
         # that each has one of its own.
-        headers = {HOLDER: holder, TOKEN: str(token), "Content-Type": JSON_TYPE}
+        headers = {
+            HOLDER_HEADER: holder,
+            FENCING_TOKEN_HEADER: str(token),
+            "Content-Type": JSON_TYPE,
+        }
         body = encode({"service": service, "id": target})
         try:
             channel = await open_channel(self.address, timeout, headers)
             try:
-                answer = await channel.exchange(PATH, body, timeout)
+                answer = await channel.exchange(PROMOTION_PATH, body, timeout)
             finally:
                 channel.close()
         except (ChannelClosedError, ResponseIncompleteError):
             return OrderOutcome.UNANSWERED
-        return OUTCOMES.get(answer.status, OrderOutcome.UNANSWERED)
+        return OUTCOME_BY_STATUS.get(answer.status, OrderOutcome.UNANSWERED)
--- a/src/reedhook/platform/entry.py
+++ b/src/reedhook/platform/entry.py
@@ -12,22 +12,22 @@
 from ..request.refusal import RefusalError, RefusalReason
 from ..request.verdict import Verdict
 from . import text
-from .line import ENCODING, LineError, LineReader, encoded
+from .line import ENCODING, LineError, LineReader, encode_line
 
-MOST_QUEUED: Final = 32
+MAX_QUEUED_STATEMENTS: Final = 32
 """Statements that may wait in a session before its connection is read on; a
 caller waits for its answers, so that more are a mistake of its."""
 
 BACKLOG: Final = 512
 """New connections that may wait to be accepted, such as after a restart."""
 
-IDLE_GRACE: Final = 0.03
+IDLE_GRACE_SECONDS: Final = 0.03
 """Seconds of rest before a session is closed as the host ends: a statement that
 was sent just then is likely to have arrived."""
 
-IN_DOUBT: Final = "INDOUBT"
-NOT_RUN: Final = "BUSY"
-REASONS: Final = {
+IN_DOUBT_CODE: Final = "INDOUBT"
+NOT_RUN_CODE: Final = "BUSY"
+REASON_CODES: Final = {
     RefusalReason.BAD_REQUEST: "MALFORMED",
     RefusalReason.UNKNOWN_NAME: "UNKNOWN",
     RefusalReason.UNKNOWN_GROUP: "NODATABASE",
@@ -40,26 +40,26 @@
 }
 
 
-class FrontConnection(asyncio.Protocol, CallerConnection):
+class CallerProtocol(asyncio.Protocol, CallerConnection):
     """Serve one caller, one statement after the other."""
 
     def __init__(self, callers: CallerSessions) -> None:
         self.callers = callers
         self.reader = LineReader()
         self.lines: deque[str] = deque()
-        self.arrived = asyncio.Event()
+        self.input_event = asyncio.Event()
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
         self.session: Session | None = None
         self.serving = False
         self.ended = False
-        self.rested_at = 0.0
+        self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to serve; called by the loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.callers.connections.add(self)
-        self.rested_at = self.callers.clock.monotonic()
+        self.idle_since = self.callers.clock.monotonic()
         self.task = asyncio.get_running_loop().create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
@@ -70,22 +70,22 @@
             self.lines.extend(self.reader.feed(data))
         except LineError as error:
             self.lines.append("")
-            self.callers.decisions.note("malformed_line", error=str(error))
-        self.arrived.set()
-        if len(self.lines) > MOST_QUEUED and self.transport is not None:
+            self.callers.decisions.record("malformed_line", error=str(error))
+        self.input_event.set()
+        if len(self.lines) > MAX_QUEUED_STATEMENTS and self.transport is not None:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
         """End the session as the caller does; called by the loop."""
         self.ended = True
-        self.arrived.set()
+        self.input_event.set()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the caller; called by the loop."""
         self.ended = True
         self.callers.connections.discard(self)
-        self.arrived.set()
+        self.input_event.set()
         if self.session is not None and not self.serving:
             self.session.close()
 
@@ -108,9 +108,9 @@
         while not self.lines:
             if self.ended:
                 return None
-            self.arrived.clear()
-            await self.arrived.wait()
-        if len(self.lines) == MOST_QUEUED and self.transport is not None:
+            self.input_event.clear()
+            await self.input_event.wait()
+        if len(self.lines) == MAX_QUEUED_STATEMENTS and self.transport is not None:
             self.transport.resume_reading()
         return self.lines.popleft()
 
@@ -121,19 +121,21 @@
         """
         fields = line.split(" ", 2)
         if fields[0] != "START" or len(fields) < 2 or not fields[1]:
-            self.write(encoded("ERROR", "MALFORMED", "START is expected"))
+            self.write(encode_line("ERROR", "MALFORMED", "START is expected"))
             return False
         self.serving = True
         try:
             key = read_key(fields[2]) if len(fields) > 2 else ""
             self.session = await self.callers.open_session(fields[1], key)
         except RefusalError as refusal:
-            self.write(encoded("ERROR", *worded(refusal)))
+            self.write(encode_line("ERROR", *refusal_fields(refusal)))
             return False
         finally:
             self.serving = False
-        self.write(encoded("READY", text.LETTERS[SessionState.IDLE], text.NONE))
-        self.rest()
+        self.write(
+            encode_line("READY", text.STATE_LETTERS[SessionState.IDLE], text.NONE)
+        )
+        self.mark_idle()
         return True
 
     async def answer_all(self) -> None:
@@ -146,19 +148,19 @@
             word, _, rest = line.partition(" ")
             id, _, statement = rest.partition(" ")
             if word != "QUERY" or not id or not statement:
-                self.write(encoded("ERROR", "MALFORMED", "QUERY is expected"))
+                self.write(encode_line("ERROR", "MALFORMED", "QUERY is expected"))
                 return
             self.serving = True
             reply = await self.session.run(id, text.read_command(statement))
             self.serving = False
-            self.write(written(reply))
+            self.write(encode_reply(reply))
             if reply.ends:
                 return
-            self.rest()
+            self.mark_idle()
 
-    def rest(self) -> None:
+    def mark_idle(self) -> None:
         """Note that nothing is owed now; a host that ends says good-bye."""
-        self.rested_at = self.callers.clock.monotonic()
+        self.idle_since = self.callers.clock.monotonic()
 
     def write(self, data: bytes) -> None:
         """Send bytes, unless the caller is gone."""
@@ -168,13 +170,13 @@
     def is_idle(self) -> bool:
         if self.serving or self.lines:
             return False
-        if self.callers.clock.monotonic() - self.rested_at < IDLE_GRACE:
+        if self.callers.clock.monotonic() - self.idle_since < IDLE_GRACE_SECONDS:
             return False
         return self.session is None or self.session.state is SessionState.IDLE
 
     def close(self) -> None:
         self.ended = True
-        self.arrived.set()
+        self.input_event.set()
         if self.transport is not None:
             self.transport.close()
 
@@ -186,7 +188,7 @@
             self.session.abort(cause)
 
 
-class Front:
+class CallerListener:
     """Listen for callers.
 
     :param address: ``IP:port``; port 0 takes a free one.
@@ -205,7 +207,7 @@
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: FrontConnection(self.callers), host, port, backlog=BACKLOG
+            lambda: CallerProtocol(self.callers), host, port, backlog=BACKLOG
         )
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -221,25 +223,25 @@
     return field.encode(ENCODING).decode("utf-8", "surrogateescape")
 
 
-def written(reply: SessionReply) -> bytes:
+def encode_reply(reply: SessionReply) -> bytes:
     """Return the bytes of an answer."""
-    state = encoded(
-        "READY", text.LETTERS[reply.state], text.write_position(reply.position)
+    state = encode_line(
+        "READY", text.STATE_LETTERS[reply.state], text.write_position(reply.position)
     )
     if reply.refusal is not None:
-        return encoded("ERROR", *worded(reply.refusal)) + state
+        return encode_line("ERROR", *refusal_fields(reply.refusal)) + state
     if reply.fault is not StatementFault.NONE:
-        return encoded("ERROR", text.CODES[reply.fault], reply.detail) + state
-    rows = b"".join(encoded("ROW", row) for row in reply.rows)
-    return rows + encoded("COMPLETE", reply.signature or text.NONE) + state
+        return encode_line("ERROR", text.FAULT_CODES[reply.fault], reply.detail) + state
+    rows = b"".join(encode_line("ROW", row) for row in reply.rows)
+    return rows + encode_line("COMPLETE", reply.signature or text.NONE) + state
 
 
-def worded(refusal: RefusalError) -> tuple[str, str]:
+def refusal_fields(refusal: RefusalError) -> tuple[str, str]:
     """Return the code of a refusal, and its text with when to come back."""
     detail = refusal.detail
     if refusal.retry_after_ms is not None:
         detail = f"retry_after_ms={refusal.retry_after_ms} {detail}"
     detail = detail.encode(ENCODING, "replace").decode(ENCODING)
     if refusal.verdict is Verdict.MAY_HAVE_RUN:
-        return IN_DOUBT, detail
-    return REASONS.get(refusal.reason, NOT_RUN), detail
+        return IN_DOUBT_CODE, detail
+    return REASON_CODES.get(refusal.reason, NOT_RUN_CODE), detail
--- a/src/reedhook/platform/line.py
+++ b/src/reedhook/platform/line.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterator
 from typing import Final
 
-END: Final = b"\r\n"
+LINE_END: Final = b"\r\n"
 
-MOST_BYTES: Final = 1 << 20
+MAX_LINE_BYTES: Final = 1 << 20
 """Bytes of the longest message; stated by the protocol."""
 
 ENCODING: Final = "latin-1"
@@ -37,22 +37,22 @@
         """
         data = self.rest + data if self.rest else data
         start = 0
-        while (end := data.find(END, start)) >= 0:
+        while (end := data.find(LINE_END, start)) >= 0:
             line = data[start:end]
-            start = end + len(END)
+            start = end + len(LINE_END)
             self.rest = data[start:]
-            yield checked(line)
+            yield decode_line(line)
         self.rest = data[start:]
-        if len(self.rest) > MOST_BYTES:
+        if len(self.rest) > MAX_LINE_BYTES:
             raise LineError("the line is too long")
 
 
-def checked(line: bytes) -> str:
+def decode_line(line: bytes) -> str:
     """Return the text of a line.
 
     :raises LineError: as `LineReader.feed`.
     """
-    if len(line) > MOST_BYTES:
+    if len(line) > MAX_LINE_BYTES:
         raise LineError("the line is too long")
     for one in FORBIDDEN:
         if one in line:
@@ -60,6 +60,6 @@
     return line.decode(ENCODING)
 
 
-def encoded(*fields: str) -> bytes:
+def encode_line(*fields: str) -> bytes:
     """Return the line of a word and its fields."""
-    return " ".join(fields).encode(ENCODING) + END
+    return " ".join(fields).encode(ENCODING) + LINE_END
--- a/src/reedhook/platform/probe.py
+++ b/src/reedhook/platform/probe.py
@@ -13,7 +13,7 @@
 PLAIN_TEXT: Final = "text/plain; charset=utf-8"
 
 
-class Probe:
+class ProbeHandler:
     """Answer the platform's questions about this process.
 
     :param ready: says whether callers may be sent here.
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -8,19 +8,19 @@
 from ..process.hosting_settings import SessionHostSettings
 from ..process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
 
-VARIABLE: Final = "REEDHOOK_SETTINGS"
+SETTINGS_VARIABLE: Final = "REEDHOOK_SETTINGS"
 """Environment variable with the path of the file."""
 
 COMMENT: Final = "#"
-MILLISECONDS: Final = 1000.0
+MS_PER_SECOND: Final = 1000.0
 
 DEFAULT_CORES: Final = 1.0
-DEFAULT_LINK: Final = 1000.0
+DEFAULT_LINK_MBPS: Final = 1000.0
 """Cores, and Mbit/s, of a machine whose limits the file does not state. A core is
 a share of the machine's time: `cpu_share` says how much of each of `cores`."""
 
 
-class SettingsFault(ValueError):
+class SettingsError(ValueError):
     """Say what is wrong in which line of a settings file."""
 
 
@@ -30,13 +30,13 @@
     :param named: on the command line, or None.
     :raises SettingsFault: if nobody names one.
     """
-    path = named or os.environ.get(VARIABLE)
+    path = named or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsFault(f"the variable {VARIABLE} is not set")
+        raise SettingsError(f"the variable {SETTINGS_VARIABLE} is not set")
     return Path(path)
 
 
-class Line:
+class SettingsLine:
     """Keep a value with the number of its line."""
 
     __slots__ = ("number", "value")
@@ -60,7 +60,7 @@
 
     :raises SettingsFault: as `load`.
     """
-    fields = split(text)
+    fields = parse_fields(text)
     ip = required(fields, "ip")
     first, last = ports(fields)
     return SessionHostSettings(
@@ -75,13 +75,13 @@
         grace=number(fields, "bounds.grace_s"),
         cores=optional(fields, "limits.cores", DEFAULT_CORES)
         * optional(fields, "limits.cpu_share", 1.0),
-        link_mbps=optional(fields, "limits.link_mbps", DEFAULT_LINK),
-        revoke=revoke(fields),
+        link_mbps=optional(fields, "limits.link_mbps", DEFAULT_LINK_MBPS),
+        revoke=revoke_seconds(fields),
         rates=rates(fields),
     )
 
 
-def rates(fields: dict[str, Line]) -> RateTolerance:
+def rates(fields: dict[str, SettingsLine]) -> RateTolerance:
     """Return how strictly the rates of workspaces are held."""
     return RateTolerance(
         optional(fields, "bounds.quota_window_s", DEFAULT_TOLERANCE.window),
@@ -90,15 +90,15 @@
     )
 
 
-def revoke(fields: dict[str, Line]) -> float | None:
+def revoke_seconds(fields: dict[str, SettingsLine]) -> float | None:
     """Return the seconds in which a key is taken away everywhere, if that is strict."""
     strict = fields.get("bounds.strict_revoke")
     if strict is None or strict.value != "true":
         return None
-    return number(fields, "bounds.revoke_ms") / MILLISECONDS
+    return number(fields, "bounds.revoke_ms") / MS_PER_SECOND
 
 
-def split(text: str) -> dict[str, Line]:
+def parse_fields(text: str) -> dict[str, SettingsLine]:
     """Return the fields of a file.
 
     :raises SettingsFault: for a line without a value.
@@ -109,36 +109,36 @@
             continue
         name, separator, value = line.partition("=")
         if not separator:
-            raise SettingsFault(f"line {number}: expected name=value")
-        fields[name.strip()] = Line(number, value.strip())
+            raise SettingsError(f"line {number}: expected name=value")
+        fields[name.strip()] = SettingsLine(number, value.strip())
     return fields
 
 
-def required(fields: dict[str, Line], name: str) -> str:
+def required(fields: dict[str, SettingsLine], name: str) -> str:
     """Return a value.
 
     :raises SettingsFault: if it is missing or empty.
     """
     line = fields.get(name)
     if line is None:
-        raise SettingsFault(f"the field {name} is missing")
+        raise SettingsError(f"the field {name} is missing")
     if not line.value:
-        raise SettingsFault(f"line {line.number}: {name} is empty")
+        raise SettingsError(f"line {line.number}: {name} is empty")
     return line.value
 
 
-def address(fields: dict[str, Line], name: str) -> str:
+def address(fields: dict[str, SettingsLine], name: str) -> str:
     """Return an ``IP:port``; raises as `required`."""
     value = required(fields, name)
     try:
         split_address(value)
     except ValueError as error:
         number = fields[name].number
-        raise SettingsFault(f"line {number}: {name}: {error}") from None
+        raise SettingsError(f"line {number}: {name}: {error}") from None
     return value
 
 
-def number(fields: dict[str, Line], name: str) -> float:
+def number(fields: dict[str, SettingsLine], name: str) -> float:
     """Return a number above 0; raises as `required`."""
     value = required(fields, name)
     try:
@@ -147,21 +147,21 @@
         found = 0.0
     if found <= 0.0:
         line = fields[name].number
-        raise SettingsFault(f"line {line}: {name} is to be a number above 0")
+        raise SettingsError(f"line {line}: {name} is to be a number above 0")
     return found
 
 
-def optional(fields: dict[str, Line], name: str, default: float) -> float:
+def optional(fields: dict[str, SettingsLine], name: str, default: float) -> float:
     """Return a number above 0, or `default` for a field that is not there."""
     return number(fields, name) if name in fields else default
 
 
-def ports(fields: dict[str, Line]) -> tuple[int, int]:
+def ports(fields: dict[str, SettingsLine]) -> tuple[int, int]:
     """Return the first and the last port for the system's own use."""
     name = "internal_ports"
     value = required(fields, name)
     first, _, last = value.partition(",")
     if not (first.isdigit() and last.isdigit()) or int(first) >= int(last):
         line = fields[name].number
-        raise SettingsFault(f"line {line}: {name} is to be two ports in order")
+        raise SettingsError(f"line {line}: {name} is to be two ports in order")
     return int(first), int(last)
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -40,7 +40,7 @@
 
 MILLISECONDS: Final = 1000
 
-PATIENCE: Final = 1.0
+MAX_SILENCE_SECONDS: Final = 1.0
 """Seconds of silence after which an answer that has begun to arrive is given up; a
 configuration of 250 KB takes 2.7 s over a link of 1 Mbit/s, and begun anew it would
 cross the same link twice."""
@@ -53,17 +53,17 @@
         self.clock = clock
         self.link = ChannelPool(address, JSON_HEADERS)
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Go on at another address."""
         if address != self.link.address:
             self.link.retire()
             self.link = ChannelPool(address, JSON_HEADERS)
 
     async def get(self, key: str, timeout: float) -> Item | None:
-        answer = await self.ask("GET", KEY, {"key": key}, None, timeout)
+        answer = await self.request("GET", KEY, {"key": key}, None, timeout)
         if answer.status == ABSENT:
             return None
-        return read_item(accepted(answer))
+        return read_item(require_ok(answer))
 
     async def list(self, prefix: str, timeout: float) -> Items:
         items: list[Item] = []
@@ -71,7 +71,7 @@
         at = None
         arrival = 0.0
         while True:
-            answer = await self.ask("GET", RANGE, query, None, timeout)
+            answer = await self.request("GET", RANGE, query, None, timeout)
             page = read_items(answer, "items")
             at = page.revision if at is None else at
             items += page.items
@@ -91,7 +91,7 @@
             "wait_ms": str(int(hold * MILLISECONDS)),
         }
         timeout = hold + margin
-        answer = await self.ask("GET", WATCH, query, None, timeout)
+        answer = await self.request("GET", WATCH, query, None, timeout)
         if answer.status == GONE:
             raise HistoryCompactedError(f"changes after {after} are gone")
         return read_items(answer, "events")
@@ -109,35 +109,35 @@
             conditions = [{"key": key, "revision": expected}]
         write = {"key": key, "value": b64encode(value).decode(), "lease": lease}
         body: Json = {"expect": conditions, "writes": [write], "deletes": []}
-        answer = await self.ask("POST", CHANGE, {}, body, timeout)
+        answer = await self.request("POST", CHANGE, {}, body, timeout)
         if answer.status == CONFLICT:
             raise RevisionConflictError(f"{key} is not at revision {expected}")
         if answer.status == ABSENT:
             raise StoreLeaseExpiredError(f"there is no lease {lease}")
-        return int(accepted(answer)["revision"])
+        return int(require_ok(answer)["revision"])
 
     async def grant_lease(self, seconds: float, timeout: float) -> int:
         body: Json = {"ttl_ms": int(seconds * MILLISECONDS)}
-        answer = await self.ask("POST", LEASE, {}, body, timeout)
-        return int(accepted(answer)["lease"])
+        answer = await self.request("POST", LEASE, {}, body, timeout)
+        return int(require_ok(answer)["lease"])
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        answer = await self.ask("POST", f"{KEEP}{lease}", {}, None, timeout)
+        answer = await self.request("POST", f"{KEEP}{lease}", {}, None, timeout)
         if answer.status == ABSENT:
             raise StoreLeaseExpiredError(f"there is no lease {lease}")
-        accepted(answer)
+        require_ok(answer)
 
     async def revoke_lease(self, lease: int, timeout: float) -> None:
         path = f"{LEASE_END}{lease}"
-        answer = await self.ask("DELETE", path, {}, None, timeout)
+        answer = await self.request("DELETE", path, {}, None, timeout)
         if answer.status != ABSENT:
-            accepted(answer)
+            require_ok(answer)
 
     async def close(self) -> None:
         self.link.retire()
         self.link.abort_exchanges()
 
-    async def ask(
+    async def request(
         self,
         method: str,
         path: str,
@@ -154,7 +154,12 @@
             path = f"{path}?{urlencode(query)}"
         try:
             answer = await self.link.exchange(
-                path, raw, timeout, self.clock, method=method, progress_timeout=PATIENCE
+                path,
+                raw,
+                timeout,
+                self.clock,
+                method=method,
+                progress_timeout=MAX_SILENCE_SECONDS,
             )
         except (ChannelClosedError, ResponseIncompleteError) as error:
             # What lost track of one connection may have lost them all.
@@ -187,7 +192,7 @@
         return {"error": str(error)}
 
 
-def accepted(answer: StoreAnswer) -> Json:
+def require_ok(answer: StoreAnswer) -> Json:
     """Return the message of a call that was done.
 
     :raises Declined: otherwise.
@@ -202,7 +207,7 @@
 
     :raises Declined: if it was not done or has another form.
     """
-    message = accepted(answer)
+    message = require_ok(answer)
     try:
         items = [read_item(one) for one in message[name]]
         return Items(items, int(message["at"]), answer.arrival)
--- a/src/reedhook/platform/text.py
+++ b/src/reedhook/platform/text.py
@@ -16,20 +16,20 @@
 RESET: Final = "RESET"
 STATUS: Final = "STATUS"
 
-WHOLE: Final = {
+FIELDLESS_COMMANDS: Final = {
     BEGIN: SessionCommandKind.BEGIN,
     BEGIN_READ: SessionCommandKind.BEGIN_READ,
     "COMMIT": SessionCommandKind.COMMIT,
     ROLLBACK: SessionCommandKind.ROLLBACK,
 }
-LETTERS: Final = {
+STATE_LETTERS: Final = {
     SessionState.IDLE: "I",
     SessionState.OPEN: "T",
     SessionState.FAILED: "E",
 }
-STATES: Final = {letter: state for state, letter in LETTERS.items()}
+STATES: Final = {letter: state for state, letter in STATE_LETTERS.items()}
 
-CODES: Final = {
+FAULT_CODES: Final = {
     StatementFault.BUSY: "BUSY",
     StatementFault.UNKNOWN_NAME: "UNKNOWN",
     StatementFault.LAGGING: "LAGGING",
@@ -41,14 +41,14 @@
 }
 """Codes of targets' errors."""
 
-FAULTS: Final = {code: fault for fault, code in CODES.items()}
+FAULTS: Final = {code: fault for fault, code in FAULT_CODES.items()}
 
-SHAPES: Final = {"READ": False, "WRITE": True}
+IS_WRITE_BY_WORD: Final = {"READ": False, "WRITE": True}
 
 
 def read_command(text: str) -> SessionCommand:
     """Return what `text` asks for; what is unknown is `MALFORMED`."""
-    whole = WHOLE.get(text)
+    whole = FIELDLESS_COMMANDS.get(text)
     if whole is not None:
         return SessionCommand(whole, text)
     word, _, rest = text.partition(" ")
@@ -69,9 +69,9 @@
         return SessionCommand(SessionCommandKind.EXECUTE, text, fields[0])
     if word == "SET" and count >= 2:
         return SessionCommand(SessionCommandKind.SET, text, fields[0])
-    if word == "PREPARE" and count >= 3 and fields[1] in SHAPES:
+    if word == "PREPARE" and count >= 3 and fields[1] in IS_WRITE_BY_WORD:
         return SessionCommand(
-            SessionCommandKind.PREPARE, text, fields[0], SHAPES[fields[1]]
+            SessionCommandKind.PREPARE, text, fields[0], IS_WRITE_BY_WORD[fields[1]]
         )
     if word == "DEALLOCATE" and count == 1:
         return SessionCommand(SessionCommandKind.DEALLOCATE, text, fields[0])
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -14,9 +14,9 @@
 from ...version.catalog import Group
 from ...wire import Json, WireError, decode
 from ..events.timeline_filter import EventFilter
-from .admin_fleet import Fleet
-from .admin_operator import Operators
-from .admin_query import bad, kinds, require_known, whole_number
+from .admin_fleet import FleetQueries
+from .admin_operator import OperatorAuthenticator
+from .admin_query import bad_request_refusal, kinds, require_known, whole_number
 from .admin_source import AdminSource
 from .admin_status import group_json
 
@@ -37,7 +37,11 @@
     __slots__ = ("source", "fleet", "operators", "limit")
 
     def __init__(
-        self, source: AdminSource, fleet: Fleet, operators: Operators, limit: int
+        self,
+        source: AdminSource,
+        fleet: FleetQueries,
+        operators: OperatorAuthenticator,
+        limit: int,
     ) -> None:
         self.source = source
         self.fleet = fleet
@@ -108,7 +112,7 @@
         body = await self.body(request)
         host = body.get("host", self.source.me.host)
         if not isinstance(host, str) or set(body) - {"host"}:
-            raise bad("the body is {} or names a host as a text")
+            raise bad_request_refusal("the body is {} or names a host as a text")
         log.notice("{} drains {}.", request[OPERATOR], host)
         await self.fleet.drain(host)
         return respond(202, {"verdict": Verdict.DONE.value, "host": host})
@@ -124,7 +128,7 @@
         try:
             return decode(raw)
         except WireError as error:
-            raise bad(f"the body is {error}") from error
+            raise bad_request_refusal(f"the body is {error}") from error
 
     def all_groups(self) -> dict[str, Group]:
         """Return the groups by name.
@@ -186,7 +190,7 @@
         return respond_refused(refusal)
     except web.HTTPException as error:
         detail = f"{request.method} {request.path}: {error.reason}"
-        return respond(error.status, bad(detail).to_json())
+        return respond(error.status, bad_request_refusal(detail).to_json())
     except Exception:
         log.exception("A request of an operator failed.")
         detail = "this host failed; its log says more"
@@ -195,7 +199,7 @@
 
 
 def authentication(
-    operators: Operators,
+    operators: OperatorAuthenticator,
 ) -> Callable[..., Awaitable[web.StreamResponse]]:
     """Return a middleware that lets only operators pass."""
 
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -13,7 +13,7 @@
 from ...wire import Json, WireError
 from ..configuring.editor import ConfigurationEditor
 from .admin import OPERATOR, Admin
-from .admin_query import bad, needed_number, require_known, whole_number
+from .admin_query import bad_request_refusal, needed_number, require_known, whole_number
 
 INVALID_STATUS: Final = 422
 DEFAULT_HISTORY: Final = 20
@@ -85,7 +85,9 @@
         operator = request[OPERATOR]
         parent = body.get("parent")
         if type(parent) is not int or parent < 0:
-            raise bad("parent must be the version that was edited, 0 for none")
+            raise bad_request_refusal(
+                "parent must be the version that was edited, 0 for none"
+            )
         try:
             head = await self.editor.apply(
                 documents,
@@ -123,11 +125,11 @@
     """
     odd = ", ".join(sorted(set(body) - known))
     if odd:
-        raise bad(f"unknown field: {odd}")
+        raise bad_request_refusal(f"unknown field: {odd}")
     try:
         return ConfigurationDocuments.from_json(body)
     except WireError as error:
-        raise bad(str(error)) from error
+        raise bad_request_refusal(str(error)) from error
 
 
 def text_of(body: Json, name: str) -> str:
@@ -137,7 +139,7 @@
     """
     value = body.get(name)
     if not isinstance(value, str):
-        raise bad(f"{name} must be a text")
+        raise bad_request_refusal(f"{name} must be a text")
     return value
 
 
--- a/src/reedhook/process/administration/admin_fleet.py
+++ b/src/reedhook/process/administration/admin_fleet.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Final, TypeVar
 
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...record import Record
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError
@@ -14,33 +14,33 @@
 from .admin_source import AdminSource
 from .admin_status import HostStatus
 
-AT_ONCE: Final = 32
-TIMEOUT: Final = 2.0
-MOST_EVENTS: Final = 1000
+MAX_CONCURRENT_REQUESTS: Final = 32
+TIMEOUT_SECONDS: Final = 2.0
+MAX_EVENTS: Final = 1000
 RETRY_MS: Final = 1000
 
 T = TypeVar("T")
 
 
-class RingPart(Record):
+class HostEvents(Record):
     """Carry events of one host.
 
-    :param cut: whether there are older ones that are wanted.
+    :param truncated: whether there are older ones that are wanted.
     """
 
-    __slots__ = ("events", "cut")
+    __slots__ = ("events", "truncated")
 
-    def __init__(self, events: list[Event], cut: bool) -> None:
+    def __init__(self, events: list[Event], truncated: bool) -> None:
         self.events = events
-        self.cut = cut
+        self.truncated = truncated
 
 
-class Fleet:
+class FleetQueries:
     """Ask all hosts, a bounded number at once."""
 
     __slots__ = ("source", "peers")
 
-    def __init__(self, source: AdminSource, peers: Peers) -> None:
+    def __init__(self, source: AdminSource, peers: PeerClient) -> None:
         self.source = source
         self.peers = peers
 
@@ -57,38 +57,38 @@
     async def answer_events(self, body: Json) -> Json:
         """Answer the peer path ``events``; the body is a filter."""
         part = self.own_part(EventFilter.from_json(body))
-        return {"events": [one.to_json() for one in part.events], "cut": part.cut}
+        return {"events": [one.to_json() for one in part.events], "cut": part.truncated}
 
     async def answer_drain(self, body: Json) -> Json:
         """Answer the peer path ``drain``."""
         self.source.start_drain()
         return {"host": self.source.me.host}
 
-    def own_part(self, wanted: EventFilter) -> "RingPart":
+    def own_part(self, wanted: EventFilter) -> "HostEvents":
         """Return the newest events of this host that are wanted."""
         found = [one for one in self.source.timeline.events if wanted.accepts(one)]
-        return RingPart(found[-MOST_EVENTS:], len(found) > MOST_EVENTS)
+        return HostEvents(found[-MAX_EVENTS:], len(found) > MAX_EVENTS)
 
     async def statuses(self) -> tuple[list[HostStatus], dict[str, str]]:
         """Return the status of each host, and why it is missing of the others."""
-        answers, missing = await self.ask_all(self.status_of)
+        answers, missing = await self.query_hosts(self.status_of)
         return [self.source.status(), *answers.values()], missing
 
     async def history(self, wanted: EventFilter, everywhere: bool) -> EventHistory:
         """Return the events of this host or of all hosts in one causal order."""
-        parts: dict[str, RingPart] = {}
+        parts: dict[str, HostEvents] = {}
         missing: dict[str, str] = {}
 
-        async def part_of(peer: HostRef) -> RingPart:
+        async def part_of(peer: HostRef) -> HostEvents:
             answer = await self.call(peer, "events", wanted.to_json())
             events = [Event.from_json(one) for one in answer["events"]]
-            return RingPart(events, answer["cut"] is True)
+            return HostEvents(events, answer["cut"] is True)
 
         if everywhere:
             asked = self.asked_hosts(wanted)
-            parts, missing = await self.ask_all(part_of, asked)
+            parts, missing = await self.query_hosts(part_of, asked)
         parts[self.source.me.host] = self.own_part(wanted)
-        cut = tuple(host for host, part in parts.items() if part.cut)
+        cut = tuple(host for host, part in parts.items() if part.truncated)
         rings = [part.events for part in parts.values()]
         return EventHistory(merge(rings), missing, cut)
 
@@ -128,9 +128,9 @@
 
     async def call(self, peer: HostRef, path: str, body: Json) -> Json:
         """Call another host."""
-        return await self.peers.call(peer, path, body, TIMEOUT)
+        return await self.peers.call(peer, path, body, TIMEOUT_SECONDS)
 
-    async def ask_all(
+    async def query_hosts(
         self,
         question: Callable[[HostRef], Awaitable[T]],
         hosts: Iterable[HostRef] | None = None,
@@ -141,7 +141,7 @@
         """
         answers: dict[str, T] = {}
         missing: dict[str, str] = {}
-        places = asyncio.Semaphore(AT_ONCE)
+        places = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
         async def ask(peer: HostRef) -> None:
             async with places:
--- a/src/reedhook/process/administration/admin_operator.py
+++ b/src/reedhook/process/administration/admin_operator.py
@@ -7,7 +7,7 @@
 from ...request.refusal import RefusalReason, not_run
 
 
-class Operators:
+class OperatorAuthenticator:
     """Know the operators by the digests of their credentials.
 
     :param digests: SHA-256 hex digest of each operator's credential, by name.
--- a/src/reedhook/process/administration/admin_query.py
+++ b/src/reedhook/process/administration/admin_query.py
@@ -8,7 +8,7 @@
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ..events.timeline import EventKind
 
-HIGHEST: Final = 2**53
+MAX_NUMBER: Final = 2**53
 
 
 def require_known(request: web.Request, known: Iterable[str]) -> None:
@@ -19,7 +19,7 @@
     odd = sorted(set(request.query) - set(known))
     if odd:
         names = ", ".join(odd)
-        raise bad(f"unknown query parameter: {names}")
+        raise bad_request_refusal(f"unknown query parameter: {names}")
 
 
 def whole_number(request: web.Request, name: str) -> int | None:
@@ -30,8 +30,8 @@
     text = request.query.get(name)
     if text is None:
         return None
-    if not (text.isascii() and text.isdigit()) or len(text) > len(str(HIGHEST)):
-        raise bad(f"{name} must be a whole number")
+    if not (text.isascii() and text.isdigit()) or len(text) > len(str(MAX_NUMBER)):
+        raise bad_request_refusal(f"{name} must be a whole number")
     return int(text)
 
 
@@ -42,7 +42,7 @@
     """
     number = whole_number(request, name)
     if number is None:
-        raise bad(f"{name} is missing")
+        raise bad_request_refusal(f"{name} is missing")
     return number
 
 
@@ -58,9 +58,9 @@
         return frozenset(EventKind(name) for name in text.split(","))
     except ValueError:
         known = ", ".join(kind.value for kind in EventKind)
-        raise bad(f"kind must be of: {known}") from None
+        raise bad_request_refusal(f"kind must be of: {known}") from None
 
 
-def bad(detail: str) -> RefusalError:
+def bad_request_refusal(detail: str) -> RefusalError:
     """Return the refusal of a malformed request."""
     return not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -10,7 +10,7 @@
 from ...wire import Json, WireError
 
 
-class HostState(str, Enum):
+class HostPhase(str, Enum):
     """Name what a host does now."""
 
     STARTING = "starting"
@@ -18,7 +18,7 @@
     DRAINING = "draining"
 
 
-class Line(Record):
+class JsonRecord(Record):
     """Stand on the wire as an object with all its values."""
 
     __slots__: tuple[str, ...] = ()
@@ -28,7 +28,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class HostStatus(Line):
+class HostStatus(JsonRecord):
     """Carry what a host says of itself.
 
     :param version: the version of the configuration in force; 0 before the first.
@@ -57,7 +57,7 @@
         host: str,
         zone: str,
         address: str,
-        state: HostState,
+        state: HostPhase,
         version: int,
         in_force_ms: int | None,
         started_ms: int,
@@ -84,14 +84,14 @@
         """
         try:
             values = {name: message[name] for name in cls.__slots__}
-            values["state"] = HostState(values["state"])
+            values["state"] = HostPhase(values["state"])
             values["homes"] = tuple(values["homes"])
         except (KeyError, TypeError, ValueError) as error:
             raise WireError(f"not a status: {error}") from error
         return cls(**values)
 
 
-class KnownHost(Line):
+class KnownHost(JsonRecord):
     """Carry what this host knows of another.
 
     :param state: ``live``, ``suspected``, ``leaving``, ``dead`` or ``gone``.
--- a/src/reedhook/process/administration/hostsource.py
+++ b/src/reedhook/process/administration/hostsource.py
@@ -14,7 +14,7 @@
 from ..fleet.membership import Membership
 from ..groups.homes import LocalHomes
 from .admin_source import AdminSource
-from .admin_status import HostState, HostStatus, KnownHost
+from .admin_status import HostPhase, HostStatus, KnownHost
 
 MILLISECONDS: Final = 1000
 
@@ -46,7 +46,7 @@
         self.api = api
         self.kept_metrics = kept_metrics
         self.drain = drain
-        self.state = HostState.STARTING
+        self.state = HostPhase.STARTING
         self.started_ms = int(timeline.clock.wall() * MILLISECONDS)
 
     def now(self) -> float:
--- a/src/reedhook/process/announced/announcements.py
+++ b/src/reedhook/process/announced/announcements.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...version.registry import EMPTY_ROUTE_TABLE, RouteTable, TargetAnnouncement
 from ...wire import WireError
 from .documents import StoreValueParser
@@ -46,7 +46,7 @@
     """
 
     def __init__(
-        self, parser: StoreValueParser, clock: Clock, decisions: Decisions
+        self, parser: StoreValueParser, clock: Clock, decisions: DecisionLog
     ) -> None:
         self.parser = parser
         self.clock = clock
@@ -73,8 +73,8 @@
     def mark_store_lost(self, error: Exception) -> None:
         """Take note that the store gives no answer."""
         if self.store_reached:
-            self.lost_at = self.clock.elapsed()
-            self.decisions.note("store_lost", error=str(error))
+            self.lost_at = self.clock.boottime()
+            self.decisions.record("store_lost", error=str(error))
         self.store_reached = False
 
     @property
@@ -86,15 +86,15 @@
         """
         return (
             self.store_reached
-            or self.clock.elapsed() - self.lost_at < RELAY_GRACE_SECONDS
+            or self.clock.boottime() - self.lost_at < RELAY_GRACE_SECONDS
         )
 
     def mark_store_reached(self) -> None:
         """Take note that the store answers."""
-        now = self.clock.elapsed()
+        now = self.clock.boottime()
         if not self.store_reached:
             self.reached_since = now
-            self.decisions.note("store_reached", revision=self.mirror.revision)
+            self.decisions.record("store_reached", revision=self.mirror.revision)
         self.store_reached = True
 
     def replace(self, found: Items) -> None:
@@ -160,7 +160,7 @@
         """
         if item.key not in self.malformed:
             self.malformed.add(item.key)
-            self.decisions.note(
+            self.decisions.record(
                 "item_malformed",
                 key=item.key,
                 revision=item.revision,
@@ -189,7 +189,7 @@
         table = self.parser.read_table(value)
         if table.version <= self.table.version:
             return
-        self.decisions.note(
+        self.decisions.record(
             "configuration", version=table.version, before=self.table.version
         )
         self.table = table
@@ -209,7 +209,7 @@
         known = self.last_entry(target)
         if known is not None and entry.is_older_than(known):
             # A write that was late, of a process that ended or went on since.
-            self.decisions.note(
+            self.decisions.record(
                 "target_entry_old",
                 target=target,
                 born=entry.started_at_ms,
@@ -223,7 +223,7 @@
         if known is not None and not entry.is_incarnation(known.started_at_ms):
             self.handle_restart(known, entry)
         if entry.differs_from(before):
-            self.decisions.note(
+            self.decisions.record(
                 "target",
                 target=target,
                 service=entry.service,
@@ -239,7 +239,7 @@
         self, before: TargetAnnouncement, entry: TargetAnnouncement
     ) -> None:
         """Tell that a target has started again and holds nothing of before."""
-        self.decisions.note(
+        self.decisions.record(
             "target_reborn",
             target=entry.target,
             born=entry.started_at_ms,
@@ -253,9 +253,9 @@
         entry = self.targets.pop(target, None)
         if entry is None:
             return
-        self.decisions.note("target_gone", target=target, service=entry.service)
+        self.decisions.record("target_gone", target=target, service=entry.service)
         self.missing[target] = entry
-        self.missing_since[target] = self.clock.elapsed()
+        self.missing_since[target] = self.clock.boottime()
         self.targets_changed()
 
     def targets_changed(self) -> None:
--- a/src/reedhook/process/announced/freshness.py
+++ b/src/reedhook/process/announced/freshness.py
@@ -36,7 +36,7 @@
 
     def age(self) -> float:
         """Return for how many seconds something may have changed unnoticed."""
-        return self.clock.elapsed() - self.as_of
+        return self.clock.boottime() - self.as_of
 
     def record_proof(self, as_of: float, source: str = STORE_SOURCE) -> None:
         """Take note that all is known here that was acknowledged before a moment."""
@@ -88,5 +88,5 @@
             return
         if type(age) is not int:
             raise WireError("an age in milliseconds is expected")
-        at = min(requested_at - age / MS_PER_SECOND, self.clock.elapsed())
+        at = min(requested_at - age / MS_PER_SECOND, self.clock.boottime())
         self.record_version_proof(version, at, source)
--- a/src/reedhook/process/announced/news.py
+++ b/src/reedhook/process/announced/news.py
@@ -7,10 +7,10 @@
 from typing import Any, Final
 
 from ...clock import Clock
-from ...decisions import Decisions
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...decisions import DecisionLog
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
-from ...wire import Json, WireError, reader, whole
+from ...wire import Json, WireError, non_negative_int_field, wraps_decode_errors
 from .announcements import Announcements
 from .freshness import ConfigurationFreshness
 from .keyspace import HistoryCompactedError, Item, Items
@@ -63,9 +63,13 @@
         `after` is the revision that the asker knows, `version` its configuration,
         `hold_ms` how long the answer may wait.
         """
-        received = self.clock.elapsed()
-        after, version = whole(body, "after"), whole(body, "version")
-        hold = min(whole(body, "hold_ms") / MS_PER_SECOND, MAX_HOLD_SECONDS)
+        received = self.clock.boottime()
+        after, version = non_negative_int_field(body, "after"), non_negative_int_field(
+            body, "version"
+        )
+        hold = min(
+            non_negative_int_field(body, "hold_ms") / MS_PER_SECOND, MAX_HOLD_SECONDS
+        )
         try:
             async with asyncio.timeout(hold):
                 while not self.has_updates(after, version):
@@ -92,7 +96,7 @@
         try:
             items = known.mirror.changes(after)
         except HistoryCompactedError as error:
-            known.decisions.note("news_in_full", after=after, cause=str(error))
+            known.decisions.record("news_in_full", after=after, cause=str(error))
             items = known.mirror.written(after)
             keys = list(known.mirror.items)
         return {
@@ -116,12 +120,12 @@
         self,
         me: HostRef,
         relays: Callable[[], list[HostRef]],
-        peers: Peers,
+        peers: PeerClient,
         announcements: Announcements,
         on_version: Callable[[HostRef, int], None],
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
         freshness: ConfigurationFreshness,
     ) -> None:
         self.freshness = freshness
@@ -145,13 +149,13 @@
             "version": self.announcements.table.version,
             "hold_ms": int(HOLD_SECONDS * MS_PER_SECOND),
         }
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             answer = await self.peers.call(
                 relay, UPDATES_PATH, body, HOLD_SECONDS + HOLD_MARGIN_SECONDS
             )
             reached = self.apply_response(relay, answer)
-            version = whole(answer, "version")
+            version = non_negative_int_field(answer, "version")
             self.freshness.read_age(answer, version, asked, relay.host)
         except (PeerError, RefusalError, WireError) as error:
             self.avoid(relay, str(error))
@@ -181,7 +185,7 @@
         """Ask a host for nothing for a while, not as long as others do."""
         pause = AVOID_SECONDS * self.random.uniform(0.5, 1.0)
         self.avoided[relay.host] = self.clock.monotonic() + pause
-        self.decisions.note("news_unanswered", relay=relay.host, cause=cause)
+        self.decisions.record("news_unanswered", relay=relay.host, cause=cause)
 
     def apply_response(self, relay: HostRef, answer: Json) -> bool:
         """Take news over; return whether they come from the store.
@@ -192,7 +196,7 @@
         keys = answer.get("keys")
         if isinstance(keys, list):
             self.announcements.keep_only(set(keys))
-        version = whole(answer, "version")
+        version = non_negative_int_field(answer, "version")
         if version > self.announcements.table.version:
             self.on_version(relay, version)
         if answer.get("reached") is not True:
@@ -207,7 +211,7 @@
     return [item.key, item.revision, value]
 
 
-@reader
+@wraps_decode_errors
 def decode_items(message: Json) -> Items:
     """Read items from another host.
 
@@ -217,4 +221,4 @@
     for key, revision, value in message["items"]:
         raw = None if value is None else b64decode(value, validate=True)
         items.append(Item(str(key), raw, int(revision)))
-    return Items(items, whole(message, "at"))
+    return Items(items, non_negative_int_field(message, "at"))
--- a/src/reedhook/process/announced/proving.py
+++ b/src/reedhook/process/announced/proving.py
@@ -95,7 +95,7 @@
         """Say whether the last answer may still become a proof worth waiting for."""
         if self.awaited is None:
             return False
-        return self.clock.elapsed() - self.awaited[1] < QUERY_AGE_SECONDS
+        return self.clock.boottime() - self.awaited[1] < QUERY_AGE_SECONDS
 
     def limit(self) -> float:
         """Return the age at which to ask next."""
@@ -117,11 +117,11 @@
 
     async def query_store(self) -> bool:
         """Ask for the store's revision; return whether there was an answer."""
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             found = await self.keyspace.list(EMPTY_PREFIX, RESPONSE_TIMEOUT_SECONDS)
         except KeyValueStoreError as error:
-            self.announcements.decisions.note(
+            self.announcements.decisions.record(
                 "age_unproved",
                 age=round(min(self.freshness.age(), 1e6), 3),
                 error=str(error),
--- a/src/reedhook/process/announced/registration.py
+++ b/src/reedhook/process/announced/registration.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...peer import HostRef
 from ...wire import WireError, decode, encode
 from .announcements import HOSTS_KEY_PREFIX, Announcements
@@ -42,7 +42,7 @@
         announcements: Announcements,
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.capacity = capacity
@@ -67,7 +67,7 @@
                 self.lease = None
                 pause = 0.0
             except KeyValueStoreError as error:
-                self.decisions.note("registration_unanswered", error=str(error))
+                self.decisions.record("registration_unanswered", error=str(error))
                 pause = RETRY_SECONDS
             await self.clock.sleep(pause * self.random.uniform(0.8, 1.2))
 
@@ -97,7 +97,7 @@
             await self.keyspace.revoke_lease(self.lease, WITHDRAW_TIMEOUT_SECONDS)
         except KeyValueStoreError as error:
             # The lease runs out by itself.
-            self.decisions.note("registration_unanswered", error=str(error))
+            self.decisions.record("registration_unanswered", error=str(error))
 
     def handle_item(self, item: Item) -> None:
         """Take note of where a host is, or that it has gone."""
--- a/src/reedhook/process/announced/tables.py
+++ b/src/reedhook/process/announced/tables.py
@@ -5,14 +5,14 @@
 from random import Random
 from typing import Final
 
-from ...background import Background
+from ...background import BackgroundTasks
 from ...clock import Clock
-from ...decisions import Decisions
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...decisions import DecisionLog
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
 from ...version.delta import EMPTY_DIGEST, Delta, apply_delta, digest, make_delta
 from ...version.registry import RouteTable
-from ...wire import Json, WireError, text, whole
+from ...wire import Json, WireError, non_negative_int_field, string_field
 from .announcements import Announcements
 
 TABLE_PATH: Final = "table"
@@ -84,14 +84,16 @@
         this host is busy, or has nothing newer.
         """
         version = self.announcements.table.version
-        if version <= whole(body, "version"):
+        if version <= non_negative_int_field(body, "version"):
             return {"version": version}
-        known, start = text(body, "digest"), whole(body, "start")
+        known, start = string_field(body, "digest"), non_negative_int_field(
+            body, "start"
+        )
         delta = self.difference(known if known in self.kept else EMPTY_DIGEST)
         size = len(delta.packed)
         end = start + MAX_PORTION_CHARACTERS
         if size > MAX_PORTION_CHARACTERS and not self.admits(
-            text(body, "host"), end >= size
+            string_field(body, "host"), end >= size
         ):
             return {"version": version}
         portion = Delta(delta.base, delta.digest, delta.packed[start:end])
@@ -134,12 +136,12 @@
     def __init__(
         self,
         me: HostRef,
-        peers: Peers,
+        peers: PeerClient,
         announcements: Announcements,
         holders: Callable[[int], list[HostRef]],
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.peers = peers
@@ -149,7 +151,7 @@
         self.random = random
         self.decisions = decisions
         self.wanted = 0
-        self.background = Background(decisions)
+        self.background = BackgroundTasks(decisions)
         self.fetching: asyncio.Task[None] | None = None
 
     def request_version(self, peer: HostRef, version: int) -> None:
@@ -172,7 +174,7 @@
                 continue
             await self.clock.sleep(RETRY_PAUSE_SECONDS * self.random.uniform(0.5, 1.5))
             peer = self.next(peer)
-        self.decisions.note(
+        self.decisions.record(
             "configuration_not_fetched",
             version=self.wanted,
             kept=self.announcements.table.version,
@@ -194,7 +196,7 @@
             base = b"" if delta.base == EMPTY_DIGEST else value
             self.announcements.apply_table(apply_delta(delta, base))
         except (PeerError, RefusalError, WireError) as error:
-            self.decisions.note(
+            self.decisions.record(
                 "configuration_unanswered",
                 peer=peer.host,
                 version=self.wanted,
@@ -230,7 +232,7 @@
                 return None
             found = portion.digest
             packed += portion.packed
-            if len(packed) >= whole(answer, "size"):
+            if len(packed) >= non_negative_int_field(answer, "size"):
                 return Delta(portion.base, found, packed)
             if not portion.packed:
                 raise WireError("a portion is empty")
--- a/src/reedhook/process/announced/watch.py
+++ b/src/reedhook/process/announced/watch.py
@@ -92,7 +92,7 @@
                 pause = MIN_RETRY_SECONDS
                 continue
             except HistoryCompactedError as error:
-                self.announcements.decisions.note("history_gone", cause=str(error))
+                self.announcements.decisions.record("history_gone", cause=str(error))
                 self.synchronized = False
             except KeyValueStoreError as error:
                 self.announcements.mark_store_lost(error)
@@ -115,7 +115,7 @@
 
     async def read_all(self) -> None:
         """Read everything anew."""
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         found = await self.keyspace.list(ALL_KEYS_PREFIX, RESPONSE_TIMEOUT_SECONDS)
         before = self.announcements.table.version
         self.announcements.mark_store_reached()
@@ -127,7 +127,7 @@
     async def follow_store(self) -> None:
         """Wait for the next changes in the store."""
         at = self.announcements.mirror.revision
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         found = await self.keyspace.changes(
             ALL_KEYS_PREFIX, at, self.hold(), HOLD_MARGIN_SECONDS
         )
@@ -145,7 +145,7 @@
         """
         version = self.announcements.table.version
         if found.transfer_seconds > SLOW_TRANSFER_SECONDS and version > before:
-            self.announcements.decisions.note(
+            self.announcements.decisions.record(
                 "versions_skipped",
                 after=version,
                 arrival=round(found.transfer_seconds, 2),
--- a/src/reedhook/process/callers.py
+++ b/src/reedhook/process/callers.py
@@ -7,7 +7,7 @@
 
 from ..clock import Clock
 from ..connection.session import Session, unknown_database_refusal
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..metrics import Metrics
 from ..request.authorization import Authorizer
 from ..request.refusal import RefusalReason, not_run
@@ -66,7 +66,7 @@
         announcements: Announcements,
         authorization: Authorizer,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
         metrics: Metrics,
     ) -> None:
         self.incarnation = incarnation
@@ -92,7 +92,7 @@
             await self.wait_for_configuration()
         route = self.announcements.table.routes.get(database)
         if route is None:
-            self.decisions.note(
+            self.decisions.record(
                 "no_database",
                 database=database,
                 configuration=self.announcements.table.version,
@@ -152,7 +152,8 @@
         something is outstanding are closed as soon as it has ended: in the next
         round, a tenth of the callers of a zone cut off was refused for 1 s more.
 
-        :param unready_seconds: returns for how many seconds this host has not been ready,
+        :param unready_seconds: returns for how many seconds this host has not been
+            ready,
             though it goes on.
         """
         next_round = ROTATION_DELAY_SECONDS
@@ -166,7 +167,7 @@
             elif lasted >= next_round:
                 next_round = lasted + CLOSE_INTERVAL_SECONDS
                 moving = set(self.connections)
-                self.decisions.note("sessions_moved", sessions=len(moving))
+                self.decisions.record("sessions_moved", sessions=len(moving))
             moving &= self.connections
             self.close_idle(moving)
 
@@ -183,7 +184,7 @@
         """
         denied = [one for one in self.connections if one.is_access_revoked()]
         if denied:
-            self.decisions.note("keys_removed", sessions=len(denied))
+            self.decisions.record("keys_removed", sessions=len(denied))
         self.close_idle(denied)
 
     def has_requests_in_progress(self) -> bool:
--- a/src/reedhook/process/configuring/configuration.py
+++ b/src/reedhook/process/configuring/configuration.py
@@ -9,7 +9,7 @@
 
 from ...clock import Clock
 from ...metrics import Metrics
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.catalog import Catalog
 from ...version.check import validate_documents
@@ -61,7 +61,7 @@
     def __init__(
         self,
         me: HostRef,
-        peers: Peers,
+        peers: PeerClient,
         some_peers: PeerChoice,
         clock: Clock,
         chooser: random.Random,
--- a/src/reedhook/process/configuring/exchange.py
+++ b/src/reedhook/process/configuring/exchange.py
@@ -4,7 +4,7 @@
 import binascii
 from typing import Any, Final
 
-from ...peer import HostRef, Peers
+from ...peer import HostRef, PeerClient
 from ...version.edition import (
     ConfigurationSnapshot,
     PartRef,
@@ -52,7 +52,7 @@
     __slots__ = ("peers", "source", "version", "packed")
 
     def __init__(
-        self, peers: Peers, source: HostRef, edition: ConfigurationSnapshot | None
+        self, peers: PeerClient, source: HostRef, edition: ConfigurationSnapshot | None
     ) -> None:
         self.peers = peers
         self.source = source
--- a/src/reedhook/process/configuring/store_http.py
+++ b/src/reedhook/process/configuring/store_http.py
@@ -9,7 +9,7 @@
 )
 from yarl import URL
 
-from ...connector import Connector, plain_session
+from ...connector import SingleStepConnector, create_client_session
 from ...wire import Json, WireError, decode, encode
 from .store import (
     Store,
@@ -30,7 +30,7 @@
 
     def __init__(self, address: str) -> None:
         self.base = URL(f"http://{address}")
-        self.session = plain_session(Connector(limit=0))
+        self.session = create_client_session(SingleStepConnector(limit=0))
 
     async def get(self, key: str, timeout: float) -> StoreEntry | None:
         return await self.ask_entry("get", {"key": key}, timeout)
--- a/src/reedhook/process/daemon.py
+++ b/src/reedhook/process/daemon.py
@@ -70,20 +70,20 @@
 
 def run_on_platform(named: str | None, check: bool) -> int:
     """Run a host by the platform's settings file; return the exit code."""
-    from ..platform.assembly import assemble
-    from ..platform.settings import SettingsFault, load, settings_path
+    from ..platform.assembly import create_process
+    from ..platform.settings import SettingsError, load, settings_path
 
     try:
         path = settings_path(named)
         settings = load(path)
-    except (OSError, SettingsFault) as error:
+    except (OSError, SettingsError) as error:
         print(f"reedhookd: {error}", file=sys.stderr)
         return DaemonExitCode.USAGE
     if check:
         print("The settings are fine.")
         return DaemonExitCode.DONE
     with logs("warning"):
-        return serve_bare(settings, lambda _: assemble(path))
+        return serve_bare(settings, lambda _: create_process(path))
 
 
 def serve(settings: HostSettings, assemble: Assemble) -> int:
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/desk.py
@@ -7,7 +7,7 @@
 from ..clock import Clock
 from ..connection.member import RETRYABLE_FAULTS
 from ..connection.memberhome import SessionTargetHome
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..peer import PeerRoutes
 from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ..request.verdict import Verdict
@@ -18,7 +18,7 @@
     SessionStatementResult,
 )
 from ..version.registry import TargetAnnouncement
-from ..wire import Json, text
+from ..wire import Json, string_field
 from .announced.announcements import Announcements
 from .lead.leads import PrimaryLeaseManager
 from .lead.user import HomeFactory, PrimaryClient
@@ -60,7 +60,7 @@
         make_home: HomeFactory,
         allowances: WorkspaceRateLimiter,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.allowances = allowances
         self.announcements = announcements
@@ -81,18 +81,24 @@
     async def handle_work(self, body: Json) -> Json:
         """Run a statement for another host."""
         answer = await self.execute(SessionStatement.from_json(body))
-        return answer.to_json(self.clock.elapsed())
+        return answer.to_json(self.clock.boottime())
 
     async def handle_rollback(self, body: Json) -> Json:
         """Roll a transaction back for another host."""
-        self.roll_back(text(body, "service"), text(body, "target"), text(body, "name"))
+        self.roll_back(
+            string_field(body, "service"),
+            string_field(body, "target"),
+            string_field(body, "name"),
+        )
         return {}
 
     async def handle_proof(self, body: Json) -> Json:
         """Return a proof of a primary's position."""
-        now = self.clock.elapsed()
-        proof = await self.prove(text(body, "service"), now - float(body["age"]))
-        return proof.to_json(self.clock.elapsed())
+        now = self.clock.boottime()
+        proof = await self.prove(
+            string_field(body, "service"), now - float(body["age"])
+        )
+        return proof.to_json(self.clock.boottime())
 
     async def execute(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement, or return the outcome if it has run before.
--- a/src/reedhook/process/fleet/directory.py
+++ b/src/reedhook/process/fleet/directory.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ...directory import Directory
+from ...directory import HostDirectory
 from ...peer import HostRef
 from .membership_record import HostRecord
 from .membership_table import MembershipTable, RecordChange
@@ -46,7 +46,7 @@
         ]
 
 
-class MembershipDirectory(Directory):
+class MembershipDirectory(HostDirectory):
     """Derive homes from the table of known hosts.
 
     Hosts with equal tables give equal answers. Among live hosts, those with a
--- a/src/reedhook/process/fleet/greeter.py
+++ b/src/reedhook/process/fleet/greeter.py
@@ -44,7 +44,8 @@
     :param probe: exchanges a heartbeat with a host; returns whether it answered.
     :param pull: takes over differing records; returns how many were new.
     :param seeds: addresses (``IP:port``) at which other hosts may be found.
-    :param list_addresses: reads more such addresses from the platform's list, best first.
+    :param list_addresses: reads more such addresses from the platform's list, best
+        first.
     :ivar listed_addresses: addresses that the platform listed last, best first.
     :ivar joined: set once the table of another host was taken over, or once
         none answered for long enough to go on alone.
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -13,7 +13,7 @@
 import logbook
 
 from ...clock import Clock
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason
 from ...wire import Json, WireError
 from .greeter import UNKNOWN_ID, HostDiscovery
@@ -45,7 +45,7 @@
     def __init__(
         self,
         membership: Membership,
-        peers: Peers,
+        peers: PeerClient,
         clock: Clock,
         rng: random.Random,
         seeds: Iterable[str] = (),
@@ -131,7 +131,7 @@
         membership = self.membership
         timeout = self.timing.answer_timeout * self.health.timeout_factor
         started = self.clock.monotonic()
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             answer = await self.peers.call(
                 ref, "heartbeat", membership.message_to(ref.host), timeout
@@ -233,14 +233,14 @@
     async def run_maintenance(self) -> None:
         """Notice a pause of this host, expire suspicions, forget, watch."""
         before = self.clock.monotonic()
-        elapsed = self.clock.elapsed()
+        elapsed = self.clock.boottime()
         epoch = -1
         while True:
             await self.clock.sleep(self.timing.tick_interval)
             now = self.clock.monotonic()
-            if self.clock.elapsed() - elapsed > self.timing.presumed_dead_threshold:
+            if self.clock.boottime() - elapsed > self.timing.presumed_dead_threshold:
                 self.on_presumed_dead("paused")
-            elapsed = self.clock.elapsed()
+            elapsed = self.clock.boottime()
             late = now - before - self.timing.tick_interval
             if late > self.timing.pause_threshold:
                 self.resume(late, now)
--- a/src/reedhook/process/fleet/heartbeat_timing.py
+++ b/src/reedhook/process/fleet/heartbeat_timing.py
@@ -13,8 +13,10 @@
     :param probe_interval: between two questions to a random host.
     :param tick_interval: between two looks at the table.
     :param pause_threshold: a tick that comes this late means that this host was paused.
-    :param presumed_dead_threshold: after a pause as long, others may have taken this host for lost.
-    :param slow_tick_threshold: a tick that comes this late is a sign that this host is slow.
+    :param presumed_dead_threshold: after a pause as long, others may have taken this
+        host for lost.
+    :param slow_tick_threshold: a tick that comes this late is a sign that this host is
+        slow.
     :param pull_interval: between two pulls of differing records.
     :param gone_retention: how long the record of a host that left is kept.
     :param dead_retention: how long the record of a dead host is kept.
--- a/src/reedhook/process/fleet/hostlist_http.py
+++ b/src/reedhook/process/fleet/hostlist_http.py
@@ -6,7 +6,7 @@
 )
 from yarl import URL
 
-from ...connector import Connector, plain_session
+from ...connector import SingleStepConnector, create_client_session
 from ...wire import WireError, decode
 from .hostlist import (
     HostList,
@@ -22,7 +22,7 @@
 
     def __init__(self, address: str) -> None:
         self.url = URL(f"http://{address}/hosts")
-        self.session = plain_session(Connector())
+        self.session = create_client_session(SingleStepConnector())
 
     async def hosts(self, timeout: float) -> list[HostListEntry]:
         limit = ClientTimeout(total=timeout)
--- a/src/reedhook/process/fleet/listing.py
+++ b/src/reedhook/process/fleet/listing.py
@@ -7,7 +7,7 @@
 import logbook
 
 from ...clock import Clock
-from ...peer import PeerError, Peers
+from ...peer import PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...version.catalog import Catalog, Member
 from .directory import MembershipDirectory
@@ -54,7 +54,7 @@
         hostlist: HostList,
         membership: Membership,
         directory: MembershipDirectory,
-        peers: Peers,
+        peers: PeerClient,
         catalog: CatalogSource,
         clock: Clock,
         random: Random,
--- a/src/reedhook/process/groups/control.py
+++ b/src/reedhook/process/groups/control.py
@@ -14,12 +14,12 @@
     TargetNoReplyError,
     TargetRefusedError,
 )
-from ...directory import Directory
-from ...peer import HostRef, PeerError, Peers
+from ...directory import HostDirectory
+from ...peer import HostRef, PeerClient, PeerError
 from ...record import Record
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...version.catalog import Group, Member
-from ...wire import Json, reader, text
+from ...wire import Json, string_field, wraps_decode_errors
 
 MAX_CONTROL_HOSTS: Final = 2
 
@@ -68,11 +68,11 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "MemberControlRequest":
         """Read the body of the peer path ``control``."""
         return cls(
-            text(message, "member"),
+            string_field(message, "member"),
             ControlOperation(message["op"]),
             int(message["term"]),
             str(message["owner"]),
@@ -103,8 +103,8 @@
         self,
         group: Group,
         find_home: MemberHomeLookup,
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
     ) -> None:
         self.zones = {member.member_id: member.zone for member in group.members}
         self.find_home = find_home
@@ -126,7 +126,7 @@
 
 
 async def call_first_available(
-    peers: Peers, hosts: list[HostRef], path: str, body: Json, timeout: float
+    peers: PeerClient, hosts: list[HostRef], path: str, body: Json, timeout: float
 ) -> Json:
     """Return the answer of the first of `hosts` that gives one.
 
--- a/src/reedhook/process/groups/coordinator.py
+++ b/src/reedhook/process/groups/coordinator.py
@@ -10,7 +10,7 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, Role
-from ...directory import Directory
+from ...directory import HostDirectory
 from ...metrics import Metrics
 from ...record import Record
 from ...request.refusal import RefusalError
@@ -76,7 +76,8 @@
 class GroupPromotionCoordinator:
     """Carry out changes of primary for one group, one at a time.
 
-    :ivar majority_unreachable: whether the last survey reached no majority of the members.
+    :ivar majority_unreachable: whether the last survey reached no majority of the
+        members.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         group_state: GroupState,
         controller: MemberController,
         homes: Callable[[], Iterable[Home]],
-        directory: Directory,
+        directory: HostDirectory,
         clock: Clock,
         random: Random,
         timeline: Timeline,
--- a/src/reedhook/process/groups/executor.py
+++ b/src/reedhook/process/groups/executor.py
@@ -69,7 +69,8 @@
     """Execute statements at members whose home is here.
 
     :param find_home: gives the local home of a member, or None.
-    :param find_transaction_home: gives the home that holds the transaction of a statement, or
+    :param find_transaction_home: gives the home that holds the transaction of a
+        statement, or
         refuses it; it may be a former one, where the transaction may still end.
     :param find_manager: gives the keeper of a group, or None.
     :param host: this host.
--- a/src/reedhook/process/groups/group.py
+++ b/src/reedhook/process/groups/group.py
@@ -8,9 +8,9 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError
-from ...directory import Directory
+from ...directory import HostDirectory
 from ...metrics import Metrics
-from ...peer import PeerError, Peers
+from ...peer import PeerClient, PeerError
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...request.view import GroupView
@@ -56,8 +56,8 @@
         self,
         group: Group,
         homes: Callable[[], Iterable[Home]],
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         clock: Clock,
         random: Random,
         timeline: Timeline,
--- a/src/reedhook/process/groups/grouproutes.py
+++ b/src/reedhook/process/groups/grouproutes.py
@@ -6,14 +6,14 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError, TargetFactory
-from ...directory import Directory
+from ...directory import HostDirectory
 from ...peer import PeerRoutes
 from ...request.execution import StatementExecutor
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.statement import Statement
 from ...request.view import GroupViewRequest
 from ...version.catalog import Catalog, Group, Member
-from ...wire import Json, text
+from ...wire import Json, string_field
 from .control import (
     ControlOperation,
     MemberControlRequest,
@@ -45,7 +45,7 @@
         find_manager: Callable[[str], GroupManager | None],
         execution: StatementExecutor,
         factory: TargetFactory,
-        directory: Directory,
+        directory: HostDirectory,
         clock: Clock,
     ) -> None:
         self.catalog = catalog
@@ -68,7 +68,7 @@
     async def statement(self, body: Json) -> Json:
         """Execute a statement at a member whose home is here."""
         statement = Statement.from_json(body.get("statement"))
-        served = await self.execution.execute(text(body, "member"), statement)
+        served = await self.execution.execute(string_field(body, "member"), statement)
         return served.to_json(self.clock.monotonic())
 
     async def report(self, body: Json) -> Json:
@@ -79,8 +79,8 @@
 
     async def confirm(self, body: Json) -> Json:
         """Give the state that a local target has from now on."""
-        keeper = self.require_manager(text(body, "group"))
-        state = await keeper.on_confirm(text(body, "member"))
+        keeper = self.require_manager(string_field(body, "group"))
+        state = await keeper.on_confirm(string_field(body, "member"))
         return {
             "state": state.to_json(),
             "view": keeper.view.to_json(self.clock.monotonic()),
@@ -121,7 +121,7 @@
 
     async def probe(self, body: Json) -> Json:
         """Say whether a target answers, from as near as this host can look."""
-        group, member = self.find(text(body, "member"))
+        group, member = self.find(string_field(body, "member"))
         home = self.find_home(member.member_id)
         if home is not None:
             return {"alive": await is_target_alive(home), "home": True}
--- a/src/reedhook/process/groups/guard.py
+++ b/src/reedhook/process/groups/guard.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...directory import Directory
+from ...directory import HostDirectory
 from ...metrics import Metrics
 from ...peer import HostRef
 from ..events.timeline import EventKind, Timeline
@@ -39,7 +39,7 @@
         reporter: ReplicaReporter,
         prober: PrimaryProber,
         coordinator: GroupPromotionCoordinator,
-        directory: Directory,
+        directory: HostDirectory,
         clock: Clock,
         timeline: Timeline,
         metrics: Metrics,
--- a/src/reedhook/process/groups/homes.py
+++ b/src/reedhook/process/groups/homes.py
@@ -8,7 +8,7 @@
 
 from ...clock import Clock
 from ...connection.home import Home
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.statement import Statement
 from ...version.catalog import Catalog, Group, Limits, Member
@@ -83,7 +83,7 @@
         self,
         membership: Membership,
         directory: MembershipDirectory,
-        peers: Peers,
+        peers: PeerClient,
         clock: Clock,
         timeline: Timeline,
         make_home: HomeFactory,
--- a/src/reedhook/process/groups/knowledge.py
+++ b/src/reedhook/process/groups/knowledge.py
@@ -20,7 +20,8 @@
 
     :ivar view: what is passed on to other hosts.
     :ivar states: the newest state of each member seen on this host.
-    :ivar highest_promised_term: the highest term that any member is known to have promised.
+    :ivar highest_promised_term: the highest term that any member is known to have
+        promised.
     :ivar on_leader: called when a new leader becomes known.
     :ivar on_durable: called when the durable position grows.
     """
--- a/src/reedhook/process/groups/report.py
+++ b/src/reedhook/process/groups/report.py
@@ -7,12 +7,12 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError
-from ...directory import Directory
-from ...peer import HostRef, PeerError, Peers
+from ...directory import HostDirectory
+from ...peer import HostRef, PeerClient, PeerError
 from ...record import Record
 from ...request.refusal import RefusalError
 from ...request.view import GroupView
-from ...wire import Json, reader, text
+from ...wire import Json, string_field, wraps_decode_errors
 from .knowledge import GroupState
 from .sample import PrimarySample
 
@@ -60,12 +60,12 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "ReplicaReport":
         """Read the body of the peer path ``report``."""
         want = message["want"]
         return cls(
-            text(message, "group"),
+            string_field(message, "group"),
             MemberState.from_json(message["state"]),
             None if want is None else float(want),
             message["prompt"],
@@ -166,8 +166,8 @@
         self,
         group_state: GroupState,
         homes: Callable[[], Iterable[Home]],
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         clock: Clock,
         request_check: Callable[[], None],
     ) -> None:
--- a/src/reedhook/process/groups/suspicion.py
+++ b/src/reedhook/process/groups/suspicion.py
@@ -4,8 +4,8 @@
 from enum import Enum
 from typing import Final
 
-from ...directory import Directory
-from ...peer import HostRef, PeerError, Peers
+from ...directory import HostDirectory
+from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...version.catalog import Group
 from ...wire import Json
@@ -42,7 +42,9 @@
     which may reach its zone when this host cannot.
     """
 
-    def __init__(self, group: Group, directory: Directory, peers: Peers) -> None:
+    def __init__(
+        self, group: Group, directory: HostDirectory, peers: PeerClient
+    ) -> None:
         self.group = group
         self.directory = directory
         self.peers = peers
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -12,7 +12,7 @@
 from ..connection.target import TargetFactory
 from ..connection.targethome import TargetHome
 from ..metrics import Metrics
-from ..peer import HostRef, PeerRoutes, Peers
+from ..peer import HostRef, PeerClient, PeerRoutes
 from ..request.api import Api
 from ..request.choice import ReplicaSelector
 from ..request.dispatch import StatementDispatcher
@@ -20,9 +20,9 @@
 from ..request.views import GroupViewCache
 from ..version.catalog import Catalog, Group, Limits, Member
 from .administration.admin import Admin
-from .administration.admin_fleet import Fleet
-from .administration.admin_operator import Operators
-from .administration.admin_status import HostState
+from .administration.admin_fleet import FleetQueries
+from .administration.admin_operator import OperatorAuthenticator
+from .administration.admin_status import HostPhase
 from .administration.hostsource import HostSource
 from .configuring.archive import SnapshotRepository
 from .configuring.configuration import ConfigurationManager
@@ -70,7 +70,7 @@
         hostlist: HostList,
         targets: TargetFactory,
         timeline: Timeline,
-        peers: Peers,
+        peers: PeerClient,
         metrics: Metrics,
     ) -> None:
         self.settings = settings
@@ -220,11 +220,11 @@
             self.metrics,
             self.start_drain,
         )
-        self.fleet = Fleet(self.source, self.peers)
+        self.fleet = FleetQueries(self.source, self.peers)
         self.admin = Admin(
             self.source,
             self.fleet,
-            Operators(self.settings.admins),
+            OperatorAuthenticator(self.settings.admins),
             self.settings.limits.admin_body_bytes,
         )
 
@@ -252,7 +252,7 @@
         await self.relay.start()
         self.spawn(self.homes.run())
         self.spawn(self.listing.run())
-        self.source.state = HostState.SERVING
+        self.source.state = HostPhase.SERVING
 
     async def drain(self) -> None:
         """Hand the homes over, then let requests in progress end."""
@@ -266,7 +266,7 @@
         Callers are served on while the balancer learns that this host leaves.
         """
         self.timeline.record(EventKind.HOST_STOPPING, self.me.host)
-        self.source.state = HostState.DRAINING
+        self.source.state = HostPhase.DRAINING
         self.api.leaving = True
         await asyncio.gather(self.homes.drain(), self.clock.sleep(DRAIN_NOTICE_SECONDS))
         self.api.draining = True
--- a/src/reedhook/process/lead/book.py
+++ b/src/reedhook/process/lead/book.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...wire import Json, WireError
 from ..announced.announcements import Announcements
 from ..announced.keyspace import Item
@@ -15,7 +15,7 @@
     :ivar on_change: called with each record that is news.
     """
 
-    def __init__(self, announcements: Announcements, decisions: Decisions) -> None:
+    def __init__(self, announcements: Announcements, decisions: DecisionLog) -> None:
         self.records: dict[str, PrimaryLeaseRecord] = {}
         self.decisions = decisions
         self.on_change: list[Callable[[PrimaryLeaseRecord], None]] = []
@@ -28,7 +28,7 @@
         try:
             self.update(PrimaryLeaseRecord.from_item(item), "store")
         except WireError as error:
-            self.decisions.note("item_malformed", key=item.key, error=str(error))
+            self.decisions.record("item_malformed", key=item.key, error=str(error))
 
     def update(self, record: PrimaryLeaseRecord, source: str) -> bool:
         """Keep a record if it is newer; return whether it is."""
@@ -36,7 +36,7 @@
         if known is not None and known.revision >= record.revision:
             return False
         self.records[record.service] = record
-        self.decisions.note(
+        self.decisions.record(
             "lead",
             service=record.service,
             holder=record.holder.ref.host,
--- a/src/reedhook/process/lead/claim.py
+++ b/src/reedhook/process/lead/claim.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ..announced.keyspace import (
     Item,
     KeyValueStore,
@@ -35,7 +35,7 @@
         keyspace: KeyValueStore,
         registry: PrimaryLeaseRegistry,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.record = record
         self.service = record.service
@@ -57,20 +57,20 @@
 
         :returns: whether the store has answered.
         """
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             item = await self.keyspace.get(
                 lease_key(self.service), STORE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
             left = round(self.validity.expires_at - asked, 2)
-            self.decisions.note(
+            self.decisions.record(
                 "tenure_unconfirmed", service=self.service, left=left, error=str(error)
             )
             return False
         if item is None:
             # The store forgets nothing that it has acknowledged.
-            self.decisions.note("lead_record_missing", service=self.service)
+            self.decisions.record("lead_record_missing", service=self.service)
             return True
         self.found(item, asked)
         return True
@@ -90,7 +90,7 @@
         A lost answer is resolved by a look: no two of our records are equal.
         """
         key, value = lease_key(self.service), record.encoded()
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             revision = await self.keyspace.put(
                 key, value, record.revision, STORE_TIMEOUT_SECONDS
@@ -98,7 +98,7 @@
         except RevisionConflictError:
             return await self.resolve(value)
         except KeyValueStoreError as error:
-            self.decisions.note(
+            self.decisions.record(
                 "lead_not_written", service=self.service, error=str(error)
             )
             return await self.resolve(value)
@@ -113,7 +113,7 @@
                 lease_key(self.service), STORE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            self.decisions.note(
+            self.decisions.record(
                 "lead_write_unknown", service=self.service, error=str(error)
             )
             return False
--- a/src/reedhook/process/lead/deputies.py
+++ b/src/reedhook/process/lead/deputies.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Final, TypeAlias
 
-from ...background import Background
-from ...decisions import Decisions
+from ...background import BackgroundTasks
+from ...decisions import DecisionLog
 from .deputy import BackupHolder
 from .record import HostIncarnation, PrimaryLeaseRecord
 
@@ -24,14 +24,14 @@
         self,
         me: HostIncarnation,
         make_backup_holder: BackupHolderFactory,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.make_backup_holder = make_backup_holder
         self.found: dict[str, BackupHolder] = {}
         self.promised: dict[str, int] = {}
         self.closed = False
-        self.background = Background(decisions)
+        self.background = BackgroundTasks(decisions)
 
     def active_holder(self, service: str) -> BackupHolder | None:
         """Return what uses a primary in its holder's place, or None."""
--- a/src/reedhook/process/lead/deputy.py
+++ b/src/reedhook/process/lead/deputy.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ..announced.announcements import Announcements
 from .claim import LeaseClaim
 from .states import TargetStatusClient
@@ -36,7 +36,7 @@
         states: TargetStatusClient,
         make_home: HomeFactory,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         super().__init__(claim, states, make_home, clock, decisions)
         self.announcements = announcements
@@ -73,12 +73,12 @@
         if not same or self.draining:
             self.active = False
             return
-        self.decisions.note(
+        self.decisions.record(
             "deputy_acts",
             service=self.service,
             holder=self.record.holder.ref.host,
             revision=self.record.revision,
-            left=round(self.validity.expires_at - self.clock.elapsed(), 2),
+            left=round(self.validity.expires_at - self.clock.boottime(), 2),
         )
         self.use_primary(entry, status)
 
@@ -86,7 +86,7 @@
         """Leave the primary to its holder, who is back."""
         if not self.active:
             return
-        self.decisions.note("deputy_rests", service=self.service)
+        self.decisions.record("deputy_rests", service=self.service)
         self.ready.clear()
         home, self.home = self.home, None
         if home is not None:
@@ -95,4 +95,4 @@
         self.active = False
 
     def log_released(self) -> None:
-        self.decisions.note("deputy_dismissed", service=self.service)
+        self.decisions.record("deputy_dismissed", service=self.service)
--- a/src/reedhook/process/lead/duty.py
+++ b/src/reedhook/process/lead/duty.py
@@ -6,10 +6,10 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
-from ...peer import PeerError, PeerRoutes, Peers
+from ...decisions import DecisionLog
+from ...peer import PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
-from ...wire import Json, WireError, decode, encode, text
+from ...wire import Json, WireError, decode, encode, string_field
 from ..announced.keyspace import Item, KeyValueStore, KeyValueStoreError
 from ..fleet.membership_record import MembershipState
 from ..fleet.membership_table import MembershipTable
@@ -69,10 +69,10 @@
         me: HostIncarnation,
         keyspace: KeyValueStore,
         promoter: Promoter,
-        peers: Peers,
+        peers: PeerClient,
         table: MembershipTable,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.keyspace = keyspace
@@ -96,7 +96,9 @@
 
         :raises Refusal: if this host does not have the duty.
         """
-        outcome = await self.order_here(text(body, "service"), text(body, "target"))
+        outcome = await self.order_here(
+            string_field(body, "service"), string_field(body, "target")
+        )
         if outcome is None:
             raise not_run(RefusalReason.WRONG_HOME, "this host does not have the duty")
         return {"outcome": outcome.value}
@@ -107,13 +109,13 @@
         The duty stays where it is while its holder lives: holders that take
         turns would send fencing tokens in the wrong order.
         """
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             item = await self.keyspace.get(
                 PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            self.decisions.note("duty_unknown", error=str(error))
+            self.decisions.record("duty_unknown", error=str(error))
             return OrderOutcome.UNANSWERED
         holder = None if item is None else read_holder(item)
         if holder == self.me and item is not None:
@@ -163,19 +165,19 @@
             cause = refusal.detail
         except (PeerError, LookupError, ValueError) as error:
             cause = str(error)
-        self.decisions.note("duty_unreachable", holder=holder.ref.host, error=cause)
+        self.decisions.record("duty_unreachable", holder=holder.ref.host, error=cause)
         return None
 
     async def order_here(self, service: str, target: str) -> OrderOutcome | None:
         """Order as the holder; None if this host is not the holder."""
         async with self.lock:
-            asked = self.clock.elapsed()
+            asked = self.clock.boottime()
             try:
                 item = await self.keyspace.get(
                     PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
                 )
             except KeyValueStoreError as error:
-                self.decisions.note("duty_unknown", error=str(error))
+                self.decisions.record("duty_unknown", error=str(error))
                 return OrderOutcome.UNANSWERED
             if item is None or read_holder(item) != self.me:
                 return None
@@ -188,8 +190,8 @@
 
         :param read_at: when the question that found it was sent.
         """
-        wait = self.not_before - self.clock.elapsed()
-        if wait > 0.0 or self.clock.elapsed() - read_at > MAX_READ_AGE_SECONDS:
+        wait = self.not_before - self.clock.boottime()
+        if wait > 0.0 or self.clock.boottime() - read_at > MAX_READ_AGE_SECONDS:
             await self.clock.sleep(max(wait, 0.0))
             return OrderOutcome.UNANSWERED
         return await self.send(service, target, item.revision)
@@ -200,7 +202,7 @@
         outcome = await self.promoter.promote(
             service, target, holder, token, RESPONSE_TIMEOUT_SECONDS
         )
-        self.decisions.note(
+        self.decisions.record(
             "promotion_ordered",
             service=service,
             target=target,
@@ -223,11 +225,11 @@
                 PROMOTION_COORDINATOR_KEY, value, revision, RESPONSE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            self.decisions.note("duty_not_taken", error=str(error))
+            self.decisions.record("duty_not_taken", error=str(error))
             return False
         if before is not None and not self.gone(before):
-            self.not_before = self.clock.elapsed() + TAKEOVER_DELAY_SECONDS
-        self.decisions.note(
+            self.not_before = self.clock.boottime() + TAKEOVER_DELAY_SECONDS
+        self.decisions.record(
             "duty_taken", before=None if before is None else before.ref.host
         )
         return True
--- a/src/reedhook/process/lead/lead.py
+++ b/src/reedhook/process/lead/lead.py
@@ -13,7 +13,7 @@
     TargetQuery,
 )
 from ...connection.memberhome import SessionTargetHome
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...peer import HostRef
 from ...record import Record
 from ...request.refusal import RefusalError
@@ -109,7 +109,7 @@
         phrases: StatementDialect,
         make_home: HomeFactory,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         super().__init__(claim, states, make_home, clock, decisions)
         self.others = others
@@ -218,14 +218,14 @@
     def mark_usable(self) -> None:
         """Let statements through to the primary."""
         if not self.ready.is_set():
-            self.decisions.note(
+            self.decisions.record(
                 "primary_usable", service=self.service, primary=self.record.primary
             )
             self.ready.set()
 
     def is_gone(self, target: str) -> bool:
         """Say whether a target that announces itself no more has left."""
-        now = self.clock.elapsed()
+        now = self.clock.boottime()
         announced = self.announcements
         if (
             not announced.store_reached
@@ -267,7 +267,7 @@
             return
         witness = probe_result.reaching_host
         if witness is not None:
-            self.decisions.note(
+            self.decisions.record(
                 "primary_reached_by_other",
                 service=self.service,
                 primary=probe_result.entry.target,
@@ -424,9 +424,11 @@
         query = TargetQuery("", self.phrases.demote(self.record.term))
         try:
             (reply,) = await connection.exchange([query], STATUS_TIMEOUT_SECONDS)
-            self.decisions.note("demoted", target=entry.target, fault=reply.fault.value)
+            self.decisions.record(
+                "demoted", target=entry.target, fault=reply.fault.value
+            )
         except SessionTargetNoReplyError as error:
-            self.decisions.note(
+            self.decisions.record(
                 "demote_unanswered", target=entry.target, error=str(error)
             )
         finally:
@@ -447,6 +449,8 @@
         if better is not None and await self.indirect_prober.transfer_lease(
             self.service, better, self.others.former_expired()
         ):
-            self.decisions.note("lead_passed_on", service=self.service, to=better.host)
+            self.decisions.record(
+                "lead_passed_on", service=self.service, to=better.host
+            )
             return
         await self.others.update_backup_holder(home)
--- a/src/reedhook/process/lead/leads.py
+++ b/src/reedhook/process/lead/leads.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from typing import Final, TypeAlias
 
-from ...background import Background
+from ...background import BackgroundTasks
 from ...clock import Clock
-from ...decisions import Decisions
-from ...peer import PeerError, PeerRoutes, Peers
+from ...decisions import DecisionLog
+from ...peer import PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
-from ...wire import Json, text
+from ...wire import Json, string_field
 from ..announced.announcements import Announcements
 from ..announced.keyspace import KeyValueStore, KeyValueStoreError, StoreUnansweredError
 from ..fleet.membership_table import MembershipTable
@@ -71,10 +71,10 @@
         backup_holders: BackupHolders,
         indirect_prober: IndirectProber,
         failure_detector: HolderFailureDetector,
-        peers: Peers,
+        peers: PeerClient,
         make_lease_holder: LeaseHolderFactory,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.keyspace = keyspace
@@ -94,7 +94,7 @@
         self.holder_incarnations: dict[str, str] = {}
         self.claiming: set[str] = set()
         self.tried_at: dict[str, float] = {}
-        self.background = Background(decisions)
+        self.background = BackgroundTasks(decisions)
         self.leaving = False
         self.wake = asyncio.Event()
         registry.on_change.append(self.handle_record)
@@ -118,7 +118,7 @@
         records = body.get("records")
         if isinstance(records, dict):
             self.registry.merge(records, "peer")
-        service = text(body, "service")
+        service = string_field(body, "service")
         revision = body.get("revision")
         await self.backup_holders.relinquish(
             service, revision if isinstance(revision, int) else 0
@@ -150,7 +150,7 @@
             # Said at once: who asks goes on to the next host, or tries the
             # store anew, in place of waiting for a call that fails.
             return {"taken": False}
-        service = text(body, "service")
+        service = string_field(body, "service")
         alone = body.get("alone") is True
         return {
             "taken": await self.claim(service, requested=True, no_former_holders=alone)
@@ -253,12 +253,12 @@
         try:
             return await self.claim_at_store(service, requested, no_former_holders)
         except StoreUnansweredError as error:
-            self.decisions.note("lead_not_taken", service=service, error=str(error))
+            self.decisions.record("lead_not_taken", service=service, error=str(error))
             if not requested:
                 self.background.spawn(self.request_claim_by_others(service))
             return False
         except KeyValueStoreError as error:
-            self.decisions.note("lead_not_taken", service=service, error=str(error))
+            self.decisions.record("lead_not_taken", service=service, error=str(error))
             return False
         finally:
             self.claiming.discard(service)
@@ -277,14 +277,16 @@
                     host, CLAIM_LOST_PATH, body, CLAIM_TIMEOUT_SECONDS
                 )
             except (PeerError, RefusalError) as error:
-                self.decisions.note("take_unanswered", host=host.host, error=str(error))
+                self.decisions.record(
+                    "take_unanswered", host=host.host, error=str(error)
+                )
                 continue
             if answer.get("taken") is True:
                 return
 
     async def handle_claim_lost(self, body: Json) -> Json:
         """Take a lead over if its holder is found lost from here, too."""
-        service = text(body, "service")
+        service = string_field(body, "service")
         record = self.registry.get(service)
         if self.leaving or record is None or not self.announcements.store_reached:
             return {"taken": False}
@@ -313,7 +315,7 @@
                 record = record.claimed_by(self.me, no_former_holders)
         else:
             record = PrimaryLeaseRecord(service, self.me, None, [], True, "", 0, "", 0)
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         revision = await self.keyspace.put(
             key, record.encoded(), record.revision, STORE_TIMEOUT_SECONDS
         )
@@ -322,7 +324,7 @@
 
     def start_holding(self, record: PrimaryLeaseRecord, requested_at: float) -> None:
         """Hold a lead from now on."""
-        self.decisions.note(
+        self.decisions.record(
             "lead_taken",
             service=record.service,
             revision=record.revision,
@@ -376,7 +378,7 @@
             lead = self.held.get(service)
             alone = lead is not None and lead.others.former_expired()
             if await self.indirect_prober.transfer_lease(service, host, alone):
-                self.decisions.note("lead_passed_on", service=service, to=host.host)
+                self.decisions.record("lead_passed_on", service=service, to=host.host)
                 break
         lead = self.held.get(service)
         if lead is not None and not lead.draining:
--- a/src/reedhook/process/lead/others.py
+++ b/src/reedhook/process/lead/others.py
@@ -5,8 +5,8 @@
 
 from ...clock import Clock
 from ...connection.memberhome import SessionTargetHome
-from ...decisions import Decisions
-from ...peer import HostRef, PeerError, Peers
+from ...decisions import DecisionLog
+from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
 from .claim import LeaseClaim
 from .ranking import LeaseHolderRanking
@@ -25,7 +25,8 @@
     """Name the deputy, and have former holders and deputies stop.
 
     :ivar former_at: when somebody last became a former holder.
-    :ivar stopped_incarnations: lives of former holders that have said that they stopped.
+    :ivar stopped_incarnations: lives of former holders that have said that they
+        stopped.
     """
 
     def __init__(
@@ -33,9 +34,9 @@
         claim: LeaseClaim,
         ranking: LeaseHolderRanking,
         failure_detector: HolderFailureDetector,
-        peers: Peers,
+        peers: PeerClient,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.claim = claim
         self.service = claim.service
@@ -44,7 +45,7 @@
         self.peers = peers
         self.clock = clock
         self.decisions = decisions
-        self.former_at = clock.elapsed()
+        self.former_at = clock.boottime()
         self.stopped_incarnations: set[str] = set()
 
     async def stop_all(self) -> bool:
@@ -74,7 +75,7 @@
     def former_expired(self) -> bool:
         """Say whether the permission of each former holder has ended by itself."""
         return (
-            self.clock.elapsed() - self.former_at
+            self.clock.boottime() - self.former_at
             >= LEASE_VALIDITY_SECONDS + EXPIRY_MARGIN_SECONDS
         )
 
@@ -91,7 +92,7 @@
                 former.ref, LEASE_STATUS_PATH, body, STOP_CONFIRMATION_TIMEOUT_SECONDS
             )
         except PeerError as error:
-            self.decisions.note(
+            self.decisions.record(
                 "former_holder_silent",
                 service=self.service,
                 host=former.ref.host,
@@ -99,7 +100,7 @@
                     self.former_at
                     + LEASE_VALIDITY_SECONDS
                     + EXPIRY_MARGIN_SECONDS
-                    - self.clock.elapsed(),
+                    - self.clock.boottime(),
                     2,
                 ),
                 error=str(error),
@@ -142,7 +143,7 @@
         if backup_holder == record.backup_holder:
             return
         if await self.claim.write(record.with_backup_holder(backup_holder)):
-            self.former_at = self.clock.elapsed()
+            self.former_at = self.clock.boottime()
 
     async def forget_former(self) -> None:
         """Write down that nobody but the deputy can still use the primary."""
--- a/src/reedhook/process/lead/promotion.py
+++ b/src/reedhook/process/lead/promotion.py
@@ -5,7 +5,7 @@
 
 from ...clock import Clock
 from ...connection.member import SessionTargetStatus
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...record import Record
 from ...request.position import ORIGIN, Position
 from ...version.registry import TargetAnnouncement
@@ -49,7 +49,7 @@
         states: TargetStatusClient,
         coordinator: PromotionCoordinator,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.claim = claim
         self.service = claim.service
@@ -71,15 +71,16 @@
         Nothing is lost by a planned change: a replica holds everything first.
 
         :param planned: whether the primary still serves.
-        :param highest_position: the highest position that the primary has answered with.
+        :param highest_position: the highest position that the primary has answered
+            with.
         """
         if not await self.others.stop_all():
             return False
         successor = await self.choose_successor(old, planned, highest_position)
         if successor is None:
-            self.decisions.note("no_change", service=self.service, cause=cause)
+            self.decisions.record("no_change", service=self.service, cause=cause)
             return False
-        self.decisions.note(
+        self.decisions.record(
             "primary_change",
             service=self.service,
             cause=cause,
@@ -151,7 +152,7 @@
             self.claim.record.successor_started_at_ms
         ):
             # It holds nothing by now, and was chosen since it held the most.
-            self.decisions.note(
+            self.decisions.record(
                 "successor_reborn", target=target, born=entry.started_at_ms
             )
             await self.choose_again()
@@ -162,7 +163,7 @@
             return None
         if entry is None:
             # The order may have taken effect; another target would be wrong.
-            self.decisions.note("successor_unknown", target=target)
+            self.decisions.record("successor_unknown", target=target)
             return None
         deadline = self.clock.monotonic() + LEADING_TIMEOUT_SECONDS
         while self.clock.monotonic() < deadline and should_continue():
@@ -188,7 +189,7 @@
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> LeadingTarget:
         """Take note of the new primary; it is yet to be written down."""
-        self.decisions.note(
+        self.decisions.record(
             "primary_promoted",
             service=self.service,
             primary=entry.target,
--- a/src/reedhook/process/lead/record.py
+++ b/src/reedhook/process/lead/record.py
@@ -5,7 +5,7 @@
 from ...peer import HostRef
 from ...record import Record
 from ...version.registry import TargetAnnouncement
-from ...wire import Json, decode, encode, reader
+from ...wire import Json, decode, encode, wraps_decode_errors
 from ..announced.announcements import SYSTEM_KEY_PREFIX
 from ..announced.keyspace import Item
 
@@ -33,7 +33,7 @@
         return {"ref": self.ref.to_json(), "life": self.incarnation}
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "HostIncarnation":
         """Read a holder from the store."""
         return cls(HostRef.from_json(message["ref"]), message["life"])
@@ -48,7 +48,8 @@
     :param former_complete: whether `former` names all of them.
     :param primary: the target that leads; empty if it was never known.
     :param term: its term.
-    :param primary_started_at_ms: when its process started; see `TargetEntry`. Another process
+    :param primary_started_at_ms: when its process started; see `TargetEntry`. Another
+        process
         under its id holds nothing and is not the primary.
     :param successor: the target whose promotion was decided; it may take
         effect at any time from then on.
@@ -101,7 +102,8 @@
     ) -> "PrimaryLeaseRecord":
         """Return the record with which `holder` takes the lead over.
 
-        :param no_former_holders: whether the present holder says that no earlier one can
+        :param no_former_holders: whether the present holder says that no earlier one
+            can
             still use the primary.
         """
         former = [] if no_former_holders else list(self.former)
@@ -208,7 +210,7 @@
         return encode(self.to_json())
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(
         cls, service: str, message: Json, revision: int
     ) -> "PrimaryLeaseRecord":
--- a/src/reedhook/process/lead/tenure.py
+++ b/src/reedhook/process/lead/tenure.py
@@ -50,7 +50,7 @@
     @property
     def valid(self) -> bool:
         """Say whether the primary may be used right now."""
-        return self.clock.elapsed() < self.expires_at
+        return self.clock.boottime() < self.expires_at
 
     def check(self) -> None:
         """Raise unless the primary may be used right now.
--- a/src/reedhook/process/lead/user.py
+++ b/src/reedhook/process/lead/user.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final, Protocol
 
-from ...background import Background
+from ...background import BackgroundTasks
 from ...clock import Clock
 from ...connection.lanes import OnConnectionOpened
 from ...connection.member import (
@@ -15,7 +15,7 @@
     StatementFault,
 )
 from ...connection.memberhome import SessionTargetHome
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.work import PositionProof, SessionStatement, SessionStatementResult
@@ -62,9 +62,11 @@
     :param claim: names this host as the holder or the deputy.
     :ivar ready: set while the primary may be used as far as is known.
     :ivar home: of the primary; None before it is known.
-    :ivar highest_position: the highest position that the primary holds, as far as is known.
+    :ivar highest_position: the highest position that the primary holds, as far as is
+        known.
     :ivar highest_answered: the highest position that it has answered statements with.
-    :ivar leadership_questioned: whether something says that it leads no more; it is asked.
+    :ivar leadership_questioned: whether something says that it leads no more; it is
+        asked.
     :ivar draining: whether no new work is taken any more.
     """
 
@@ -74,7 +76,7 @@
         states: TargetStatusClient,
         make_home: HomeFactory,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.claim = claim
         self.service = claim.service
@@ -92,7 +94,7 @@
         self.probe_task: asyncio.Task[None] | None = None
         self.doubted_at = clock.monotonic()
         self.position_updated = asyncio.Event()
-        self.background = Background(decisions, service=self.service)
+        self.background = BackgroundTasks(decisions, service=self.service)
 
     @property
     def record(self) -> PrimaryLeaseRecord:
@@ -188,7 +190,7 @@
         if position is not None and position >= self.highest_answered:
             return
         self.leadership_questioned = True
-        self.decisions.note(
+        self.decisions.record(
             "primary_holds_less",
             service=self.service,
             primary=self.record.primary,
@@ -237,7 +239,7 @@
             RefusalError,
             TimeoutError,
         ) as error:
-            self.decisions.note(
+            self.decisions.record(
                 "primary_unanswered", service=self.service, error=repr(error)
             )
 
@@ -255,7 +257,7 @@
         self.highest_answered = None
         self.leadership_questioned = False
         self.highest_position = status.received
-        self.decisions.note(
+        self.decisions.record(
             "primary_in_use",
             service=self.service,
             primary=entry.target,
@@ -289,7 +291,7 @@
 
     def log_released(self) -> None:
         """Tell that the primary is used no more."""
-        self.decisions.note("lead_given_up", service=self.service)
+        self.decisions.record("lead_given_up", service=self.service)
 
     def stop(self) -> None:
         """End the tasks."""
--- a/src/reedhook/process/lead/vigil.py
+++ b/src/reedhook/process/lead/vigil.py
@@ -6,8 +6,8 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...decisions import DecisionLog
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError
 from ..fleet.membership_table import MembershipTable
@@ -45,10 +45,10 @@
         self,
         me: HostRef,
         table: MembershipTable,
-        peers: Peers,
+        peers: PeerClient,
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.table = table
@@ -108,7 +108,7 @@
         if True in answers or False not in answers:
             return
         self.lost_at[host.host] = self.clock.monotonic()
-        self.decisions.note("holder_lost", lost=host.host, witnesses=len(answers))
+        self.decisions.record("holder_lost", lost=host.host, witnesses=len(answers))
         self.on_lost()
 
     def is_lost(self, host: HostRef) -> bool:
--- a/src/reedhook/process/lead/witness.py
+++ b/src/reedhook/process/lead/witness.py
@@ -5,11 +5,11 @@
 from random import Random
 from typing import Final
 
-from ...peer import HostRef, PeerError, PeerRoutes, Peers
+from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...record import Record
 from ...request.refusal import RefusalError
 from ...version.registry import TargetAnnouncement
-from ...wire import Json, text
+from ...wire import Json, string_field
 from ..announced.announcements import Announcements
 from ..fleet.membership_table import MembershipTable
 from .states import TargetStatusClient
@@ -53,7 +53,7 @@
         self,
         me: HostRef,
         table: MembershipTable,
-        peers: Peers,
+        peers: PeerClient,
         announcements: Announcements,
         states: TargetStatusClient,
         random: Random,
@@ -71,7 +71,7 @@
 
     async def handle_probe(self, body: Json) -> Json:
         """Say whether this host reaches a target, and the store."""
-        entry = self.announcements.targets.get(text(body, "target"))
+        entry = self.announcements.targets.get(string_field(body, "target"))
         reached = entry is not None and await self.states.is_reachable(entry)
         return {"reached": reached, "stored": self.announcements.store_reached}
 
--- a/src/reedhook/process/network/heard_peers.py
+++ b/src/reedhook/process/network/heard_peers.py
@@ -1,12 +1,12 @@
 """Calls to other hosts, with a note of when hosts and zones last answered."""
 
 from ...clock import Clock
-from ...peer import HostRef, Peers
+from ...peer import HostRef, PeerClient
 from ...request.refusal import RefusalError
 from ...wire import Json
 
 
-class AnswerTrackingPeers(Peers):
+class AnswerTrackingPeers(PeerClient):
     """Pass calls on, and keep when each host and each zone last answered.
 
     :param delegate: makes the calls.
@@ -14,7 +14,7 @@
     :ivar host_answered_at: the same by host.
     """
 
-    def __init__(self, delegate: Peers, clock: Clock) -> None:
+    def __init__(self, delegate: PeerClient, clock: Clock) -> None:
         self.delegate = delegate
         self.clock = clock
         self.zone_answered_at: dict[str, float] = {}
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -7,7 +7,7 @@
 from ...connection.channel import ChannelClosedError, ResponseIncompleteError
 from ...connection.link import ChannelPool
 from ...metrics import MemoryMetrics, Metrics
-from ...peer import HostRef, PeerError, Peers
+from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
@@ -24,7 +24,7 @@
 PATH_PREFIX: Final = PREFIX.lstrip("/")
 
 
-class HttpPeers(Peers):
+class HttpPeers(PeerClient):
     """Call other hosts over kept-alive connections.
 
     Each peer has connections of its own. After a call without an answer all
--- a/src/reedhook/process/partition.py
+++ b/src/reedhook/process/partition.py
@@ -6,7 +6,7 @@
 from typing import Any, Final
 
 from ..clock import Clock
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..peer import HostRef
 from .announced.announcements import Announcements
 from .fleet.membership_table import MembershipTable
@@ -55,7 +55,7 @@
         peers: AnswerTrackingPeers,
         clock: Clock,
         random: Random,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.table = table
@@ -143,10 +143,10 @@
     def record_reachability(self, reached: bool) -> None:
         """Take note of a change."""
         if reached and self.isolated_since is not None:
-            self.decisions.note(
+            self.decisions.record(
                 "zones_reached", after=round(self.isolated_seconds(), 2)
             )
             self.isolated_since = None
         elif not reached and self.isolated_since is None:
             self.isolated_since = self.clock.monotonic()
-            self.decisions.note("cut_off", zones=sorted(self.probed_hosts))
+            self.decisions.record("cut_off", zones=sorted(self.probed_hosts))
--- a/src/reedhook/process/rates/allowance.py
+++ b/src/reedhook/process/rates/allowance.py
@@ -19,7 +19,8 @@
     :ivar demand: operations per second of late.
     :ivar waiting: operations that wait for a grant.
     :ivar owner: the host that granted last.
-    :ivar unreported: operations that others have granted since, by host that has granted
+    :ivar unreported: operations that others have granted since, by host that has
+        granted
         some before.
     :ivar request_task: the question in progress.
     """
--- a/src/reedhook/process/rates/allowances.py
+++ b/src/reedhook/process/rates/allowances.py
@@ -4,11 +4,11 @@
 import math
 from typing import Final
 
-from ...background import Background
+from ...background import BackgroundTasks
 from ...clock import Clock
-from ...decisions import Decisions
+from ...decisions import DecisionLog
 from ...metrics import Metrics
-from ...peer import HostRef, PeerError, Peers
+from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.workspace import Workspace
 from ...wire import WireError
@@ -50,10 +50,10 @@
     def __init__(
         self,
         owner: RateOwner,
-        peers: Peers,
+        peers: PeerClient,
         tolerance: RateTolerance,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
         metrics: Metrics,
     ) -> None:
         self.owner = owner
@@ -65,7 +65,7 @@
         self.metrics = metrics
         self.by_name: dict[str, OperationAllowance] = {}
         self.avoided: dict[str, float] = {}
-        self.background = Background(decisions)
+        self.background = BackgroundTasks(decisions)
 
     async def admit(self, name: str) -> None:
         """Admit one operation of a workspace.
@@ -75,7 +75,7 @@
         workspace = self.owner.workspaces().by_name.get(name)
         if workspace is None or workspace.rate is None:
             return
-        now = self.clock.elapsed()
+        now = self.clock.boottime()
         allowance = self.by_name.get(name)
         if allowance is None:
             allowance = self.by_name[name] = OperationAllowance(now)
@@ -100,14 +100,14 @@
         allowance.waiting += 1
         try:
             while True:
-                now = self.clock.elapsed()
+                now = self.clock.boottime()
                 if now < allowance.limited_until:
                     left = allowance.limited_until - now
                     if allowance.owner_unreachable:
                         raise self.unknown(workspace.name, left)
                     raise self.limited(workspace.name, left)
                 await asyncio.shield(self.start_request(workspace, rate, allowance))
-                if allowance.try_admit(self.clock.elapsed()):
+                if allowance.try_admit(self.clock.boottime()):
                     return
         finally:
             allowance.waiting -= 1
@@ -154,7 +154,7 @@
         self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> None:
         """Ask the host that counts, or the next one in rank if it is silent."""
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         unused = allowance.discard_expired(asked)
         count = max(1, allowance.waiting, int(self.expected(workspace, allowance)))
         for _ in range(MAX_TRIES):
@@ -171,7 +171,7 @@
                 continue
             self.apply_grant(workspace, rate, allowance, host, grant, asked)
             return
-        allowance.limited_until = self.clock.elapsed() + MAX_PAUSE_SECONDS
+        allowance.limited_until = self.clock.boottime() + MAX_PAUSE_SECONDS
         allowance.owner_unreachable = True
 
     def apply_grant(
@@ -184,7 +184,7 @@
         requested_at: float,
     ) -> None:
         """Use what was granted."""
-        now = self.clock.elapsed()
+        now = self.clock.boottime()
         until = requested_at + self.tolerance.grant_seconds(workspace, rate)
         allowance.add_grant(host.host, grant.count, until)
         if not grant.count:
@@ -221,7 +221,7 @@
         """Ask a host that gave no answer for nothing for a while."""
         self.avoided[host.host] = self.clock.monotonic() + AVOID_SECONDS
         self.owner.report_silent(host.host)
-        self.decisions.note(
+        self.decisions.record(
             "rate_unanswered", workspace=name, owner=host.host, error=str(error)
         )
 
--- a/src/reedhook/process/rates/owner.py
+++ b/src/reedhook/process/rates/owner.py
@@ -5,13 +5,13 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import Decisions
-from ...directory import Directory
+from ...decisions import DecisionLog
+from ...directory import HostDirectory
 from ...peer import HostRef, PeerRoutes
 from ...record import Record
 from ...request.rate import TokenBucket
 from ...version.workspace import Workspace, Workspaces
-from ...wire import Json, reader, text, whole
+from ...wire import Json, non_negative_int_field, string_field, wraps_decode_errors
 from ..announced.freshness import ConfigurationFreshness
 from .terms import RateTolerance
 
@@ -52,12 +52,12 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "GrantRequest":
         """Read a question of another host."""
-        counts = [whole(message, name) for name in cls.__slots__[1:]]
+        counts = [non_negative_int_field(message, name) for name in cls.__slots__[1:]]
         return cls(
-            text(message, "workspace"),
+            string_field(message, "workspace"),
             *(min(n, MAX_REQUESTED_OPERATIONS) for n in counts),
         )
 
@@ -80,10 +80,13 @@
         return {"count": self.count, "wait_ms": math.ceil(self.wait * MS_PER_SECOND)}
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "Grant":
         """Read a grant of another host."""
-        return cls(whole(message, "count"), whole(message, "wait_ms") / MS_PER_SECOND)
+        return cls(
+            non_negative_int_field(message, "count"),
+            non_negative_int_field(message, "wait_ms") / MS_PER_SECOND,
+        )
 
 
 class RateOwner:
@@ -101,7 +104,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: HostDirectory,
         workspaces: Callable[[], Workspaces],
         freshness: ConfigurationFreshness,
         cut_off: Callable[[], bool],
@@ -109,7 +112,7 @@
         report_silent: Callable[[str], None],
         tolerance: RateTolerance,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.directory = directory
         self.workspaces = workspaces
@@ -147,7 +150,7 @@
         workspace = self.workspaces().by_name.get(request.workspace)
         if workspace is None or workspace.rate is None or workspace.rate <= 0.0:
             return Grant(0, 1.0)
-        now = self.clock.elapsed()
+        now = self.clock.boottime()
         bucket = self.bucket(workspace, workspace.rate, now)
         bucket.deduct(request.elsewhere - request.unused)
         granted = bucket.acquire_up_to(request.count, now)
@@ -159,7 +162,7 @@
     def reset(self, cause: str) -> None:
         """Begin to count anew, since another host may have counted meanwhile."""
         if self.buckets:
-            self.decisions.note("rates_reset", cause=cause, count=len(self.buckets))
+            self.decisions.record("rates_reset", cause=cause, count=len(self.buckets))
         self.buckets.clear()
         self.restricted.clear()
 
@@ -173,11 +176,11 @@
         bucket = self.buckets.get(name)
         if bucket is None:
             bucket = self.buckets[name] = TokenBucket(allowed, burst, now, start)
-            self.decisions.note("rate_owner", workspace=name, sole=sole)
+            self.decisions.record("rate_owner", workspace=name, sole=sole)
         elif sole == (name in self.restricted):
             bucket.refill(now)
             bucket.level = min(bucket.level, start)
-            self.decisions.note("rate_owner", workspace=name, sole=sole)
+            self.decisions.record("rate_owner", workspace=name, sole=sole)
         if sole:
             self.restricted.discard(name)
         else:
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -7,13 +7,13 @@
 
 import logbook
 
-from ..background import Background
+from ..background import BackgroundTasks
 from ..clock import Clock
 from ..connection.lanes import OnConnectionOpened
 from ..connection.member import SessionTargetDriver, StatementDialect
 from ..connection.memberhome import SessionTargetHome
-from ..decisions import Decisions
-from ..peer import HostRef, PeerRoutes, Peers
+from ..decisions import DecisionLog
+from ..peer import HostRef, PeerClient, PeerRoutes
 from ..request.authorization import Authorizer
 from ..request.hop import StatementForwarder
 from ..request.position import Position
@@ -99,9 +99,9 @@
         promoter: Promoter,
         driver: SessionTargetDriver,
         phrases: StatementDialect,
-        peers: Peers,
+        peers: PeerClient,
         timeline: Timeline,
-        decisions: Decisions,
+        decisions: DecisionLog,
         metrics: HistogramMetrics,
     ) -> None:
         self.settings = settings
@@ -120,7 +120,7 @@
         )
         self.routes = PeerRoutes()
         self.leaving = False
-        self.background = Background(decisions)
+        self.background = BackgroundTasks(decisions)
         self.announcements = Announcements(documents, clock, decisions)
         self.freshness = ConfigurationFreshness(self.announcements, clock)
         self.capacities = HostCapacities(self.announcements)
@@ -433,7 +433,7 @@
 
     async def start(self) -> None:
         """Begin to learn, to announce this host and to take leads."""
-        self.decisions.note(
+        self.decisions.record(
             "start",
             zone=self.me.zone,
             life=self.holder.incarnation,
@@ -462,7 +462,7 @@
 
     async def drain(self) -> None:
         """Pass the leads on and end all sessions, within the time to stop."""
-        self.decisions.note("stop", sessions=len(self.caller_sessions.connections))
+        self.decisions.record("stop", sessions=len(self.caller_sessions.connections))
         self.leaving = True
         # The process is killed at the end of `grace`.
         deadline = self.clock.monotonic() + self.settings.grace - KILL_MARGIN_SECONDS
@@ -477,7 +477,7 @@
             self.caller_sessions.close_idle(self.caller_sessions.connections)
             await self.clock.sleep(POLL_INTERVAL_SECONDS)
         await self.registration.withdraw()
-        self.decisions.note("stopped", cut=len(self.caller_sessions.connections))
+        self.decisions.record("stopped", cut=len(self.caller_sessions.connections))
 
     async def hand_over_leases(self) -> None:
         """Have other hosts take the leads over."""
@@ -485,7 +485,7 @@
             async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
                 await self.primary_leases.transfer_all()
         except TimeoutError:
-            self.decisions.note(
+            self.decisions.record(
                 "leads_not_passed_on", left=list(self.primary_leases.held)
             )
 
@@ -511,7 +511,7 @@
 
     def apply_settings(self, settings: SessionHostSettings) -> None:
         """Take over settings that may change while the host runs."""
-        self.decisions.note(
+        self.decisions.record(
             "reload", store=settings.store, promotions=settings.promotions
         )
         self.settings = settings
@@ -529,7 +529,7 @@
 
     def state_age(self, answer: Json) -> None:
         """Say in the answer to a heartbeat how surely the version is the newest."""
-        self.freshness.add_age(answer, self.clock.elapsed())
+        self.freshness.add_age(answer, self.clock.boottime())
 
     def publish_version(self, table: RouteTable) -> None:
         """State the version in force with the heartbeats."""
--- a/src/reedhook/process/tool/command.py
+++ b/src/reedhook/process/tool/command.py
@@ -66,10 +66,10 @@
 
 from . import command_config as config, command_settings
 from .command_access import FIELDS, Access, Endpoint
-from .command_client import Client, Refused
-from .command_error import CommandError, Exit
-from .command_query import Query, query
-from .command_report import Report, Result, groups_text, hosts_text
+from .command_client import Client, RequestRefusedError
+from .command_error import CommandError, ToolExitCode
+from .command_query import StatementRequest, query
+from .command_report import Result, ResultPrinter, groups_text, hosts_text
 from .command_timeline import timeline
 
 CONFIG: Final = ("check", "apply", "show", "diff", "history", "status")
@@ -88,8 +88,8 @@
         arguments = docopt(__doc__, argv)
     except DocoptExit as error:
         print(error, file=err)
-        return Exit.USAGE
-    report = Report(out, err, arguments["--json"])
+        return ToolExitCode.USAGE
+    report = ResultPrinter(out, err, arguments["--json"])
     try:
         result = await run(arguments, environment)
     except CommandError as error:
@@ -112,11 +112,13 @@
             if arguments["config"]:
                 return await run_config(client, arguments)
             return await run_other(client, arguments)
-    except Refused as refused:
+    except RequestRefusedError as refused:
         raise refused.error() from refused
     except (KeyError, TypeError) as error:
         problem = f"a host gave an answer of another form: {error!r}"
-        raise CommandError(Exit.REFUSED, problem, "check the address") from error
+        raise CommandError(
+            ToolExitCode.REFUSED, problem, "check the address"
+        ) from error
 
 
 def access_of(arguments: dict[str, Any], environment: Mapping[str, str]) -> Access:
@@ -183,9 +185,9 @@
     )
 
 
-def query_of(arguments: dict[str, Any]) -> Query:
+def query_of(arguments: dict[str, Any]) -> StatementRequest:
     """Return the statement that the arguments state."""
-    return Query(
+    return StatementRequest(
         group=arguments["GROUP"],
         sql=arguments["SQL"],
         params=arguments["PARAM"],
@@ -208,7 +210,7 @@
         return None
     if not (text.isascii() and text.isdigit()):
         problem = f"{name} is '{text}'"
-        raise CommandError(Exit.USAGE, problem, "give a whole number")
+        raise CommandError(ToolExitCode.USAGE, problem, "give a whole number")
     return int(text)
 
 
--- a/src/reedhook/process/tool/command_access.py
+++ b/src/reedhook/process/tool/command_access.py
@@ -9,7 +9,7 @@
 
 from ...address import split_address
 from ...record import Record
-from .command_error import CommandError, Exit
+from .command_error import CommandError, ToolExitCode
 
 FILE_VARIABLE: Final = "REEDHOOK_ACCESS"
 FIELDS: Final = {
@@ -80,7 +80,7 @@
         return Endpoint(
             tuple(checked_address(addresses, one) for one in listed),
             str(self.needed(credential)),
-            None if ca is None else trust(str(ca)),
+            None if ca is None else create_tls_context(str(ca)),
         )
 
     def needed(self, name: str) -> Any:
@@ -94,7 +94,7 @@
         variable = FIELDS[name]
         problem = f"no value for '{name}'"
         advice = f"set {variable}, or '{name}' in the file given by --access"
-        raise CommandError(Exit.USAGE, problem, advice)
+        raise CommandError(ToolExitCode.USAGE, problem, advice)
 
     def value(self, name: str) -> Any:
         """Return a value, or None."""
@@ -113,11 +113,13 @@
         content = yaml.safe_load(path.read_text(encoding="utf-8")) or {}
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
         problem = f"{path} cannot be read: {error}"
-        raise CommandError(Exit.USAGE, problem, "give another --access") from error
+        raise CommandError(
+            ToolExitCode.USAGE, problem, "give another --access"
+        ) from error
     known = ", ".join(FIELDS)
     if not isinstance(content, dict) or set(content) - set(FIELDS):
         advice = f"it may hold only: {known}"
-        raise CommandError(Exit.USAGE, f"{path} has another form", advice)
+        raise CommandError(ToolExitCode.USAGE, f"{path} has another form", advice)
     return content
 
 
@@ -132,11 +134,11 @@
     except ValueError as error:
         problem = f"'{address}' in '{name}' is no address"
         advice = "give an IP number with a port, such as 10.0.0.1:18021"
-        raise CommandError(Exit.USAGE, problem, advice) from error
+        raise CommandError(ToolExitCode.USAGE, problem, advice) from error
     return address
 
 
-def trust(file: str) -> ssl.SSLContext:
+def create_tls_context(file: str) -> ssl.SSLContext:
     """Return a context that trusts the authorities in `file`.
 
     Certificates hold for hosts of a deployment and may name no IP number.
@@ -147,4 +149,4 @@
         return ssl.create_default_context(cafile=file)
     except (OSError, ssl.SSLError) as error:
         problem = f"{file} cannot be used: {error}"
-        raise CommandError(Exit.USAGE, problem, "give a PEM file") from error
+        raise CommandError(ToolExitCode.USAGE, problem, "give a PEM file") from error
--- a/src/reedhook/process/tool/command_client.py
+++ b/src/reedhook/process/tool/command_client.py
@@ -4,10 +4,10 @@
 
 import aiohttp
 
-from ...connector import Connector
+from ...connector import SingleStepConnector
 from ...wire import Json, WireError, decode, encode
 from .command_access import Endpoint
-from .command_error import CommandError, Exit, Unreachable
+from .command_error import CommandError, HostsUnreachableError, ToolExitCode
 
 TIMEOUT: Final = 30.0
 CONNECT_TIMEOUT: Final = 3.0
@@ -21,7 +21,7 @@
 NOT_SENT: Final = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """Carry a refusal of a host.
 
     :param status: the HTTP status.
@@ -44,13 +44,13 @@
             advice_for(self.body),
         )
 
-    def code(self) -> Exit:
+    def code(self) -> ToolExitCode:
         """Return the exit code."""
         if self.body.get("verdict") == "may have run":
-            return Exit.IN_DOUBT
+            return ToolExitCode.IN_DOUBT
         if self.status == CONFLICT:
-            return Exit.CONFLICT
-        return Exit.USAGE if self.status in BAD_INPUT else Exit.REFUSED
+            return ToolExitCode.CONFLICT
+        return ToolExitCode.USAGE if self.status in BAD_INPUT else ToolExitCode.REFUSED
 
 
 def advice_for(body: Json) -> str:
@@ -77,7 +77,7 @@
     async def __aenter__(self) -> "Client":
         tls = self.endpoint.tls
         self.session = aiohttp.ClientSession(
-            connector=Connector(ssl=True if tls is None else tls),
+            connector=SingleStepConnector(ssl=True if tls is None else tls),
             headers={"Authorization": f"Bearer {self.endpoint.credential}"},
             timeout=aiohttp.ClientTimeout(TIMEOUT, sock_connect=CONNECT_TIMEOUT),
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -117,7 +117,7 @@
             except (aiohttp.ClientError, OSError, WireError) as error:
                 sent = True
                 failures.append(f"{address}: {cause_of(error)}")
-        raise Unreachable("no host answers: " + "; ".join(failures), sent)
+        raise HostsUnreachableError("no host answers: " + "; ".join(failures), sent)
 
     async def exchange(
         self, method: str, url: str, params: dict[str, str], data: bytes | None
@@ -129,7 +129,7 @@
         ) as response:
             body = decode(await response.read())
             if response.status >= REDIRECTION:
-                raise Refused(response.status, body)
+                raise RequestRefusedError(response.status, body)
             return body
 
 
--- a/src/reedhook/process/tool/command_config.py
+++ b/src/reedhook/process/tool/command_config.py
@@ -6,9 +6,9 @@
 from uuid import uuid4
 
 from ...wire import Json
-from .command_client import Client, Refused
-from .command_error import CommandError, Exit, Unreachable
-from .command_folder import Folder
+from .command_client import Client, RequestRefusedError
+from .command_error import CommandError, HostsUnreachableError, ToolExitCode
+from .command_folder import ConfigurationFolder
 from .command_report import Result, history_text, moment, status_text
 
 INVALID: Final = "invalid_configuration"
@@ -16,10 +16,10 @@
 
 async def check(client: Client, folder: Path) -> Result:
     """Have a folder checked; nothing changes."""
-    documents = Folder(folder).documents()
+    documents = ConfigurationFolder(folder).documents()
     try:
         body = await client.post("/admin/config/check", documents)
-    except Refused as refused:
+    except RequestRefusedError as refused:
         raise explain(refused, "") from refused
     return Result(body, "The configuration is valid.")
 
@@ -32,19 +32,19 @@
     :param parent: the version that was edited; None takes the folder's.
     :param edit_id: of an earlier attempt whose outcome is unknown, or None.
     """
-    folder = Folder(path)
+    folder = ConfigurationFolder(path)
     known = folder.version() if parent is None else parent
     if known is None:
         problem = f"it is not known which version {path} was made of"
         advice = "give --parent N, 0 for the first, or begin by config show --output"
-        raise CommandError(Exit.USAGE, problem, advice)
+        raise CommandError(ToolExitCode.USAGE, problem, advice)
     edit_id = edit_id or uuid4().hex
     edit = {"parent": known, "comment": comment, "edit_id": edit_id}
     try:
         body = await client.post("/admin/config/apply", folder.documents() | edit)
-    except Refused as refused:
+    except RequestRefusedError as refused:
         raise explain(refused, edit_id) from refused
-    except Unreachable as error:
+    except HostsUnreachableError as error:
         advice = f"repeat it with --edit-id {edit_id}"
         raise error.in_doubt(advice) from error
     version = body["head"]["version"]
@@ -52,18 +52,20 @@
     return Result(body, f"Version {version} is accepted.")
 
 
-def explain(refused: Refused, edit_id: str) -> CommandError:
+def explain(refused: RequestRefusedError, edit_id: str) -> CommandError:
     """Return the error that the user sees, with its details."""
     body = refused.body
     if body.get("reason") == INVALID:
         faults = tuple(map(fault_line, body["faults"]))
-        return CommandError(Exit.USAGE, str(body["detail"]), "mend them", faults)
+        return CommandError(
+            ToolExitCode.USAGE, str(body["detail"]), "mend them", faults
+        )
     error = refused.error()
-    if error.code is Exit.CONFLICT and "since" in body:
+    if error.code is ToolExitCode.CONFLICT and "since" in body:
         details = tuple(map(since_line, body["since"]))
         advice = f"take version {body['version']} as the base of your edit"
         return CommandError(error.code, str(body["detail"]), advice, details)
-    if error.code is Exit.IN_DOUBT:
+    if error.code is ToolExitCode.IN_DOUBT:
         advice = f"repeat it with --edit-id {edit_id}"
         return CommandError(error.code, error.problem, advice)
     return error
@@ -97,7 +99,7 @@
     number = body["head"]["version"]
     if output is None:
         return Result(body, "\n".join(documents_lines(body)))
-    Folder(output).write(body, number, force)
+    ConfigurationFolder(output).write(body, number, force)
     return Result(body, f"Version {number} is in {output}.")
 
 
@@ -154,5 +156,5 @@
     summary = f"Version {newest} is in force everywhere."
     if late:
         summary = f"{late} host(s) are not known to have version {newest}."
-    code = Exit.REFUSED if late else Exit.DONE
+    code = ToolExitCode.REFUSED if late else ToolExitCode.DONE
     return Result(body, f"{status_text(body)}\n{summary}", code)
--- a/src/reedhook/process/tool/command_error.py
+++ b/src/reedhook/process/tool/command_error.py
@@ -3,7 +3,7 @@
 from enum import IntEnum
 
 
-class Exit(IntEnum):
+class ToolExitCode(IntEnum):
     """Name the exit codes."""
 
     DONE = 0
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        code: Exit,
+        code: ToolExitCode,
         problem: str,
         advice: str = "",
         details: tuple[str, ...] = (),
@@ -43,7 +43,7 @@
         return f"{problem}; {self.advice}" if self.advice else problem
 
 
-class Unreachable(CommandError):
+class HostsUnreachableError(CommandError):
     """Say that no host answered.
 
     :param sent: whether a host may have got the request all the same.
@@ -51,7 +51,7 @@
 
     def __init__(self, problem: str, sent: bool) -> None:
         advice = "check the addresses, or name other hosts"
-        super().__init__(Exit.UNREACHABLE, problem, advice)
+        super().__init__(ToolExitCode.UNREACHABLE, problem, advice)
         self.sent = sent
 
     def in_doubt(self, advice: str) -> CommandError:
@@ -61,4 +61,6 @@
         """
         if not self.sent:
             return self
-        return CommandError(Exit.IN_DOUBT, self.problem, f"it may have run: {advice}")
+        return CommandError(
+            ToolExitCode.IN_DOUBT, self.problem, f"it may have run: {advice}"
+        )
--- a/src/reedhook/process/tool/command_folder.py
+++ b/src/reedhook/process/tool/command_folder.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ...wire import Json
-from .command_error import CommandError, Exit
+from .command_error import CommandError, ToolExitCode
 
 BASE: Final = "base.yaml"
 OVERLAYS: Final = "overlays"
@@ -14,7 +14,7 @@
 SITE: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,127}")
 
 
-class Folder:
+class ConfigurationFolder:
     """Read and write ``base.yaml``, ``overlays/SITE.yaml`` and ``.version``.
 
     The last one holds the version that the folder was made of, so that an
@@ -39,7 +39,7 @@
             }
         except (OSError, UnicodeDecodeError) as error:
             advice = f"give a folder with {BASE} and {OVERLAYS}/SITE{SUFFIX}"
-            raise CommandError(Exit.USAGE, str(error), advice) from error
+            raise CommandError(ToolExitCode.USAGE, str(error), advice) from error
         return {"base": base, "overlays": overlays}
 
     def version(self) -> int | None:
@@ -58,14 +58,16 @@
         if not force and self.path.is_dir() and any(self.path.iterdir()):
             advice = "give another folder, or --force to replace its documents"
             problem = f"the folder {self.path} is not empty"
-            raise CommandError(Exit.USAGE, problem, advice)
+            raise CommandError(ToolExitCode.USAGE, problem, advice)
         overlays: dict[str, str] = documents["overlays"]
         refuse_odd_sites(overlays)
         try:
             self.write_files(documents["base"], overlays)
             self.set_version(version)
         except OSError as error:
-            raise CommandError(Exit.USAGE, str(error), "give another folder") from error
+            raise CommandError(
+                ToolExitCode.USAGE, str(error), "give another folder"
+            ) from error
 
     def write_files(self, base: str, overlays: dict[str, str]) -> None:
         """Write the documents and drop overlays that are not among them."""
@@ -88,4 +90,4 @@
     for site in overlays:
         if not SITE.fullmatch(site):
             problem = f"the site '{site}' cannot be a file name"
-            raise CommandError(Exit.REFUSED, problem)
+            raise CommandError(ToolExitCode.REFUSED, problem)
--- a/src/reedhook/process/tool/command_query.py
+++ b/src/reedhook/process/tool/command_query.py
@@ -9,13 +9,13 @@
 from ...record import Record
 from ...wire import Json
 from .command_client import Client
-from .command_error import CommandError, Exit, Unreachable
+from .command_error import CommandError, HostsUnreachableError, ToolExitCode
 from .command_report import Result, query_text
 
 CONSISTENCIES: Final = ("fresh", "session", "max_age")
 
 
-class Query(Record):
+class StatementRequest(Record):
     """Carry a statement as the user states it.
 
     :param params: each as JSON, or else as a text.
@@ -84,17 +84,17 @@
         if consistency not in (None, *CONSISTENCIES):
             choices = ", ".join(CONSISTENCIES)
             problem = f"the consistency '{consistency}' is unknown"
-            raise CommandError(Exit.USAGE, problem, f"give one of: {choices}")
+            raise CommandError(ToolExitCode.USAGE, problem, f"give one of: {choices}")
         return {"consistency": consistency, "max_age_ms": self.max_age_ms}
 
 
-async def query(client: Client, wanted: Query) -> Result:
+async def query(client: Client, wanted: StatementRequest) -> Result:
     """Send a statement and return its answer."""
     body = wanted.body()
     path = "/v1/write" if wanted.write else "/v1/read"
     try:
         answer = await client.post(path, body)
-    except Unreachable as error:
+    except HostsUnreachableError as error:
         if not wanted.write:
             raise
         advice = f"repeat it with --request-id {body['request_id']}"
--- a/src/reedhook/process/tool/command_report.py
+++ b/src/reedhook/process/tool/command_report.py
@@ -8,7 +8,7 @@
 
 from ...record import Record
 from ...wire import Json
-from .command_error import CommandError, Exit
+from .command_error import CommandError, ToolExitCode
 
 
 class Result(Record):
@@ -20,13 +20,15 @@
 
     __slots__ = ("value", "text", "code")
 
-    def __init__(self, value: Json, text: str, code: Exit = Exit.DONE) -> None:
+    def __init__(
+        self, value: Json, text: str, code: ToolExitCode = ToolExitCode.DONE
+    ) -> None:
         self.value = value
         self.text = text
         self.code = code
 
 
-class Report:
+class ResultPrinter:
     """Write results and errors."""
 
     __slots__ = ("out", "err", "as_json")
--- a/src/reedhook/process/tool/command_settings.py
+++ b/src/reedhook/process/tool/command_settings.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 from typing import Final
 
-from ...platform.settings import SettingsFault, load as load_hosting
+from ...platform.settings import SettingsError, load as load_hosting
 from ..settings import load_settings
-from .command_error import CommandError, Exit
+from .command_error import CommandError, ToolExitCode
 from .command_report import Result
 
 COMMENT: Final = "#"
@@ -22,13 +22,15 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         problem = f"the file cannot be read: {error}"
-        raise CommandError(Exit.USAGE, problem, "name a settings file") from None
+        raise CommandError(
+            ToolExitCode.USAGE, problem, "name a settings file"
+        ) from None
     by_platform = is_platforms(text)
     faults = faults_of(path, load_hosting if by_platform else load_settings)
     format = CHECKS[by_platform]
     if faults:
         problem = f"the settings in {path} ({format}) are wrong"
-        raise CommandError(Exit.USAGE, problem, "mend the lines named", faults)
+        raise CommandError(ToolExitCode.USAGE, problem, "mend the lines named", faults)
     body = {"file": str(path), "format": format}
     return Result(body, f"The settings in {path} ({format}) are fine.")
 
@@ -49,6 +51,6 @@
         load(path)
     except ExceptionGroup as errors:
         return tuple(str(one) for one in errors.exceptions)
-    except (OSError, SettingsFault) as error:
+    except (OSError, SettingsError) as error:
         return (str(error),)
     return ()
--- a/src/reedhook/process/tool/command_timeline.py
+++ b/src/reedhook/process/tool/command_timeline.py
@@ -11,7 +11,7 @@
 from ..events.timeline_page import page_of
 from ..events.timeline_text import text_of
 from .command_client import Client
-from .command_error import CommandError, Exit
+from .command_error import CommandError, ToolExitCode
 from .command_report import Result
 
 AGO: Final = re.compile(r"([0-9]{1,6})([smhd])")
@@ -43,7 +43,7 @@
     except WireError as error:
         problem = f"the host gave events of another form: {error}"
         advice = "use the tool of the hosts' version"
-        raise CommandError(Exit.REFUSED, problem, advice) from error
+        raise CommandError(ToolExitCode.REFUSED, problem, advice) from error
     if page is None:
         return Result(body, text_of(history))
     write_page(Path(page), page_of(history, title(group)))
@@ -63,7 +63,9 @@
     try:
         file.write_text(page, encoding="utf-8")
     except OSError as error:
-        raise CommandError(Exit.USAGE, str(error), "give another file") from error
+        raise CommandError(
+            ToolExitCode.USAGE, str(error), "give another file"
+        ) from error
 
 
 def since_ms(text: str, now: float) -> int:
@@ -80,4 +82,4 @@
     except ValueError:
         problem = f"--since is '{text}'"
         advice = "give 90s, 10m, 2h, or 2026-03-12T06:30:00Z"
-        raise CommandError(Exit.USAGE, problem, advice) from None
+        raise CommandError(ToolExitCode.USAGE, problem, advice) from None
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..metrics import Metrics
 from ..process.announced.announcements import Announcements
 from ..process.announced.freshness import ConfigurationFreshness
@@ -26,7 +26,8 @@
     younger than `revoke` covers. The look at a statement's arrival decides: whatever
     happens to it later, it was sent before.
 
-    :param revocation_seconds: seconds after which a key that was taken away opens nothing; None
+    :param revocation_seconds: seconds after which a key that was taken away opens
+        nothing; None
         where that is not bounded.
     """
 
@@ -35,7 +36,7 @@
         announcements: Announcements,
         freshness: ConfigurationFreshness,
         revocation_seconds: float | None,
-        decisions: Decisions,
+        decisions: DecisionLog,
         metrics: Metrics,
     ) -> None:
         self.announcements = announcements
@@ -81,7 +82,7 @@
         if age < self.revocation_seconds - REVOCATION_MARGIN_SECONDS:
             return
         self.metrics.increment("keys_unproved")
-        self.decisions.note(
+        self.decisions.record(
             "keys_unproved",
             database=route.database,
             key=short_digest(digest),
@@ -98,7 +99,7 @@
     def unknown_key_refusal(self, route: Route, digest: str) -> RefusalError:
         """Return the refusal of a caller whose key nobody holds."""
         self.metrics.increment("denied")
-        self.decisions.note(
+        self.decisions.record(
             "denied",
             database=route.database,
             key=short_digest(digest),
--- a/src/reedhook/request/dispatch.py
+++ b/src/reedhook/request/dispatch.py
@@ -4,8 +4,8 @@
 from typing import Final, TypeAlias
 
 from ..clock import Clock
-from ..directory import Directory
-from ..peer import HostRef, PeerError, Peers
+from ..directory import HostDirectory
+from ..peer import HostRef, PeerClient, PeerError
 from ..version.catalog import Catalog
 from .execution import HomeResponse, StatementExecutor
 from .refusal import RefusalError, RefusalReason, may_have_run, not_run
@@ -50,8 +50,8 @@
     def __init__(
         self,
         local_executor: StatementExecutor,
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         catalog: CatalogSource,
         clock: Clock,
     ) -> None:
--- a/src/reedhook/request/hop.py
+++ b/src/reedhook/request/hop.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..clock import Clock
-from ..decisions import Decisions
+from ..decisions import DecisionLog
 from ..peer import HostRef, PeerError
 from ..process.desk import END, WORK, StatementServer
 from ..process.lead.record import PrimaryLeaseRecord
@@ -94,7 +94,7 @@
         peers: AnswerTrackingPeers,
         is_zone_isolated: Callable[[], bool],
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.me = me
         self.local_handler = local_handler
@@ -131,7 +131,7 @@
             return await self.local_handler.execute(statement)
         self.check_host(location.host)
         self.rate_limits.check(location.host.host, statement)
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         sent_at = self.clock.monotonic()
         if statement.kind is SessionStatementKind.READ and not statement.transaction:
             # The home gives it up before this host does: nobody would wait for it.
@@ -194,7 +194,9 @@
         except (PeerError, RefusalError) as error:
             # What was sent first may be answered all the same.
             if not pending_answer.done():
-                self.decisions.note("host_not_alive", host=host.host, error=str(error))
+                self.decisions.record(
+                    "host_not_alive", host=host.host, error=str(error)
+                )
             return pending_answer.done()
         return True
 
@@ -263,7 +265,7 @@
         if not lives:
             self.on_host_lost(location.host)
             self.lost_since.setdefault(location.host.host, self.clock.monotonic())
-        self.decisions.note(
+        self.decisions.record(
             "host_silent",
             id=statement.id,
             host=location.host.host,
@@ -281,7 +283,7 @@
         if not statement.may_be_in_doubt():
             raise not_run(RefusalReason.TRANSACTION_LOST, text, RETRY_AFTER_MS)
         statement.resent = True
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             message = await self.peers.call(
                 location.host, WORK, statement.to_json(), OUTCOME_QUERY_TIMEOUT_SECONDS
@@ -303,7 +305,7 @@
                 location.host, END, body, OUTCOME_QUERY_TIMEOUT_SECONDS
             )
         except (PeerError, RefusalError) as error:
-            self.decisions.note(
+            self.decisions.record(
                 "rollback_unanswered", host=location.host.host, error=str(error)
             )
 
@@ -316,6 +318,6 @@
     ) -> None:
         """Log that a statement goes elsewhere."""
         position = None if min_position is None else min_position.to_json()
-        self.decisions.note(
+        self.decisions.record(
             "rerouted", id=statement.id, target=target, cause=cause, floor=position
         )
