--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replicas.py
@@ -4,9 +4,9 @@
 
 from ..clock import Clock
 from ..connection.member import StatementFault
-from ..decisions import Decisions
-from ..directory import Directory
-from ..peer import PeerError, Peers
+from ..decisions import DecisionLog
+from ..directory import HostDirectory
+from ..peer import PeerClient, PeerError
 from ..process.announced.announcements import Announcements
 from ..process.desk import PROOF, StatementServer
 from ..process.lead.book import PrimaryLeaseRegistry
@@ -45,7 +45,8 @@
     """Say what became of a read at the replicas.
 
     :param located_result: its answer; None if no replica has given one.
-    :param overloaded_replica: the replica that could serve it after the least wait; None if
+    :param overloaded_replica: the replica that could serve it after the least wait;
+        None if
         none could.
     :param wait_seconds: seconds until then.
     """
@@ -71,11 +72,11 @@
         forwarder: StatementForwarder,
         local_handler: StatementServer,
         lease_registry: PrimaryLeaseRegistry,
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         announcements: Announcements,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.forwarder = forwarder
         self.local_handler = local_handler
@@ -121,7 +122,7 @@
         """Return the position that a replica must hold; None if unknown."""
         if route.max_age is None:
             return session_position
-        since = self.clock.elapsed() - route.max_age + AGE_MARGIN_SECONDS
+        since = self.clock.boottime() - route.max_age + AGE_MARGIN_SECONDS
         sightings = self.observations(route.service)
         proof = sightings.oldest_proof_since(since)
         if proof is None:
@@ -142,7 +143,7 @@
         if record is None:
             return None
         host = self.forwarder.acting_holder(record, False)
-        asked = self.clock.elapsed()
+        asked = self.clock.boottime()
         try:
             if host.host == self.me.host:
                 proof = await self.local_handler.prove(route.service, asked - age)
@@ -151,7 +152,7 @@
                 answer = await self.peers.call(host, PROOF, body, PROOF_TIMEOUT_SECONDS)
                 proof = PositionProof.from_json(answer, asked)
         except (PeerError, RefusalError, WireError) as error:
-            self.decisions.note(
+            self.decisions.record(
                 "position_unknown", service=route.service, error=str(error)
             )
             return None
--- a/src/reedhook/request/statement.py
+++ b/src/reedhook/request/statement.py
@@ -4,7 +4,7 @@
 from typing import Any, TypeAlias
 
 from ..record import Record
-from ..wire import Json, reader
+from ..wire import Json, wraps_decode_errors
 from .position import Position
 
 Row: TypeAlias = list[Any]
@@ -108,7 +108,7 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Any) -> "Statement":
         """Read a statement sent by another host."""
         covers = message["covers"]
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/steering.py
@@ -5,9 +5,9 @@
 from ..clock import Clock
 from ..connection.member import StatementFault
 from ..connection.memberhome import BUSY_RETRY_SECONDS, MAX_BUSY_RETRIES
-from ..decisions import Decisions
-from ..directory import Directory
-from ..peer import PeerError, Peers
+from ..decisions import DecisionLog
+from ..directory import HostDirectory
+from ..peer import PeerClient, PeerError
 from ..process.lead.book import PrimaryLeaseRegistry
 from ..process.lead.leads import RECORDS_PATH
 from ..version.registry import Route, RouteConsistency
@@ -51,10 +51,10 @@
         forwarder: StatementForwarder,
         replica_reader: ReplicaReader,
         lease_registry: PrimaryLeaseRegistry,
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         clock: Clock,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ) -> None:
         self.forwarder = forwarder
         self.replica_reader = replica_reader
@@ -231,7 +231,9 @@
                 self.lease_registry.merge(answer["records"], host.host)
                 return
             except (PeerError, RefusalError, WireError, LookupError) as error:
-                self.decisions.note("records_unknown", host=host.host, error=str(error))
+                self.decisions.record(
+                    "records_unknown", host=host.host, error=str(error)
+                )
 
     def record_proof(self, service: str, answer: SessionStatementResult) -> None:
         """Take over what an answer of the primary tells."""
--- a/src/reedhook/request/view.py
+++ b/src/reedhook/request/view.py
@@ -1,7 +1,7 @@
 """What a host knows of a database group, passed along with answers."""
 
 from ..record import Record
-from ..wire import Json, reader, text
+from ..wire import Json, string_field, wraps_decode_errors
 from .position import ORIGIN, Position
 
 
@@ -164,11 +164,11 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "GroupViewRequest":
         """Read a question from the wire."""
         return cls(
-            text(message, "group"),
+            string_field(message, "group"),
             float(message.get("hold", 0.0)),
             int(message.get("term", 0)),
             message.get("primary"),
--- a/src/reedhook/request/views.py
+++ b/src/reedhook/request/views.py
@@ -12,8 +12,8 @@
 from typing import Any, Final, TypeAlias
 
 from ..clock import Clock
-from ..directory import Directory
-from ..peer import HostRef, PeerError, PeerHandler, Peers
+from ..directory import HostDirectory
+from ..peer import HostRef, PeerClient, PeerError, PeerHandler
 from ..version.catalog import Group
 from ..wire import Json
 from .refusal import RefusalError, RefusalReason, not_run
@@ -84,8 +84,8 @@
         self,
         clock: Clock,
         rng: random.Random,
-        directory: Directory,
-        peers: Peers,
+        directory: HostDirectory,
+        peers: PeerClient,
         query_local: PeerHandler,
     ) -> None:
         self.clock = clock
--- a/src/reedhook/request/work.py
+++ b/src/reedhook/request/work.py
@@ -6,7 +6,7 @@
 from ..connection.member import SessionTargetReply, StatementFault
 from ..connection.state import SessionState
 from ..record import Record
-from ..wire import Json, reader
+from ..wire import Json, wraps_decode_errors
 from .position import Position
 
 DEFAULT_PRIORITY: Final = 1
@@ -45,11 +45,13 @@
     :param min_position: the position that the target's log must hold.
     :param id: the caller's id of the statement.
     :param remaining: seconds to the deadline; a duration, since clocks differ.
-    :param soft_deadline_seconds: seconds until the caller expects the answer; less than 0 once that
+    :param soft_deadline_seconds: seconds until the caller expects the answer; less than
+        0 once that
         is over.
     :param database: the route that it came by; statements of one take about as long.
     :param priority: of the route; 0 goes first.
-    :param wait_limit_seconds: seconds for which it waits for its turn at this target, since
+    :param wait_limit_seconds: seconds for which it waits for its turn at this target,
+        since
         others may serve it, too; None if it waits for as long as it can.
     :param resent: whether it was sent before; it must not run a second time.
     :param workspace: whose caller sent it; empty where callers need no key.
@@ -167,7 +169,7 @@
         return message
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json) -> "SessionStatement":
         """Read a statement that another host sent."""
         after = message.get("after")
@@ -209,7 +211,7 @@
         return {"position": self.position.to_json(), "age": round(now - self.as_of, 4)}
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json, requested_at: float) -> "PositionProof":
         """Read a proof that another host sent.
 
@@ -256,7 +258,7 @@
         return message
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Json, requested_at: float) -> "SessionStatementResult":
         """Read an answer; `asked` is when the question was sent."""
         position, proof = message["position"], message.get("proof")
--- a/src/reedhook/version/delta.py
+++ b/src/reedhook/version/delta.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from ..record import Record
-from ..wire import WireError, reader
+from ..wire import WireError, wraps_decode_errors
 
 Part: TypeAlias = str | list[int]
 
@@ -67,7 +67,7 @@
     return Delta(digest(base), digest(document), packed)
 
 
-@reader
+@wraps_decode_errors
 def apply_delta(delta: Delta, base: bytes) -> bytes:
     """Return the document that a delta gives.
 
--- a/src/reedhook/version/registry.py
+++ b/src/reedhook/version/registry.py
@@ -24,7 +24,8 @@
     :param database: the name that callers ask for.
     :param service: the group of targets that holds it.
     :param statement_timeout_seconds: seconds for one statement.
-    :param latency_objective_seconds: seconds in which callers expect an operation to end.
+    :param latency_objective_seconds: seconds in which callers expect an operation to
+        end.
     :param priority: 0 runs first.
     :param max_age: seconds by which a read may lag, or None.
     :param public: whether callers need no key.
@@ -117,7 +118,8 @@
     :param address: ``IP:port``.
     :param leaving: whether it takes no new work.
     :param claims_primary: whether it believes to be the primary.
-    :param started_at_ms: when its process started, in Unix milliseconds; 0 if unknown. A
+    :param started_at_ms: when its process started, in Unix milliseconds; 0 if unknown.
+        A
         target that starts again under its id holds nothing of before.
     :param slots: statements that it runs at a time.
     :param sequence: counts what one process announces.
--- a/src/reedhook/wire.py
+++ b/src/reedhook/wire.py
@@ -15,7 +15,7 @@
     """Say that a message does not have the expected form."""
 
 
-def reader(read: Callable[P, T]) -> Callable[P, T]:
+def wraps_decode_errors(read: Callable[P, T]) -> Callable[P, T]:
     """Let what reads a message raise `WireError` for one of the wrong form."""
 
     @wraps(read)
@@ -30,7 +30,7 @@
     return typed
 
 
-def text(message: Json, name: str) -> str:
+def string_field(message: Json, name: str) -> str:
     """Return a field that holds a text.
 
     :raises WireError: if it does not.
@@ -41,7 +41,7 @@
     return value
 
 
-def whole(message: Json, name: str) -> int:
+def non_negative_int_field(message: Json, name: str) -> int:
     """Return a field that holds a whole number that is not negative.
 
     :raises WireError: if it does not; true and false are no numbers.
--- a/src/reedhook_standins/partition.py
+++ b/src/reedhook_standins/partition.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from reedhook.clock import Clock
-from reedhook.peer import HostRef, PeerError, Peers
+from reedhook.peer import HostRef, PeerClient, PeerError
 from reedhook.process.configuring.store import StoreUnavailableError
 from reedhook.process.configuring.store_http import HttpStore
 from reedhook.process.fleet.hostlist import HostListEntry, HostListUnavailableError
@@ -30,13 +30,13 @@
         return one != other and bool({one, other} & self.cut_off)
 
 
-class PartitionedPeers(Peers):
+class PartitionedPeers(PeerClient):
     """Lose calls across the partition, and answers that were under way.
 
     :param zone: the zone of the calling host.
     """
 
-    def __init__(self, peers: Peers, zone: str, partition: Partition) -> None:
+    def __init__(self, peers: PeerClient, zone: str, partition: Partition) -> None:
         self.peers = peers
         self.zone = zone
         self.partition = partition
--- a/src/reedhook_standins/soak/surroundings.py
+++ b/src/reedhook_standins/soak/surroundings.py
@@ -21,7 +21,7 @@
 SILENT_FOR: Final = 3.0
 """Seconds after which a target that is dark is announced no more."""
 
-KINDS: Final = {kind: word for word, kind in documents.KINDS.items()}
+KINDS: Final = {kind: word for word, kind in documents.ROUTE_KINDS.items()}
 
 
 class Surroundings:
--- a/src/reedhook_standins/wiredatabase.py
+++ b/src/reedhook_standins/wiredatabase.py
@@ -4,8 +4,13 @@
 from typing import Final
 
 from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
-from reedhook.platform.line import LineError, LineReader, encoded
-from reedhook.platform.text import CODES, LETTERS, read_position, write_position
+from reedhook.platform.line import LineError, LineReader, encode_line
+from reedhook.platform.text import (
+    FAULT_CODES,
+    STATE_LETTERS,
+    read_position,
+    write_position,
+)
 
 from .database import DatabaseMember, DatabaseSession
 from .listening import Listening
@@ -59,13 +64,13 @@
         entry = self.member.entry
         _, service, _, target = line.split(" ")
         if (service, target) != (entry.service, entry.target):
-            writer.write(encoded("ERROR", "MISROUTED", entry.target))
+            writer.write(encode_line("ERROR", "MISROUTED", entry.target))
             return False
         if len(self.member.connections) >= self.member.limit:
-            writer.write(encoded("ERROR", "OVERLOADED", entry.target))
+            writer.write(encode_line("ERROR", "OVERLOADED", entry.target))
             return False
         self.member.connections.add(session)
-        writer.write(encoded("READY", "I", write_position(self.member.position)))
+        writer.write(encode_line("READY", "I", write_position(self.member.position)))
         return True
 
     async def query(self, session: DatabaseSession, line: str) -> bytes:
@@ -91,18 +96,18 @@
         role = "primary" if member.leads else "replica"
         row = f"{role} {member.term} {position} 0 0 0 {len(member.connections)}"
         return (
-            encoded("ROW", row)
-            + encoded("COMPLETE", "-")
-            + encoded("READY", "I", position)
+            encode_line("ROW", row)
+            + encode_line("COMPLETE", "-")
+            + encode_line("READY", "I", position)
         )
 
     def worded(self, reply: SessionTargetReply) -> bytes:
         """Return the lines of an answer."""
         if reply.fault is StatementFault.NONE:
-            lines = b"".join(encoded("ROW", row) for row in reply.rows)
-            lines += encoded("COMPLETE", reply.signature)
+            lines = b"".join(encode_line("ROW", row) for row in reply.rows)
+            lines += encode_line("COMPLETE", reply.signature)
         else:
-            code = CODES[reply.fault]
-            lines = encoded("ERROR", code, self.member.entry.target)
-        letter = LETTERS[reply.state]
-        return lines + encoded("READY", letter, write_position(reply.position))
+            code = FAULT_CODES[reply.fault]
+            lines = encode_line("ERROR", code, self.member.entry.target)
+        letter = STATE_LETTERS[reply.state]
+        return lines + encode_line("READY", letter, write_position(reply.position))
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -13,7 +13,7 @@
 
 from reedhook.clock import Clock, SystemClock
 from reedhook.connection.target_http import HttpTargetFactory
-from reedhook.connector import Connector
+from reedhook.connector import SingleStepConnector
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef
 from reedhook.process.assembly import serve
@@ -95,7 +95,7 @@
 
         :raises WorldNotReady: if it is not in force everywhere in time.
         """
-        self.http = aiohttp.ClientSession(connector=Connector(limit=0))
+        self.http = aiohttp.ClientSession(connector=SingleStepConnector(limit=0))
         await self.platform.start()
         self.settings = self.make_settings()
         for name, one in self.settings.items():
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from reedhook.metrics import MemoryMetrics
-from reedhook.peer import HostRef, PeerError, PeerRoutes, Peers
-from reedhook.process.administration.admin_fleet import Fleet
+from reedhook.peer import HostRef, PeerClient, PeerError, PeerRoutes
+from reedhook.process.administration.admin_fleet import FleetQueries
 from reedhook.process.administration.admin_source import AdminSource
 from reedhook.process.administration.admin_status import (
-    HostState,
+    HostPhase,
     HostStatus,
     KnownHost,
 )
@@ -63,7 +63,7 @@
             host=self.me.host,
             zone=self.me.zone,
             address=self.me.address,
-            state=HostState.DRAINING if self.draining else HostState.SERVING,
+            state=HostPhase.DRAINING if self.draining else HostPhase.SERVING,
             version=self.version,
             in_force_ms=START_MS,
             started_ms=START_MS,
@@ -102,7 +102,7 @@
         return self.kept
 
 
-class FakeNetwork(Peers):
+class FakeNetwork(PeerClient):
     """Carry calls between fake hosts as JSON.
 
     :ivar cut: hosts that answer nothing.
@@ -123,11 +123,11 @@
             )
             source = self.sources[ref.host] = FakeSource(ref, self)
             routes = self.routes[ref.host] = PeerRoutes()
-            Fleet(source, self).register(routes)
+            FleetQueries(source, self).register(routes)
 
-    def fleet(self) -> Fleet:
+    def fleet(self) -> FleetQueries:
         """Return the questions of the first host."""
-        return Fleet(self.sources["vittoria-1"], self)
+        return FleetQueries(self.sources["vittoria-1"], self)
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         self.running += 1
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 from itertools import count
 
-from reedhook.directory import Directory
+from reedhook.directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.events.timeline import Event, EventKind, Timeline
@@ -32,7 +32,7 @@
 GATE = "gate-desk"
 
 
-class SharedDirectory(Directory):
+class SharedDirectory(HostDirectory):
     """Rank the hosts of each zone in a fixed order; a test takes hosts out."""
 
     def __init__(self, cluster: "Cluster", ref: HostRef) -> None:
--- a/tests/command_fakes.py
+++ b/tests/command_fakes.py
@@ -11,7 +11,7 @@
 
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
-from reedhook.process.administration.admin_operator import Operators
+from reedhook.process.administration.admin_operator import OperatorAuthenticator
 from reedhook.process.tool.command import execute
 
 from .admin_fakes import CREDENTIAL, DIGESTS, FakeNetwork
@@ -57,7 +57,7 @@
     """Serve the API and yield a tool that calls it."""
     network, store = FakeNetwork(), FakeStore(0.0)
     source = network.sources["vittoria-1"]
-    admin = Admin(source, network.fleet(), Operators(DIGESTS), 65536)
+    admin = Admin(source, network.fleet(), OperatorAuthenticator(DIGESTS), 65536)
     routes = config_routes(admin, editor_of(network, store))
     async with TestServer(admin_app(admin, routes), host="127.0.0.1") as server:
         yield Tool(f"127.0.0.1:{server.port}", network, store)
--- a/tests/connector_storm.py
+++ b/tests/connector_storm.py
@@ -12,7 +12,7 @@
 import uvloop
 from aiohttp import ClientError, ClientSession, web
 
-from reedhook.connector import Connector
+from reedhook.connector import SingleStepConnector
 
 CLIENTS = 60
 CALLS = 30
@@ -44,7 +44,9 @@
 async def call(url: str, seed: int) -> None:
     """Call again and again, each time on a new connection."""
     rng = random.Random(seed)
-    async with ClientSession(connector=Connector(force_close=True)) as session:
+    async with ClientSession(
+        connector=SingleStepConnector(force_close=True)
+    ) as session:
         for _ in range(CALLS):
             try:
                 async with asyncio.timeout(rng.random() * LONGEST):
--- a/tests/fakes_members.py
+++ b/tests/fakes_members.py
@@ -74,7 +74,7 @@
         self.workspace = workspace
         self.member = member
         self.slots = slots
-        self.lost = False
+        self.closed = False
         self.initial_position = member.position
         self.session = DatabaseSession(member)
         self.busy = False
@@ -82,7 +82,7 @@
     async def exchange(
         self, queries: list[TargetQuery], timeout: float
     ) -> list[SessionTargetReply]:
-        if self.lost:
+        if self.closed:
             raise SessionTargetNoReplyError("closed")
         if self.busy:
             self.member.group.violations.append("two exchanges on one connection")
@@ -116,14 +116,14 @@
         if self.member.losing and group.random.random() < self.member.losing:
             await asyncio.Event().wait()
         await self.trip()
-        if self.lost:
+        if self.closed:
             raise SessionTargetNoReplyError("closed")
         return replies
 
     async def trip(self) -> None:
         """Take one way, or wait for ever on a link that is cut."""
         await asyncio.sleep(TRIP)
-        if self.lost or self.member.group.unreachable(self.host, self.member):
+        if self.closed or self.member.group.unreachable(self.host, self.member):
             await asyncio.Event().wait()
 
     async def status(self, timeout: float) -> SessionTargetStatus:
@@ -134,7 +134,7 @@
         )
 
     def close(self) -> None:
-        self.lost = True
+        self.closed = True
         self.member.connections.discard(self)
 
 
--- a/tests/fakes_peers.py
+++ b/tests/fakes_peers.py
@@ -16,7 +16,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from reedhook.peer import HostRef, PeerError, PeerRoutes, Peers
+from reedhook.peer import HostRef, PeerClient, PeerError, PeerRoutes
 from reedhook.request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from reedhook.wire import Json, WireError, decode, encode
 
@@ -112,7 +112,7 @@
             await self.paused[host].wait()
 
 
-class FakePeers(Peers):
+class FakePeers(PeerClient):
     """Call other hosts of a `FakeNetwork`."""
 
     def __init__(self, network: FakeNetwork, me: HostRef, routes: PeerRoutes) -> None:
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from reedhook.clock import Clock
-from reedhook.directory import Directory
+from reedhook.directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.request.choice import ReplicaSelector
@@ -70,7 +70,7 @@
     return Workspace(name, frozenset([digest]), 1, rate, rate or 0.0, services)
 
 
-class FakeDirectory(Directory):
+class FakeDirectory(HostDirectory):
     """Rank hosts as the test says; by default those of the zone go first."""
 
     def __init__(self, me: HostRef, hosts: list[HostRef]) -> None:
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -14,7 +14,7 @@
 from reedhook.connection.member import StatementFault
 from reedhook.connection.session import Session, SessionReply
 from reedhook.connection.state import SessionState
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.announced.documents import StoreValueParser
 from reedhook.process.events.timeline import Timeline
@@ -31,7 +31,7 @@
     TargetAnnouncement,
 )
 from reedhook.version.workspace import Workspace, Workspaces, key_digest
-from reedhook.wire import Json, decode, encode, reader
+from reedhook.wire import Json, decode, encode, wraps_decode_errors
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Acknowledged, Promises, Sent, Viewer
 
@@ -80,12 +80,12 @@
             ]
         return encode(message)
 
-    @reader
+    @wraps_decode_errors
     def read_table(self, value: bytes) -> RouteTable:
         message = decode(value)
         return table(message["version"], message["routes"], message.get("workspaces"))
 
-    @reader
+    @wraps_decode_errors
     def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
         return TargetAnnouncement(*decode(value)["entry"])
 
@@ -202,7 +202,7 @@
             FakePhrases(),
             self.network.join(ref, routes),
             Timeline(ref.host, clock),
-            Decisions(ref.host, clock, out=None),
+            DecisionLog(ref.host, clock, output_fd=None),
             HistogramMetrics(),
         )
         routes.handlers.update(host.routes.handlers)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,8 +9,8 @@
 from syrupy.assertion import SnapshotAssertion
 
 from reedhook.process.administration.admin import Admin, admin_app
-from reedhook.process.administration.admin_fleet import MOST_EVENTS
-from reedhook.process.administration.admin_operator import Operators
+from reedhook.process.administration.admin_fleet import MAX_EVENTS
+from reedhook.process.administration.admin_operator import OperatorAuthenticator
 from reedhook.process.events.timeline import EventKind
 from reedhook.wire import Json
 
@@ -26,7 +26,7 @@
 
     async def main() -> Any:
         source = network.sources["vittoria-1"]
-        admin = Admin(source, network.fleet(), Operators(DIGESTS), LIMIT)
+        admin = Admin(source, network.fleet(), OperatorAuthenticator(DIGESTS), LIMIT)
         server = TestServer(admin_app(admin, []), host="127.0.0.1")
         async with TestClient(server) as client:
             return await steps(client)
@@ -167,13 +167,13 @@
 
 def test_a_host_with_older_events_is_named() -> None:
     network = FakeNetwork()
-    for number, count in ((1, MOST_EVENTS), (2, MOST_EVENTS + 1)):
+    for number, count in ((1, MAX_EVENTS), (2, MAX_EVENTS + 1)):
         timeline = network.sources[f"vittoria-{number}"].timeline
         for index in range(count):
             timeline.record(EventKind.STORE, str(index))
     _, body = get(network, "/admin/events?all=1")
     assert body["cut"] == ["vittoria-2"]
-    assert len(body["events"]) == 2 * MOST_EVENTS
+    assert len(body["events"]) == 2 * MAX_EVENTS
     assert "0" not in {
         one["subject"] for one in body["events"] if one["host"] == "vittoria-2"
     }
--- a/tests/test_admin_config.py
+++ b/tests/test_admin_config.py
@@ -13,7 +13,7 @@
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
-from reedhook.process.administration.admin_operator import Operators
+from reedhook.process.administration.admin_operator import OperatorAuthenticator
 from reedhook.process.configuring.archive import SnapshotRepository
 from reedhook.process.configuring.configuration import ConfigurationManager
 from reedhook.process.configuring.editor import ConfigurationEditor
@@ -47,7 +47,7 @@
     """Serve the API at the first host and yield a client."""
     hosts = network or FakeNetwork()
     source = hosts.sources["vittoria-1"]
-    admin = Admin(source, hosts.fleet(), Operators(DIGESTS), LIMIT)
+    admin = Admin(source, hosts.fleet(), OperatorAuthenticator(DIGESTS), LIMIT)
     editor = editor_of(hosts, FakeStore(0.0))
     app = admin_app(admin, config_routes(admin, editor))
     server = TestServer(app, host="127.0.0.1")
--- a/tests/test_admin_docs.py
+++ b/tests/test_admin_docs.py
@@ -7,11 +7,11 @@
 from reedhook.process import daemon
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
-from reedhook.process.administration.admin_operator import Operators
+from reedhook.process.administration.admin_operator import OperatorAuthenticator
 from reedhook.process.run import DaemonExitCode as DaemonExit
 from reedhook.process.settings_schema import LIMITS, SETTINGS, TLS
 from reedhook.process.tool import command
-from reedhook.process.tool.command_error import Exit
+from reedhook.process.tool.command_error import ToolExitCode
 
 from .admin_fakes import DIGESTS, FakeNetwork
 from .fakes_store import FakeStore
@@ -27,7 +27,7 @@
     async def main() -> set[str]:
         network = FakeNetwork()
         source = network.sources["vittoria-1"]
-        admin = Admin(source, network.fleet(), Operators(DIGESTS), 1024)
+        admin = Admin(source, network.fleet(), OperatorAuthenticator(DIGESTS), 1024)
         editor = editor_of(network, FakeStore(0.0))
         app = admin_app(admin, config_routes(admin, editor))
         return {
@@ -70,7 +70,7 @@
 
 
 def test_the_help_lists_the_exit_codes() -> None:
-    for text, codes in ((command.__doc__, Exit), (daemon.__doc__, DaemonExit)):
+    for text, codes in ((command.__doc__, ToolExitCode), (daemon.__doc__, DaemonExit)):
         assert text is not None
         listed = text.split("Exit codes:")[1]
         found = re.findall(r"^  ([0-9]) ", listed, re.MULTILINE)
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.process.announced.announcements import Announcements
 from reedhook.process.announced.freshness import ConfigurationFreshness
 from reedhook.process.announced.keyspace import Item, Items
@@ -33,7 +33,9 @@
 @in_virtual_time
 async def test_questions_end_in_time_and_apart(seed: int) -> None:
     clock = LoopClock()
-    known = Announcements(PlainDocuments(), clock, Decisions("h1", clock, out=None))
+    known = Announcements(
+        PlainDocuments(), clock, DecisionLog("h1", clock, output_fd=None)
+    )
     watch = StoreWatcher(
         FakeStore().client("h1"),
         known,
@@ -63,14 +65,14 @@
     )
 
 
-class Noted(Decisions):
+class Noted(DecisionLog):
     """Keep the kinds of lines that would be written."""
 
     def __init__(self, clock: LoopClock) -> None:
-        super().__init__("h1", clock, out=None)
+        super().__init__("h1", clock, output_fd=None)
         self.noted: list[str] = []
 
-    def note(self, event: str, **inputs: Any) -> None:
+    def record(self, event: str, **inputs: Any) -> None:
         self.noted.append(event)
 
 
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -3,8 +3,8 @@
 import asyncio
 import os
 
-from reedhook.background import Background
-from reedhook.decisions import Decisions
+from reedhook.background import BackgroundTasks
+from reedhook.decisions import DecisionLog
 from reedhook.wire import decode
 
 from .fakes_clock import LoopClock, run_virtual
@@ -17,7 +17,7 @@
 def test_a_failure_is_logged_with_what_it_was_about() -> None:
     async def main() -> None:
         out, into = os.pipe()
-        background = Background(Decisions("h1", LoopClock(), into), service="db")
+        background = BackgroundTasks(DecisionLog("h1", LoopClock(), into), service="db")
         background.spawn(failing())
         await asyncio.sleep(0.01)
         line = decode(os.read(out, 1000))
@@ -33,7 +33,7 @@
     async def main() -> None:
         out, into = os.pipe()
         os.set_blocking(out, False)
-        background = Background(Decisions("h1", LoopClock(), into))
+        background = BackgroundTasks(DecisionLog("h1", LoopClock(), into))
         task = background.spawn(asyncio.sleep(10.0))
         await asyncio.sleep(0.01)
         background.cancel()
--- a/tests/test_capacities.py
+++ b/tests/test_capacities.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.process.announced.announcements import HOSTS_KEY_PREFIX, Announcements
 from reedhook.process.announced.capacities import HostCapacities, capacity
 from reedhook.process.announced.keyspace import Item
@@ -28,7 +28,7 @@
     announcements = Announcements(
         PlainDocuments(),
         clock,
-        Decisions("h1", clock, out=None),
+        DecisionLog("h1", clock, output_fd=None),
     )
     capacities = HostCapacities(announcements)
     assert not capacities.is_weak("h1")
--- a/tests/test_daemon_host.py
+++ b/tests/test_daemon_host.py
@@ -12,9 +12,9 @@
 from reedhook.process.assembly import assemble
 from reedhook.process.lifecycle import HostDaemon
 from reedhook.process.settings import Settings, TlsSettings
-from reedhook.process.tool.command_access import Endpoint, trust
+from reedhook.process.tool.command_access import Endpoint, create_tls_context
 from reedhook.process.tool.command_client import Client
-from reedhook.process.tool.command_error import Unreachable
+from reedhook.process.tool.command_error import HostsUnreachableError
 
 from .admin_fakes import CREDENTIAL, DIGESTS
 from .support import on_loop
@@ -68,10 +68,10 @@
     await process.start()
     here = (process.admin_server.address,)
     async with Client(
-        Endpoint(here, CREDENTIAL, trust(str(tmp_path / "ca")))
+        Endpoint(here, CREDENTIAL, create_tls_context(str(tmp_path / "ca")))
     ) as client:
         assert (await client.get("/admin/status"))["host"] == "vittoria-1"
     async with Client(Endpoint(here, CREDENTIAL)) as client:
-        with pytest.raises(Unreachable):
+        with pytest.raises(HostsUnreachableError):
             await client.get("/admin/status")
     await process.stop()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,7 +2,7 @@
 
 import os
 
-from reedhook.decisions import BURST, Decisions
+from reedhook.decisions import BURST_LINES, DecisionLog
 from reedhook.wire import decode
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -17,13 +17,13 @@
 @in_virtual_time
 async def test_a_flood_of_one_event_leaves_room_for_others() -> None:
     reading, writing = os.pipe()
-    decisions = Decisions("h1", LoopClock(), writing)
+    decisions = DecisionLog("h1", LoopClock(), writing)
     for _ in range(1000):
-        decisions.note("target_unreachable", target="i-1")
-    decisions.note("primary_change", service="db")
+        decisions.record("target_unreachable", target="i-1")
+    decisions.record("primary_change", service="db")
     events = written(reading)
     assert events[-1] == "primary_change"
-    assert len(events) < BURST
+    assert len(events) < BURST_LINES
     os.close(reading)
     os.close(writing)
 
@@ -31,9 +31,9 @@
 @in_virtual_time
 async def test_all_events_together_are_bounded() -> None:
     reading, writing = os.pipe()
-    decisions = Decisions("h1", LoopClock(), writing)
+    decisions = DecisionLog("h1", LoopClock(), writing)
     for number in range(1000):
-        decisions.note(f"event_{number % 20}")
-    assert len(written(reading)) <= BURST
+        decisions.record(f"event_{number % 20}")
+    assert len(written(reading)) <= BURST_LINES
     os.close(reading)
     os.close(writing)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -6,7 +6,7 @@
 import pytest
 
 from reedhook.connection.memberhome import SessionTargetHome
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.peer import HostRef
 from reedhook.process.announced.announcements import Announcements
 from reedhook.process.announced.freshness import ConfigurationFreshness
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.store = FakeStore()
-        self.decisions = Decisions("h1", self.clock, out=None)
+        self.decisions = DecisionLog("h1", self.clock, output_fd=None)
         self.announcements = Announcements(PlainDocuments(), self.clock, self.decisions)
         self.freshness = ConfigurationFreshness(self.announcements, self.clock)
         self.watch = StoreWatcher(
@@ -91,7 +91,7 @@
     known = Known()
     assert known.freshness.age() == float("inf")
     answer: Json = {}
-    known.freshness.add_age(answer, known.clock.elapsed())
+    known.freshness.add_age(answer, known.clock.boottime())
     assert answer == {}
 
 
@@ -100,7 +100,7 @@
     known = Known()
     known.put(2)
     await asyncio.sleep(1.0)
-    known.freshness.read_age({"a": 0}, 3, known.clock.elapsed(), "h2")
+    known.freshness.read_age({"a": 0}, 3, known.clock.boottime(), "h2")
     assert known.freshness.age() == float("inf")
     await asyncio.sleep(1.0)
     known.put(3)
@@ -112,7 +112,7 @@
     """The answer may have been under way, or a host at rest, for any time."""
     known = Known()
     known.put(2)
-    asked = known.clock.elapsed()
+    asked = known.clock.boottime()
     await asyncio.sleep(3.0)
     known.freshness.read_age({"a": 500}, 2, asked, "h2")
     assert known.freshness.age() == pytest.approx(3.5)
@@ -123,8 +123,8 @@
     known = Known()
     known.put(2)
     await asyncio.sleep(9.0)
-    known.freshness.read_age({"a": 100}, 2, known.clock.elapsed(), "h2")
-    known.freshness.read_age({"a": 4000}, 2, known.clock.elapsed(), "h3")
+    known.freshness.read_age({"a": 100}, 2, known.clock.boottime(), "h2")
+    known.freshness.read_age({"a": 4000}, 2, known.clock.boottime(), "h3")
     assert known.freshness.age() == pytest.approx(0.1)
     assert known.freshness.source == "h2"
 
@@ -136,7 +136,7 @@
     known.put(2)
     await asyncio.sleep(1.0)
     try:
-        known.freshness.read_age({"a": age}, 2, known.clock.elapsed(), "h2")
+        known.freshness.read_age({"a": age}, 2, known.clock.boottime(), "h2")
     except WireError:
         assert known.freshness.age() == float("inf")
     assert known.freshness.age() >= 0.0
@@ -172,12 +172,12 @@
     known = Known()
     known.put(2)
     desk = UpdateServer(known.announcements, known.clock, known.freshness)
-    asked = known.clock.elapsed()
+    asked = known.clock.boottime()
     question = asyncio.create_task(
         desk.handle_request({"after": 0, "version": 2, "hold_ms": 2000})
     )
     await asyncio.sleep(1.5)
-    known.freshness.record_proof(known.clock.elapsed())
+    known.freshness.record_proof(known.clock.boottime())
     answer = await question
     # Two seconds have passed; half a second ago all was known.
     other = Known()
@@ -237,7 +237,7 @@
         FakePhrases(),
         4,
         clock,
-        Decisions("h1", clock, out=None),
+        DecisionLog("h1", clock, output_fd=None),
         lambda: None,
         lambda position, asked: None,
         3.0,
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from reedhook.decisions import Decisions
-from reedhook.peer import HostRef, PeerError, Peers
+from reedhook.decisions import DecisionLog
+from reedhook.peer import HostRef, PeerClient, PeerError
 from reedhook.process.desk import StatementServer
 from reedhook.process.network.heard_peers import AnswerTrackingPeers
 from reedhook.request.hop import (
@@ -28,7 +28,7 @@
 OTHER = HostRef("h2", "z2", "10.0.0.2:1")
 
 
-class SlowWork(Peers):
+class SlowWork(PeerClient):
     """Answer at once, but for work, which stays without an answer."""
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
@@ -54,7 +54,7 @@
 ) -> StatementForwarder:
     """Return hops that note which hosts they held for lost."""
     clock = LoopClock()
-    decisions = Decisions("h1", clock, out=None)
+    decisions = DecisionLog("h1", clock, output_fd=None)
     hops = StatementForwarder(ME, NoDesk(), peers, lambda: cut_off, clock, decisions)
     hops.on_host_lost = lambda host: lost.append(host.host)
     return hops
--- a/tests/test_keys_on_the_wire.py
+++ b/tests/test_keys_on_the_wire.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from reedhook.decisions import Decisions
-from reedhook.platform.entry import Front
+from reedhook.decisions import DecisionLog
+from reedhook.platform.entry import CallerListener
 from reedhook.process.session_host import SessionHost
 from reedhook.wire import encode
 
@@ -52,9 +52,9 @@
         world = SessionWorld(zones=1, hosts_a_zone=1)
         world.configure(1, ["tickets"], [FARM])
         host = await world.start_host(world.refs[0])
-        use(host, Decisions(host.me.host, host.clock, out=write))
+        use(host, DecisionLog(host.me.host, host.clock, output_fd=write))
         await host.announcements.configured.wait()
-        front = Front(host.caller_sessions, "127.0.0.1:0")
+        front = CallerListener(host.caller_sessions, "127.0.0.1:0")
         await front.start()
         address, _, port = front.address.rpartition(":")
 
@@ -73,7 +73,7 @@
     return ""
 
 
-def use(host: SessionHost, decisions: Decisions) -> None:
+def use(host: SessionHost, decisions: DecisionLog) -> None:
     """Have the parts that see callers write their lines."""
     host.caller_sessions.decisions = decisions
     host.caller_sessions.authorization.decisions = decisions
--- a/tests/test_lead_claim.py
+++ b/tests/test_lead_claim.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.peer import HostRef
 from reedhook.process.announced.announcements import Announcements
 from reedhook.process.lead.book import PrimaryLeaseRegistry
@@ -21,7 +21,7 @@
 def claim_at(store: FakeStore) -> HolderClaim:
     """Return the claim of `ME` on a service that it has just taken."""
     clock = LoopClock()
-    decisions = Decisions("h1", clock, out=None)
+    decisions = DecisionLog("h1", clock, output_fd=None)
     keyspace = store.client("h1")
     record = PrimaryLeaseRecord("db", ME, None, [], True, "m1", 3, "", 0)
     revision = store.write(lease_key("db"), record.encoded())
@@ -29,7 +29,7 @@
     book = PrimaryLeaseRegistry(announcements, decisions)
     return HolderClaim(
         record.with_revision(revision),
-        clock.elapsed(),
+        clock.boottime(),
         ME,
         keyspace,
         book,
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -9,7 +9,7 @@
 from reedhook.connection.lanes import MAX_CONNECTION_WAIT_SECONDS
 from reedhook.connection.member import SessionTargetReply, StatementFault
 from reedhook.connection.memberhome import STALLED_AFTER_SECONDS, SessionTargetHome
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
 from reedhook.request.work import (
@@ -42,7 +42,7 @@
             FakePhrases(),
             1,
             clock,
-            Decisions("h1", clock, out=None),
+            DecisionLog("h1", clock, output_fd=None),
             lambda: None,
             lambda position, asked: None,
             3.0,
--- a/tests/test_peer_connector.py
+++ b/tests/test_peer_connector.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import ClientConnectorError, ClientSession, ClientTimeout, web
 
-from reedhook.connector import Connector
+from reedhook.connector import SingleStepConnector
 
 from .support import on_loop
 
@@ -32,7 +32,7 @@
     await server.setup()
     await web.TCPSite(server, "127.0.0.1", 0).start()
     url = f"http://127.0.0.1:{server.addresses[0][1]}/"
-    async with ClientSession(connector=Connector()) as session:
+    async with ClientSession(connector=SingleStepConnector()) as session:
         limit = ClientTimeout(total=2.0, sock_connect=1.0)
         async with session.get(url, timeout=limit) as response:
             assert await response.read() == b"here"
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -7,7 +7,7 @@
 
 from reedhook.connection.member import SessionTargetReply, StatementFault
 from reedhook.connection.memberhome import SessionTargetHome
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.request.refusal import RefusalError
 from reedhook.request.work import (
     SessionStatement,
@@ -84,7 +84,7 @@
             FakePhrases(),
             CONNECTIONS,
             clock,
-            Decisions("h1", clock, out=None),
+            DecisionLog("h1", clock, output_fd=None),
             lambda: None,
             lambda position, asked: None,
             3.0,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -7,8 +7,8 @@
 from hypothesis import given, strategies as st
 
 from reedhook.platform.documents import PlatformDocuments
-from reedhook.platform.line import MOST_BYTES, LineError, LineReader, encoded
-from reedhook.platform.settings import SettingsFault, read, settings_path
+from reedhook.platform.line import MAX_LINE_BYTES, LineError, LineReader, encode_line
+from reedhook.platform.settings import SettingsError, read, settings_path
 from reedhook.platform.text import (
     after,
     read_command,
@@ -104,7 +104,7 @@
 def test_lines_are_the_same_however_they_arrive(
     lines: list[str], cuts: list[int]
 ) -> None:
-    data = b"".join(encoded(line) for line in lines)
+    data = b"".join(encode_line(line) for line in lines)
     reader = LineReader()
     found: list[str] = []
     start = 0
@@ -129,7 +129,12 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"READ a\nREAD b\r\n", b"READ \0\r\n", b"READ a\rb\r\n", b"x" * (MOST_BYTES + 3)],
+    [
+        b"READ a\nREAD b\r\n",
+        b"READ \0\r\n",
+        b"READ a\rb\r\n",
+        b"x" * (MAX_LINE_BYTES + 3),
+    ],
     ids=["bare line feed", "nul", "bare carriage return", "too long"],
 )
 def test_lines_that_could_smuggle_another_are_refused(data: bytes) -> None:
@@ -138,8 +143,8 @@
 
 
 def test_a_line_of_the_longest_size_is_read() -> None:
-    line = "x" * (MOST_BYTES - 2)
-    assert list(LineReader().feed(encoded(line))) == [line]
+    line = "x" * (MAX_LINE_BYTES - 2)
+    assert list(LineReader().feed(encode_line(line))) == [line]
 
 
 @pytest.mark.parametrize(
@@ -305,7 +310,7 @@
 def test_wrong_settings_are_told_with_their_line(
     old: str, new: str, message: str
 ) -> None:
-    with pytest.raises(SettingsFault, match=message.replace(".", r"\.")):
+    with pytest.raises(SettingsError, match=message.replace(".", r"\.")):
         read(SETTINGS.replace(old, new))
 
 
@@ -313,7 +318,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv("REEDHOOK_SETTINGS", raising=False)
-    with pytest.raises(SettingsFault):
+    with pytest.raises(SettingsError):
         settings_path(None)
     monkeypatch.setenv("REEDHOOK_SETTINGS", "/x/settings.conf")
     assert str(settings_path(None)) == "/x/settings.conf"
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -118,7 +118,7 @@
         stand_in.silent = True
         with pytest.raises(StoreUnansweredError):
             await store.get("a", 0.05)
-        store.move("127.0.0.1:9")
+        store.change_address("127.0.0.1:9")
         with pytest.raises(StoreUnansweredError):
             await store.get("a", TIMEOUT)
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -14,7 +14,7 @@
     WrongTargetError,
 )
 from reedhook.platform.driver import WireDriver
-from reedhook.platform.entry import Front, worded
+from reedhook.platform.entry import CallerListener, refusal_fields
 from reedhook.process.callers import CallerSessions
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason, may_have_run, not_run
@@ -116,7 +116,7 @@
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         with pytest.raises(SessionTargetNoReplyError):
             await connection.exchange([TargetQuery("1", "READ a")], 0.1)
-        assert connection.lost
+        assert connection.closed
 
     with_member(test, {"READ a": answer})
 
@@ -159,7 +159,7 @@
         world.configure(1, ["tickets", "views"])
         host = await world.start_host(world.refs[0])
         await host.announcements.configured.wait()
-        front = Front(host.caller_sessions, "127.0.0.1:0")
+        front = CallerListener(host.caller_sessions, "127.0.0.1:0")
         await front.start()
         address, _, port = front.address.rpartition(":")
         reader, writer = await asyncio.open_connection(address, int(port))
@@ -236,8 +236,8 @@
 
 def test_refusals_carry_their_code_and_when_to_come_back() -> None:
     refusal = not_run(RefusalReason.NO_PRIMARY, "no primary", 150)
-    assert worded(refusal) == ("BUSY", "retry_after_ms=150 no primary")
+    assert refusal_fields(refusal) == ("BUSY", "retry_after_ms=150 no primary")
     lost = not_run(RefusalReason.TRANSACTION_LOST, "lost")
-    assert worded(lost) == ("ABORTED", "lost")
+    assert refusal_fields(lost) == ("ABORTED", "lost")
     doubt = may_have_run(RefusalReason.TARGET_UNREACHABLE, "no answer")
-    assert worded(doubt) == ("INDOUBT", "no answer")
+    assert refusal_fields(doubt) == ("INDOUBT", "no answer")
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from reedhook.decisions import Decisions
-from reedhook.directory import Directory
+from reedhook.decisions import DecisionLog
+from reedhook.directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.announced.announcements import Announcements
@@ -36,7 +36,7 @@
 """Share of the operations below a limit that may be refused."""
 
 
-class FixedDirectory(Directory):
+class FixedDirectory(HostDirectory):
     """Rank live hosts, as each host believes them to live.
 
     :ivar lost: hosts that this one takes for lost.
@@ -68,7 +68,7 @@
     def __init__(self, world: "RateWorld", ref: HostRef) -> None:
         self.ref = ref
         clock = world.network.clock(ref.host)
-        decisions = Decisions(ref.host, clock, out=None)
+        decisions = DecisionLog(ref.host, clock, output_fd=None)
         announcements = Announcements(PlainDocuments(), clock, decisions)
         self.freshness = ConfigurationFreshness(announcements, clock)
         self.directory = FixedDirectory(ref, world.refs)
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -88,7 +88,7 @@
     # Nobody of its workspace waits now: it is closed for the one that does.
     lanes.give_back(lane)
     assert (await other).workspace == "b"
-    assert lane.connection.lost
+    assert lane.connection.closed
 
 
 @in_virtual_time
--- a/tests/thin_links.py
+++ b/tests/thin_links.py
@@ -13,7 +13,7 @@
 import random
 from collections import Counter
 
-from reedhook.decisions import Decisions
+from reedhook.decisions import DecisionLog
 from reedhook.peer import HostRef, PeerError, PeerRoutes
 from reedhook.process.announced.announcements import Announcements
 from reedhook.process.announced.freshness import ConfigurationFreshness
@@ -23,7 +23,7 @@
 from reedhook.process.announced.watch import StoreWatcher
 from reedhook.process.fleet.rendezvous import ranked_hosts
 from reedhook.version.registry import RouteTable
-from reedhook.wire import Json, decode, encode, reader
+from reedhook.wire import Json, decode, encode, wraps_decode_errors
 
 from .fakes_clock import LoopClock
 from .fakes_keyspace import FakeKeyspace, FakeStore
@@ -123,7 +123,7 @@
 class LongDocuments(PlainDocuments):
     """Read configurations of many routes."""
 
-    @reader
+    @wraps_decode_errors
     def read_table(self, value: bytes) -> RouteTable:
         return table(decode(value)["version"], ["views"])
 
@@ -138,7 +138,7 @@
         self.peers: FakePeers = world.network.join(ref, self.routes)
         self.random = random.Random(f"{world.seed} {ref.host}")
         clock = LoopClock()
-        decisions = Decisions(ref.host, clock, out=None)
+        decisions = DecisionLog(ref.host, clock, output_fd=None)
         self.versions: dict[str, int] = {}
         self.backwards = 0
         self.in_force: dict[int, float] = {}
