--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -20,10 +20,10 @@
 
 from reedhook.process.worker import ThreadWorker
 from reedhook.version.catalog import Catalog
-from reedhook.version.check import validate_documents
 from reedhook.version.document import BASE_FILE, ConfigurationDocuments, parse_document
-from reedhook.version.edition import ConfigurationSnapshot, build_snapshot
 from reedhook.version.merge import merge_site
+from reedhook.version.snapshot import ConfigurationSnapshot, build_snapshot
+from reedhook.version.validation import validate_documents
 from tests.config_fleet import Fleet, FleetHost
 from tests.fakes_clock import run_virtual
 
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -22,7 +22,7 @@
 import docopt
 
 from reedhook.process.events.timeline import Event, EventKind
-from reedhook.process.groups.promotion import GroupPromotion
+from reedhook.process.groups.group_promotion import GroupPromotion
 from reedhook.request.refusal import RefusalError
 from reedhook.wire import Json
 from tests.cluster_group import NAMES, Cluster
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -12,7 +12,7 @@
 from collections import Counter, defaultdict
 from typing import Any, Final
 
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.events.timeline import Timeline
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
--- a/src/reedhook/background.py
+++ b/src/reedhook/background_tasks.py
@@ -4,7 +4,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from .decisions import DecisionLog
+from .decision_log import DecisionLog
 
 
 class BackgroundTasks:
--- a/src/reedhook/connection/channel.py
+++ b/src/reedhook/connection/channel.py
@@ -14,7 +14,7 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
-from .reset import reset_transport
+from .transport_reset import reset_transport
 
 CONNECTION_ERRORS: Final = (OSError, TimeoutError)
 JSON_HEADERS: Final[dict[str, str]] = {"Content-Type": "application/json"}
--- a/src/reedhook/connection/lane.py
+++ b/src/reedhook/connection/pooled_connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from .member import SessionTargetConnection
+from .session_target import SessionTargetConnection
 
 
 class PooledConnection:
--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -3,24 +3,28 @@
 import asyncio
 from typing import Final
 
-from ..background import BackgroundTasks
+from ..background_tasks import BackgroundTasks
 from ..clock import Clock
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..metrics import Metrics
-from ..process.announced.announcements import Announcements
+from ..process.discovery.announcements import Announcements
 from ..record import Record
 from ..request.authorization import Authorizer
-from ..request.command import SessionCommand, SessionCommandKind
-from ..request.hop import StatementLocation
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
-from ..request.steering import SessionRouter
-from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
-from ..version.registry import Route
+from ..request.session_command import SessionCommand, SessionCommandKind
+from ..request.session_router import SessionRouter
+from ..request.session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
+from ..request.statement_forwarder import StatementLocation
+from ..version.route_table import Route
 from ..version.workspace import short_digest
-from .lanes import PREPARED, VALUE
-from .member import SessionTargetReply, StatementFault
-from .state import SessionState
+from .session_connection_pool import PREPARED, VALUE
+from .session_state import SessionState
+from .session_target import SessionTargetReply, StatementFault
 
 RETRY_MS: Final = 50
 """When to come back after a transaction was lost, in milliseconds."""
--- a/src/reedhook/connection/lanes.py
+++ b/src/reedhook/connection/session_connection_pool.py
@@ -8,9 +8,10 @@
 from ..clock import Clock
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
-from ..version.registry import TargetAnnouncement
-from .lane import PooledConnection, Waiter, is_granted, reset_cost
-from .member import (
+from ..version.route_table import TargetAnnouncement
+from .pooled_connection import PooledConnection, Waiter, is_granted, reset_cost
+from .session_state import SessionState
+from .session_target import (
     SessionTargetDataLossError,
     SessionTargetDriver,
     SessionTargetFullError,
@@ -20,7 +21,6 @@
     StatementFault,
     TargetQuery,
 )
-from .state import SessionState
 
 OnConnectionOpened: TypeAlias = Callable[[Position | None], None]
 
--- a/src/reedhook/connection/member.py
+++ b/src/reedhook/connection/session_target.py
@@ -6,8 +6,8 @@
 
 from ..record import Record
 from ..request.position import Position
-from ..version.registry import TargetAnnouncement
-from .state import SessionState
+from ..version.route_table import TargetAnnouncement
+from .session_state import SessionState
 
 
 class SessionTargetUnreachableError(Exception):
--- a/src/reedhook/connection/memberhome.py
+++ b/src/reedhook/connection/session_target_home.py
@@ -4,26 +4,24 @@
 from typing import Final
 
 from ..clock import Clock
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..request.position import Position
 from ..request.refusal import RefusalError, RefusalReason, not_run
-from ..request.work import SessionStatement, SessionStatementKind, TransactionMode
-from ..version.registry import TargetAnnouncement
-from .homerefusals import (
-    RETRY_MS,
-    home_closed_refusal,
-    target_stalled_refusal,
-    transaction_lost_refusal,
-    unanswered_read_refusal,
-    unanswered_write_refusal,
+from ..request.session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
 )
-from .lane import PooledConnection
-from .lanes import (
+from ..version.route_table import TargetAnnouncement
+from .admission_queue import AdmissionQueue, AdmissionRequest, ConnectionAvailability
+from .pooled_connection import PooledConnection
+from .session_connection_pool import (
     MAX_CONNECTION_WAIT_SECONDS,
     OnConnectionOpened,
     SessionConnectionPool,
 )
-from .member import (
+from .session_state import SessionState
+from .session_target import (
     SessionTargetDriver,
     SessionTargetNoReplyError,
     SessionTargetReply,
@@ -32,9 +30,18 @@
     StatementFault,
     TargetQuery,
 )
-from .opentransactions import SessionTargetTransaction, SessionTargetTransactions
-from .state import SessionState
-from .turns import AdmissionQueue, AdmissionRequest, ConnectionAvailability
+from .session_target_refusals import (
+    RETRY_MS,
+    home_closed_refusal,
+    target_stalled_refusal,
+    transaction_lost_refusal,
+    unanswered_read_refusal,
+    unanswered_write_refusal,
+)
+from .session_target_transactions import (
+    SessionTargetTransaction,
+    SessionTargetTransactions,
+)
 
 FIRST_READ_TIMEOUT_SECONDS: Final = 0.35
 """Seconds after which a read is sent again on a new connection; the longest
--- a/src/reedhook/connection/opentransactions.py
+++ b/src/reedhook/connection/session_target_transactions.py
@@ -3,18 +3,18 @@
 import asyncio
 from typing import Final
 
-from ..background import BackgroundTasks
-from ..decisions import DecisionLog
-from ..request.work import SessionStatement, SessionStatementKind
-from .lane import PooledConnection
-from .lanes import SessionConnectionPool
-from .member import (
+from ..background_tasks import BackgroundTasks
+from ..decision_log import DecisionLog
+from ..request.session_statement import SessionStatement, SessionStatementKind
+from .pooled_connection import PooledConnection
+from .session_connection_pool import SessionConnectionPool
+from .session_state import SessionState
+from .session_target import (
     SessionTargetNoReplyError,
     SessionTargetReply,
     StatementDialect,
     TargetQuery,
 )
-from .state import SessionState
 
 IDLE_MARGIN_SECONDS: Final = 1.0
 """Seconds beyond the rest that a transaction is allowed, after which the home
--- a/src/reedhook/connection/single.py
+++ b/src/reedhook/connection/single_statement_runner.py
@@ -1,13 +1,13 @@
 """Statements outside transactions."""
 
 from ..request.deadline import Deadline
-from ..request.queue import SlotQueue
 from ..request.refusal import RefusalError
+from ..request.slot_queue import SlotQueue
 from ..request.statement import Statement, StatementKind
-from .call import AttemptKind
-from .sender import StatementSender
+from .statement_runner import AttemptKind
+from .statement_sender import StatementSender
 from .target import TargetNoReplyError, TargetResult, TargetUnreachableError
-from .verdicts import no_reply_refusal, target_unreachable_refusal
+from .target_refusals import no_reply_refusal, target_unreachable_refusal
 
 
 class SingleStatementRunner:
--- a/src/reedhook/connection/call.py
+++ b/src/reedhook/connection/statement_runner.py
@@ -8,15 +8,15 @@
 from ..clock import Clock
 from ..request.deadline import Deadline
 from ..request.statement import Statement, StatementKind
-from .health import TargetFailureDetector
-from .patience import ResponseTimeouts
-from .stall import StalledWriteDetector
+from .response_timeouts import ResponseTimeouts
+from .stalled_write_detector import StalledWriteDetector
 from .target import (
     TargetConnection,
     TargetNoReplyError,
     TargetRefusedError,
     TargetResult,
 )
+from .target_failure_detector import TargetFailureDetector
 
 MIN_TIMEOUT_SECONDS: Final = 0.001
 """Seconds given to a statement whose deadline passes while it is sent."""
--- a/src/reedhook/connection/sender.py
+++ b/src/reedhook/connection/statement_sender.py
@@ -4,9 +4,7 @@
 
 from ..request.deadline import Deadline
 from ..request.statement import Statement
-from .call import AttemptKind, StatementRunner
-from .health import TargetFailureDetector
-from .pool import TargetConnectionPool
+from .statement_runner import AttemptKind, StatementRunner
 from .target import (
     TargetConnection,
     TargetFullError,
@@ -14,7 +12,9 @@
     TargetResult,
     TargetUnreachableError,
 )
-from .verdicts import (
+from .target_connection_pool import TargetConnectionPool
+from .target_failure_detector import TargetFailureDetector
+from .target_refusals import (
     deadline_refusal,
     target_full_refusal,
     target_refused_refusal,
--- a/src/reedhook/connection/control.py
+++ b/src/reedhook/connection/target_control.py
@@ -6,8 +6,6 @@
 from typing import Final, TypeAlias
 
 from ..clock import Clock
-from .health import TargetFailureDetector
-from .pool import TargetConnectionPool
 from .target import (
     MemberState,
     Role,
@@ -17,6 +15,8 @@
     TargetNoReplyError,
     TargetUnreachableError,
 )
+from .target_connection_pool import TargetConnectionPool
+from .target_failure_detector import TargetFailureDetector
 
 LONG_POLL_SECONDS: Final = 0.1
 """Seconds for which the target may hold the question for a new state."""
--- a/src/reedhook/connection/health.py
+++ b/src/reedhook/connection/target_failure_detector.py
@@ -9,8 +9,8 @@
 from typing import Final
 
 from ..clock import Clock
-from .pool import PoolExhaustedError, TargetConnectionPool
 from .target import MemberState, TargetError, TargetFullError
+from .target_connection_pool import PoolExhaustedError, TargetConnectionPool
 
 MAX_PROBES: Final = 3
 """Connections on which the target is asked, in case packets are lost."""
--- a/src/reedhook/connection/targethome.py
+++ b/src/reedhook/connection/target_home.py
@@ -11,20 +11,17 @@
 from ..process.events.timeline import EventKind, Timeline
 from ..request.deadline import Deadline
 from ..request.position import ORIGIN
-from ..request.queue import SlotQueue
 from ..request.refusal import RefusalError
+from ..request.slot_queue import SlotQueue
 from ..request.statement import Statement, StatementKind
 from ..version.catalog import Group, Limits, Member
-from .budget import ConnectionBudget
-from .call import StatementRunner
-from .control import StateWatch, TargetControl
-from .health import TargetFailureDetector
+from .connection_budget import ConnectionBudget
 from .home import Home, HomeLoad
-from .patience import ResponseTimeouts
-from .pool import TargetConnectionPool
-from .sender import StatementSender
-from .single import SingleStatementRunner
-from .stall import StalledWriteDetector
+from .response_timeouts import ResponseTimeouts
+from .single_statement_runner import SingleStatementRunner
+from .stalled_write_detector import StalledWriteDetector
+from .statement_runner import StatementRunner
+from .statement_sender import StatementSender
 from .target import (
     MemberState,
     Role,
@@ -33,12 +30,15 @@
     TargetRefusedError,
     TargetResult,
 )
-from .transaction import TransactionRunner
-from .verdicts import (
+from .target_connection_pool import TargetConnectionPool
+from .target_control import StateWatch, TargetControl
+from .target_failure_detector import TargetFailureDetector
+from .target_refusals import (
     target_leaving_refusal,
     target_unreachable_refusal,
     wrong_home_refusal,
 )
+from .transaction_runner import TransactionRunner
 
 log = Logger("home")
 
--- a/src/reedhook/connection/transaction.py
+++ b/src/reedhook/connection/transaction_runner.py
@@ -5,13 +5,13 @@
 
 from ..record import Record
 from ..request.deadline import Deadline
-from ..request.queue import SlotQueue
+from ..request.priority_class import QueueEntry
 from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
-from ..request.share import QueueEntry
+from ..request.slot_queue import SlotQueue
 from ..request.statement import Statement, StatementKind
 from ..request.verdict import Verdict
-from .call import AttemptKind
-from .sender import StatementSender
+from .statement_runner import AttemptKind
+from .statement_sender import StatementSender
 from .target import (
     TargetConnection,
     TargetError,
@@ -19,7 +19,11 @@
     TargetResult,
     TargetUnreachableError,
 )
-from .verdicts import no_reply_refusal, target_full_refusal, target_unreachable_refusal
+from .target_refusals import (
+    no_reply_refusal,
+    target_full_refusal,
+    target_unreachable_refusal,
+)
 
 MAX_ENDED_TRANSACTIONS: Final = 1024
 """Transactions that were ended here and are remembered to say why."""
--- a/src/reedhook/platform/assembly.py
+++ b/src/reedhook/platform/assembly.py
@@ -8,22 +8,22 @@
 import logbook
 
 from ..clock import Clock, SystemClock
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..peer import HostRef
 from ..process.events.timeline import Timeline
 from ..process.histograms import HistogramMetrics
-from ..process.hosting_settings import SessionHostSettings
 from ..process.network.peer_http import HttpPeers
 from ..process.network.peer_server import PeerEndpoint, PeerServer
 from ..process.network.plain_server import PlainServer
 from ..process.session_host import SessionHost
+from ..process.session_host_settings import SessionHostSettings
 from ..process.session_process import SessionProcess
 from . import settings as settings_file
+from .caller_listener import CallerListener
 from .documents import PlatformDocuments
 from .driver import WireDriver, WirePhrases
-from .duty import PlatformPromoter
-from .entry import CallerListener
 from .probe import ProbeHandler
+from .promoter import PlatformPromoter
 from .store import PlatformStore
 
 PEER_CREDENTIAL: Final = "reedhook"
--- a/src/reedhook/platform/entry.py
+++ b/src/reedhook/platform/caller_listener.py
@@ -5,10 +5,10 @@
 from typing import Final, cast
 
 from ..address import split_address
-from ..connection.member import StatementFault
 from ..connection.session import Session, SessionReply
-from ..connection.state import SessionState
-from ..process.callers import CallerConnection, CallerSessions
+from ..connection.session_state import SessionState
+from ..connection.session_target import StatementFault
+from ..process.caller_sessions import CallerConnection, CallerSessions
 from ..request.refusal import RefusalError, RefusalReason
 from ..request.verdict import Verdict
 from . import text
--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -3,8 +3,8 @@
 from typing import Any, Final
 
 from ..address import split_address
-from ..process.announced.documents import StoreValueParser
-from ..version.registry import (
+from ..process.discovery.store_value_parser import StoreValueParser
+from ..version.route_table import (
     Route,
     RouteConsistency,
     RouteTable,
--- a/src/reedhook/platform/driver.py
+++ b/src/reedhook/platform/driver.py
@@ -3,7 +3,8 @@
 import asyncio
 from typing import Final, cast
 
-from ..connection.member import (
+from ..connection.session_state import SessionState
+from ..connection.session_target import (
     SessionTargetConnection,
     SessionTargetDriver,
     SessionTargetFullError,
@@ -16,10 +17,9 @@
     TargetQuery,
     WrongTargetError,
 )
-from ..connection.reset import reset_transport
-from ..connection.state import SessionState
+from ..connection.transport_reset import reset_transport
 from ..request.position import ORIGIN, Position
-from ..version.registry import TargetAnnouncement
+from ..version.route_table import TargetAnnouncement
 from . import text
 from .line import LineError, LineReader, encode_line
 
--- a/src/reedhook/platform/duty.py
+++ b/src/reedhook/platform/promoter.py
@@ -7,7 +7,7 @@
     ResponseIncompleteError,
     open_channel,
 )
-from ..process.lead.duty import OrderOutcome, Promoter
+from ..process.primary_lease.promotion_coordinator import OrderOutcome, Promoter
 from ..wire import encode
 
 PROMOTION_PATH: Final = "promotion"
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 from ..address import split_address
-from ..process.hosting_settings import SessionHostSettings
-from ..process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
+from ..process.rates.rate_tolerance import DEFAULT_TOLERANCE, RateTolerance
+from ..process.session_host_settings import SessionHostSettings
 
 SETTINGS_VARIABLE: Final = "REEDHOOK_SETTINGS"
 """Environment variable with the path of the file."""
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -11,8 +11,8 @@
     ChannelResponse,
     ResponseIncompleteError,
 )
-from ..connection.link import ChannelPool
-from ..process.announced.keyspace import (
+from ..connection.channel_pool import ChannelPool
+from ..process.discovery.key_value_store import (
     HistoryCompactedError,
     Item,
     Items,
--- a/src/reedhook/platform/text.py
+++ b/src/reedhook/platform/text.py
@@ -2,10 +2,10 @@
 
 from typing import Final
 
-from ..connection.member import StatementFault
-from ..connection.state import SessionState
-from ..request.command import SessionCommand, SessionCommandKind
+from ..connection.session_state import SessionState
+from ..connection.session_target import StatementFault
 from ..request.position import Position
+from ..request.session_command import SessionCommand, SessionCommandKind
 
 NONE: Final = "-"
 """Stands where there is no id, no position or no signature."""
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -8,9 +8,9 @@
 from aiohttp import web
 
 from ...request.api import read_body, respond, respond_refused
+from ...request.group_view import GroupView
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.verdict import Verdict
-from ...request.view import GroupView
 from ...version.catalog import Group
 from ...wire import Json, WireError, decode
 from ..events.timeline_filter import EventFilter
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -8,8 +8,8 @@
 from ...request.api import respond
 from ...request.verdict import Verdict
 from ...version.document import ConfigurationDocuments
-from ...version.edition import SnapshotManifest
-from ...version.fault import InvalidConfigurationError
+from ...version.errors import InvalidConfigurationError
+from ...version.snapshot import SnapshotManifest
 from ...wire import Json, WireError
 from ..configuring.editor import ConfigurationEditor
 from .admin import OPERATOR, Admin
--- a/src/reedhook/process/administration/admin_source.py
+++ b/src/reedhook/process/administration/admin_source.py
@@ -4,7 +4,7 @@
 
 from ...metrics import MemoryMetrics
 from ...peer import HostRef
-from ...request.view import GroupView
+from ...request.group_view import GroupView
 from ...version.catalog import Catalog, Group
 from ..events.timeline import Timeline
 from .admin_status import HostStatus, KnownHost
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ...record import Record
-from ...request.view import GroupView
+from ...request.group_view import GroupView
 from ...version.catalog import Group
 from ...wire import Json, WireError
 
--- a/src/reedhook/process/administration/hostsource.py
+++ b/src/reedhook/process/administration/host_source.py
@@ -6,13 +6,13 @@
 from ...metrics import MemoryMetrics, Metrics
 from ...peer import HostRef
 from ...request.api import Api
-from ...request.view import GroupView
-from ...request.views import GroupViewCache
+from ...request.group_view import GroupView
+from ...request.group_view_cache import GroupViewCache
 from ...version.catalog import Catalog, Group
-from ..configuring.configuration import ConfigurationManager
+from ..configuring.configuration_manager import ConfigurationManager
 from ..events.timeline import Timeline
 from ..fleet.membership import Membership
-from ..groups.homes import LocalHomes
+from ..groups.local_homes import LocalHomes
 from .admin_source import AdminSource
 from .admin_status import HostPhase, HostStatus, KnownHost
 
--- a/src/reedhook/process/callers.py
+++ b/src/reedhook/process/caller_sessions.py
@@ -7,12 +7,12 @@
 
 from ..clock import Clock
 from ..connection.session import Session, unknown_database_refusal
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..metrics import Metrics
 from ..request.authorization import Authorizer
 from ..request.refusal import RefusalReason, not_run
-from ..request.steering import SessionRouter
-from .announced.announcements import Announcements
+from ..request.session_router import SessionRouter
+from .discovery.announcements import Announcements
 
 CONFIGURATION_TIMEOUT_SECONDS: Final = 1.5
 """Seconds for which a new session waits for the first configuration; callers
--- a/src/reedhook/process/configuring/edit.py
+++ b/src/reedhook/process/configuring/configuration_edit.py
@@ -7,7 +7,7 @@
 from ...request.verdict import Verdict
 from ...version.difference import VersionChanges
 from ...version.document import ConfigurationDocuments
-from ...version.edition import (
+from ...version.snapshot import (
     ConfigurationSnapshot,
     SnapshotError,
     SnapshotManifest,
@@ -15,8 +15,8 @@
     manifest_matches,
 )
 from ...wire import Json
-from .archive import StoredHead
-from .reader import RETRY_AFTER_MS, SnapshotReader
+from .snapshot_reader import RETRY_AFTER_MS, SnapshotReader
+from .snapshot_repository import StoredHead
 from .store import StoreConflictError, StoreEntry, StoreError, StoreUnavailableError
 
 APPLY_TIMEOUT_SECONDS: Final = 10.0
--- a/src/reedhook/process/configuring/configuration.py
+++ b/src/reedhook/process/configuring/configuration_manager.py
@@ -12,14 +12,14 @@
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.catalog import Catalog
-from ...version.check import validate_documents
 from ...version.document import ConfigurationDocuments
-from ...version.edition import ConfigurationSnapshot, SnapshotError
-from ...version.fault import InvalidConfigurationError
+from ...version.errors import InvalidConfigurationError
+from ...version.snapshot import ConfigurationSnapshot, SnapshotError
+from ...version.validation import validate_documents
 from ...wire import Json
 from ..events.timeline import EventKind, Timeline
 from ..worker import ThreadWorker, Worker
-from .exchange import (
+from .snapshot_exchange import (
     CONFIGURATION_PATH,
     PEER_TIMEOUT_SECONDS,
     SnapshotPull,
--- a/src/reedhook/process/configuring/relay.py
+++ b/src/reedhook/process/configuring/configuration_relay.py
@@ -8,11 +8,11 @@
 import logbook
 
 from ...clock import Clock
-from ...version.edition import SnapshotError
+from ...version.snapshot import SnapshotError
 from ...wire import Json
 from ..events.timeline import EventKind
-from .archive import HEAD_KEY, SnapshotRepository, StoredHead, stored_head
-from .configuration import ConfigurationManager
+from .configuration_manager import ConfigurationManager
+from .snapshot_repository import HEAD_KEY, SnapshotRepository, StoredHead, stored_head
 from .store import StoreError
 
 WATCH_HOLD_SECONDS: Final = 25.0
--- a/src/reedhook/process/configuring/editor.py
+++ b/src/reedhook/process/configuring/editor.py
@@ -6,15 +6,15 @@
 
 from ...clock import Clock
 from ...request.refusal import RefusalReason, not_run
-from ...version.check import validate_documents
 from ...version.difference import PathChange
 from ...version.document import ConfigurationDocuments
-from ...version.edition import SnapshotManifest
+from ...version.snapshot import SnapshotManifest
+from ...version.validation import validate_documents
 from ..worker import ThreadWorker, Worker
-from .archive import SnapshotRepository
-from .configuration import ConfigurationManager
-from .edit import ConfigurationEdit
-from .reader import SnapshotReader
+from .configuration_edit import ConfigurationEdit
+from .configuration_manager import ConfigurationManager
+from .snapshot_reader import SnapshotReader
+from .snapshot_repository import SnapshotRepository
 
 MAX_EDIT_ID_CHARACTERS: Final = 64
 MAX_AUTHOR_CHARACTERS: Final = 128
--- a/src/reedhook/process/configuring/exchange.py
+++ b/src/reedhook/process/configuring/snapshot_exchange.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from ...peer import HostRef, PeerClient
-from ...version.edition import (
+from ...version.snapshot import (
     ConfigurationSnapshot,
     PartRef,
     SnapshotError,
--- a/src/reedhook/process/configuring/reader.py
+++ b/src/reedhook/process/configuring/snapshot_reader.py
@@ -6,10 +6,10 @@
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.difference import PathChange, VersionChanges, changes_between
 from ...version.document import ConfigurationDocuments
-from ...version.edition import ConfigurationSnapshot, SnapshotError, SnapshotManifest
+from ...version.snapshot import ConfigurationSnapshot, SnapshotError, SnapshotManifest
 from ..worker import Worker
-from .archive import SnapshotRepository, StoredHead
-from .configuration import ConfigurationManager
+from .configuration_manager import ConfigurationManager
+from .snapshot_repository import SnapshotRepository, StoredHead
 from .store import StoreError, StoreUnavailableError
 
 MAX_REPORTED_VERSIONS: Final = 8
--- a/src/reedhook/process/configuring/archive.py
+++ b/src/reedhook/process/configuring/snapshot_repository.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...record import Record
-from ...version.edition import (
+from ...version.snapshot import (
     ConfigurationSnapshot,
     PartRef,
     SnapshotError,
--- a/src/reedhook/process/announced/announcements.py
+++ b/src/reedhook/process/discovery/announcements.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
-from ...version.registry import EMPTY_ROUTE_TABLE, RouteTable, TargetAnnouncement
+from ...decision_log import DecisionLog
+from ...version.route_table import EMPTY_ROUTE_TABLE, RouteTable, TargetAnnouncement
 from ...wire import WireError
-from .documents import StoreValueParser
-from .keyspace import Item, Items
-from .mirror import StoreMirror
+from .key_value_store import Item, Items
+from .store_mirror import StoreMirror
+from .store_value_parser import StoreValueParser
 
 SYSTEM_KEY_PREFIX: Final = "reedhook/"
 """Begins the keys that hosts of the system write."""
--- a/src/reedhook/process/announced/proving.py
+++ b/src/reedhook/process/discovery/freshness_prover.py
@@ -7,8 +7,8 @@
 from ...clock import Clock
 from ...peer import HostRef
 from .announcements import Announcements
-from .freshness import ConfigurationFreshness
-from .keyspace import KeyValueStore, KeyValueStoreError
+from .configuration_freshness import ConfigurationFreshness
+from .key_value_store import KeyValueStore, KeyValueStoreError
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks at the age of what is known."""
--- a/src/reedhook/process/announced/capacities.py
+++ b/src/reedhook/process/discovery/host_capacities.py
@@ -4,7 +4,7 @@
 
 from ...wire import WireError, decode
 from .announcements import HOSTS_KEY_PREFIX, Announcements
-from .keyspace import Item
+from .key_value_store import Item
 
 LINK_MBPS_PER_CORE: Final = 20.0
 """Mbit/s that one core can fill: it passes on about 600 statements a second, each
--- a/src/reedhook/process/announced/registration.py
+++ b/src/reedhook/process/discovery/host_registration.py
@@ -4,11 +4,16 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import HostRef
 from ...wire import WireError, decode, encode
 from .announcements import HOSTS_KEY_PREFIX, Announcements
-from .keyspace import Item, KeyValueStore, KeyValueStoreError, StoreLeaseExpiredError
+from .key_value_store import (
+    Item,
+    KeyValueStore,
+    KeyValueStoreError,
+    StoreLeaseExpiredError,
+)
 
 STORE_LEASE_SECONDS: Final = 60.0
 """Seconds after which the entry of a host that is gone vanishes; other hosts
--- a/src/reedhook/process/announced/tables.py
+++ b/src/reedhook/process/discovery/route_table_transfer.py
@@ -5,13 +5,13 @@
 from random import Random
 from typing import Final
 
-from ...background import BackgroundTasks
+from ...background_tasks import BackgroundTasks
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
 from ...version.delta import EMPTY_DIGEST, Delta, apply_delta, digest, make_delta
-from ...version.registry import RouteTable
+from ...version.route_table import RouteTable
 from ...wire import Json, WireError, non_negative_int_field, string_field
 from .announcements import Announcements
 
--- a/src/reedhook/process/announced/mirror.py
+++ b/src/reedhook/process/discovery/store_mirror.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from typing import Final
 
-from .keyspace import HistoryCompactedError, Item, Items
+from .key_value_store import HistoryCompactedError, Item, Items
 
 KEPT_DELETIONS: Final = 4096
 """Deletions that are kept; all hosts of the largest deployment may leave and come
--- a/src/reedhook/process/announced/documents.py
+++ b/src/reedhook/process/discovery/store_value_parser.py
@@ -2,7 +2,7 @@
 
 from abc import ABC, abstractmethod
 
-from ...version.registry import RouteTable, TargetAnnouncement
+from ...version.route_table import RouteTable, TargetAnnouncement
 
 
 class StoreValueParser(ABC):
--- a/src/reedhook/process/announced/watch.py
+++ b/src/reedhook/process/discovery/store_watcher.py
@@ -6,8 +6,13 @@
 
 from ...clock import Clock
 from .announcements import Announcements
-from .freshness import ConfigurationFreshness
-from .keyspace import HistoryCompactedError, Items, KeyValueStore, KeyValueStoreError
+from .configuration_freshness import ConfigurationFreshness
+from .key_value_store import (
+    HistoryCompactedError,
+    Items,
+    KeyValueStore,
+    KeyValueStoreError,
+)
 
 HOLD_SECONDS: Final = 2.0
 HOLD_MARGIN_SECONDS: Final = 0.5
--- a/src/reedhook/process/announced/news.py
+++ b/src/reedhook/process/discovery/update_source.py
@@ -7,14 +7,14 @@
 from typing import Any, Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, non_negative_int_field, wraps_decode_errors
 from .announcements import Announcements
-from .freshness import ConfigurationFreshness
-from .keyspace import HistoryCompactedError, Item, Items
-from .watch import UpdateSource
+from .configuration_freshness import ConfigurationFreshness
+from .key_value_store import HistoryCompactedError, Item, Items
+from .store_watcher import UpdateSource
 
 UPDATES_PATH: Final = "news"
 
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -16,12 +16,12 @@
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason
 from ...wire import Json, WireError
-from .greeter import UNKNOWN_ID, HostDiscovery
+from .gossip_sender import GossipSender
 from .heartbeat_timing import HeartbeatTiming
+from .host_discovery import UNKNOWN_ID, HostDiscovery
 from .local_health import LocalHealth
 from .membership import Membership
 from .membership_record import HostRecord, MembershipState
-from .news_spreader import GossipSender
 from .ring import watched_hosts
 
 FAR_EVERY: Final = 4
--- a/src/reedhook/process/fleet/listing.py
+++ b/src/reedhook/process/fleet/hostlist_poller.py
@@ -10,7 +10,6 @@
 from ...peer import PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...version.catalog import Catalog, Member
-from .directory import MembershipDirectory
 from .hostlist import (
     HostList,
     HostListEntry,
@@ -18,8 +17,9 @@
     ListedKind,
     ListedState,
 )
-from .leaving import LEAVING_PATH
+from .leaving_targets import LEAVING_PATH
 from .membership import Membership
+from .membership_directory import MembershipDirectory
 from .membership_record import MembershipState
 
 MIN_POLL_INTERVAL_SECONDS: Final = 1.0
--- a/src/reedhook/process/fleet/leaving.py
+++ b/src/reedhook/process/fleet/leaving_targets.py
@@ -12,7 +12,7 @@
 from ...request.refusal import RefusalReason, not_run
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
-from ..groups.group import GroupManager
+from ..groups.group_manager import GroupManager
 
 LEAVING_PATH: Final = "leaving"
 HAND_OVER_TIMEOUT_SECONDS: Final = 1.5
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -12,7 +12,7 @@
 from ...peer import HostRef
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
-from .membership_news import GossipQueue
+from .gossip_queue import GossipQueue
 from .membership_record import HostRecord, MembershipState
 from .membership_table import BUCKETS, MembershipTable, RecordChange
 
--- a/src/reedhook/process/fleet/directory.py
+++ b/src/reedhook/process/fleet/membership_directory.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...peer import HostRef
 from .membership_record import HostRecord
 from .membership_table import MembershipTable, RecordChange
--- a/src/reedhook/process/groups/group.py
+++ b/src/reedhook/process/groups/group_manager.py
@@ -8,29 +8,33 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...metrics import Metrics
 from ...peer import PeerClient, PeerError
+from ...request.group_view import GroupView
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
-from ...request.view import GroupView
 from ...version.catalog import Group
 from ..events.timeline import EventKind, Timeline
-from .confirmation import GroupLeader, LeaderConfirmation
-from .control import (
+from .group_promotion_coordinator import (
+    GroupPromotionCoordinator,
+    PrimaryChangeCallback,
+    to_rounded_ms,
+)
+from .group_state import GroupState
+from .leader_confirmation import GroupLeader, LeaderConfirmation
+from .member_control import (
     ControlOperation,
     MemberController,
     MemberControlRequest,
     PeerMemberController,
 )
-from .coordinator import GroupPromotionCoordinator, PrimaryChangeCallback, to_rounded_ms
-from .guard import HostLostCallback, PrimaryMonitor
-from .handover import PlannedHandover
-from .knowledge import GroupState
-from .proofs import PendingProofs
-from .report import ReplicaReport, ReplicaReportAnswer, ReplicaReporter
-from .sampling import PrimarySampler
-from .suspicion import PrimaryProber
+from .pending_proofs import PendingProofs
+from .planned_handover import PlannedHandover
+from .primary_monitor import HostLostCallback, PrimaryMonitor
+from .primary_prober import PrimaryProber
+from .primary_sampler import PrimarySampler
+from .replica_reporter import ReplicaReport, ReplicaReportAnswer, ReplicaReporter
 
 CONFIRM_TIMEOUT_SECONDS: Final = 0.25
 CONFIRM_RETRY_DELAY_SECONDS: Final = 0.01
--- a/src/reedhook/process/groups/keepers.py
+++ b/src/reedhook/process/groups/group_managers.py
@@ -8,7 +8,7 @@
 
 from ...connection.home import Home
 from ...version.catalog import Catalog, Group
-from .group import GroupManager
+from .group_manager import GroupManager
 
 GroupHomesLookup: TypeAlias = Callable[[str], list[Home]]
 GroupManagerFactory: TypeAlias = Callable[[Group], GroupManager]
--- a/src/reedhook/process/groups/promotion.py
+++ b/src/reedhook/process/groups/group_promotion.py
@@ -14,7 +14,7 @@
 from ...record import Record
 from ...request.refusal import RefusalError, RefusalReason
 from ...version.catalog import Group
-from .control import ControlOperation, MemberController, MemberControlRequest
+from .member_control import ControlOperation, MemberController, MemberControlRequest
 
 STEP_TIMEOUT_SECONDS: Final = 0.25
 RAISE_GRACE_SECONDS: Final = 0.02
--- a/src/reedhook/process/groups/coordinator.py
+++ b/src/reedhook/process/groups/group_promotion_coordinator.py
@@ -10,20 +10,20 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, Role
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...metrics import Metrics
 from ...record import Record
 from ...request.refusal import RefusalError
 from ..events.timeline import EventKind, Timeline
-from .control import ControlOperation, MemberController, MemberControlRequest
-from .knowledge import GroupState
-from .promotion import (
+from .group_promotion import (
     STEP_TIMEOUT_SECONDS,
     GroupPromotion,
     GroupPromotionError,
     GroupPromotionResult,
 )
-from .suspicion import PromotionCause
+from .group_state import GroupState
+from .member_control import ControlOperation, MemberController, MemberControlRequest
+from .primary_prober import PromotionCause
 
 DELAY_PER_RANK_SECONDS: Final = 0.1
 OTHER_COORDINATOR_WAIT_SECONDS: Final = 0.3
--- a/src/reedhook/process/groups/grouproutes.py
+++ b/src/reedhook/process/groups/group_routes.py
@@ -6,23 +6,23 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError, TargetFactory
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...peer import PeerRoutes
-from ...request.execution import StatementExecutor
+from ...request.group_view import GroupViewRequest
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...request.statement import Statement
-from ...request.view import GroupViewRequest
+from ...request.statement_executor import StatementExecutor
 from ...version.catalog import Catalog, Group, Member
 from ...wire import Json, string_field
-from .control import (
+from .group_manager import GroupManager
+from .member_control import (
     ControlOperation,
     MemberControlRequest,
     control_at_home,
     control_at_target,
 )
-from .group import GroupManager
-from .report import ReplicaReport
-from .suspicion import MAX_PROBED_HOSTS, PrimaryLiveness
+from .primary_prober import MAX_PROBED_HOSTS, PrimaryLiveness
+from .replica_reporter import ReplicaReport
 
 CONTROL_TIMEOUT_SECONDS: Final = 0.2
 LOCAL_PROBE_TIMEOUT_SECONDS: Final = 0.06
--- a/src/reedhook/process/groups/knowledge.py
+++ b/src/reedhook/process/groups/group_state.py
@@ -5,11 +5,11 @@
 
 from ...clock import Clock
 from ...connection.target import MemberState, Role
+from ...request.group_view import GroupView, MemberView
 from ...request.position import Position
-from ...request.view import GroupView, MemberView
 from ...version.catalog import Group
-from .durability import DurabilityTracker, durable_position
-from .sample import PrimarySamples
+from .durability_tracker import DurabilityTracker, durable_position
+from .primary_sample import PrimarySamples
 
 LeaderCallback: TypeAlias = Callable[[int, str], None]
 DurableCallback: TypeAlias = Callable[[Position], None]
--- a/src/reedhook/process/groups/confirmation.py
+++ b/src/reedhook/process/groups/leader_confirmation.py
@@ -7,7 +7,7 @@
 from ...clock import Clock
 from ...connection.target import MemberState, Role
 from ...record import Record
-from .sample import PrimarySample
+from .primary_sample import PrimarySample
 
 StateRequester: TypeAlias = Callable[
     [str, float], Coroutine[Any, Any, MemberState | None]
--- a/src/reedhook/process/groups/homes.py
+++ b/src/reedhook/process/groups/local_homes.py
@@ -14,8 +14,8 @@
 from ...version.catalog import Catalog, Group, Limits, Member
 from ...wire import Json, WireError
 from ..events.timeline import EventKind, Timeline
-from ..fleet.directory import MembershipDirectory
 from ..fleet.membership import Membership
+from ..fleet.membership_directory import MembershipDirectory
 from ..fleet.membership_record import MembershipState
 from ..fleet.rendezvous import connection_quota
 
--- a/src/reedhook/process/groups/executor.py
+++ b/src/reedhook/process/groups/local_statement_executor.py
@@ -8,11 +8,11 @@
 from ...connection.home import Home
 from ...connection.target import Role, TargetResult
 from ...peer import HostRef
-from ...request.execution import HomeResponse, StatementExecutor
 from ...request.position import Position
 from ...request.refusal import RefusalReason, not_run
 from ...request.statement import Consistency, Statement, StatementKind, StatementResult
-from .group import GroupManager
+from ...request.statement_executor import HomeResponse, StatementExecutor
+from .group_manager import GroupManager
 
 COVER_WAIT_FRACTION: Final = 0.2
 MAX_COVER_WAIT_SECONDS: Final = 0.05
--- a/src/reedhook/process/groups/control.py
+++ b/src/reedhook/process/groups/member_control.py
@@ -14,7 +14,7 @@
     TargetNoReplyError,
     TargetRefusedError,
 )
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...peer import HostRef, PeerClient, PeerError
 from ...record import Record
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
--- a/src/reedhook/process/groups/handover.py
+++ b/src/reedhook/process/groups/planned_handover.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from ...clock import Clock
-from .coordinator import GroupPromotionCoordinator
-from .knowledge import GroupState
-from .suspicion import PromotionCause
+from .group_promotion_coordinator import GroupPromotionCoordinator
+from .group_state import GroupState
+from .primary_prober import PromotionCause
 
 MAX_CATCH_UP_WAIT_SECONDS: Final = 0.5
 CATCH_UP_POLL_INTERVAL_SECONDS: Final = 0.005
--- a/src/reedhook/process/groups/hint.py
+++ b/src/reedhook/process/groups/primary_hints.py
@@ -7,7 +7,7 @@
 from ...clock import Clock
 from ...wire import WireError, decode, encode
 from ..configuring.store import Store, StoreConflictError, StoreEntry, StoreError
-from .coordinator import PrimaryChange
+from .group_promotion_coordinator import PrimaryChange
 
 STORE_TIMEOUT_SECONDS: Final = 1.0
 INITIAL_RETRY_DELAY_SECONDS: Final = 0.5
--- a/src/reedhook/process/groups/guard.py
+++ b/src/reedhook/process/groups/primary_monitor.py
@@ -5,14 +5,14 @@
 from typing import Final
 
 from ...clock import Clock
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...metrics import Metrics
 from ...peer import HostRef
 from ..events.timeline import EventKind, Timeline
-from .coordinator import GroupPromotionCoordinator, to_rounded_ms
-from .knowledge import GroupState
-from .report import CHECK_UNANSWERED_AFTER_SECONDS, ReplicaReporter
-from .suspicion import PrimaryLiveness, PrimaryProber, PromotionCause
+from .group_promotion_coordinator import GroupPromotionCoordinator, to_rounded_ms
+from .group_state import GroupState
+from .primary_prober import PrimaryLiveness, PrimaryProber, PromotionCause
+from .replica_reporter import CHECK_UNANSWERED_AFTER_SECONDS, ReplicaReporter
 
 SUSPECT_AFTER_SECONDS: Final = 0.35
 FINAL_CHECK_SECONDS: Final = 0.13
--- a/src/reedhook/process/groups/suspicion.py
+++ b/src/reedhook/process/groups/primary_prober.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import Final
 
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...version.catalog import Group
--- a/src/reedhook/process/groups/sampling.py
+++ b/src/reedhook/process/groups/primary_sampler.py
@@ -7,9 +7,9 @@
 from ...clock import Clock
 from ...peer import PeerError
 from ...request.refusal import RefusalError
-from .confirmation import GroupLeader, LeaderConfirmation
-from .knowledge import GroupState
-from .report import ReplicaReport, ReplicaReporter
+from .group_state import GroupState
+from .leader_confirmation import GroupLeader, LeaderConfirmation
+from .replica_reporter import ReplicaReport, ReplicaReporter
 
 SAMPLES_PER_WANTED_AGE: Final = 3
 MIN_SAMPLE_INTERVAL_SECONDS: Final = 0.05
--- a/src/reedhook/process/groups/report.py
+++ b/src/reedhook/process/groups/replica_reporter.py
@@ -7,14 +7,14 @@
 from ...clock import Clock
 from ...connection.home import Home
 from ...connection.target import MemberState, TargetError
-from ...directory import HostDirectory
+from ...host_directory import HostDirectory
 from ...peer import HostRef, PeerClient, PeerError
 from ...record import Record
+from ...request.group_view import GroupView
 from ...request.refusal import RefusalError
-from ...request.view import GroupView
 from ...wire import Json, string_field, wraps_decode_errors
-from .knowledge import GroupState
-from .sample import PrimarySample
+from .group_state import GroupState
+from .primary_sample import PrimarySample
 
 REPORT_INTERVAL_SECONDS: Final = 0.2
 SILENT_PRIMARY_INTERVAL_SECONDS: Final = 0.1
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -10,38 +10,38 @@
 from ..clock import Clock
 from ..connection.home import Home
 from ..connection.target import TargetFactory
-from ..connection.targethome import TargetHome
+from ..connection.target_home import TargetHome
 from ..metrics import Metrics
 from ..peer import HostRef, PeerClient, PeerRoutes
 from ..request.api import Api
-from ..request.choice import ReplicaSelector
-from ..request.dispatch import StatementDispatcher
+from ..request.group_view_cache import GroupViewCache
+from ..request.replica_selector import ReplicaSelector
 from ..request.router import Router
-from ..request.views import GroupViewCache
+from ..request.statement_dispatcher import StatementDispatcher
 from ..version.catalog import Catalog, Group, Limits, Member
 from .administration.admin import Admin
 from .administration.admin_fleet import FleetQueries
 from .administration.admin_operator import OperatorAuthenticator
 from .administration.admin_status import HostPhase
-from .administration.hostsource import HostSource
-from .configuring.archive import SnapshotRepository
-from .configuring.configuration import ConfigurationManager
+from .administration.host_source import HostSource
+from .configuring.configuration_manager import ConfigurationManager
+from .configuring.configuration_relay import ConfigurationRelay
 from .configuring.editor import ConfigurationEditor
-from .configuring.relay import ConfigurationRelay
+from .configuring.snapshot_repository import SnapshotRepository
 from .configuring.store import Store
 from .events.timeline import EventKind, Timeline
-from .fleet.directory import MembershipDirectory
 from .fleet.heartbeat import Heartbeats
 from .fleet.hostlist import HostList
-from .fleet.leaving import LeavingTargetHandler
-from .fleet.listing import HostListPoller
+from .fleet.hostlist_poller import HostListPoller
+from .fleet.leaving_targets import LeavingTargetHandler
 from .fleet.membership import Membership
-from .groups.executor import LocalStatementExecutor
-from .groups.group import GroupManager
-from .groups.grouproutes import GroupRoutes
-from .groups.hint import PrimaryHints
-from .groups.homes import LocalHomes
-from .groups.keepers import GroupManagers
+from .fleet.membership_directory import MembershipDirectory
+from .groups.group_manager import GroupManager
+from .groups.group_managers import GroupManagers
+from .groups.group_routes import GroupRoutes
+from .groups.local_homes import LocalHomes
+from .groups.local_statement_executor import LocalStatementExecutor
+from .groups.primary_hints import PrimaryHints
 from .lifecycle import DRAIN_NOTICE_SECONDS, Lifecycle
 from .settings import Settings
 
--- a/src/reedhook/process/lifecycle.py
+++ b/src/reedhook/process/lifecycle.py
@@ -10,7 +10,7 @@
 from ..clock import Clock
 from .network.plain_server import PlainServer
 from .network.server import Server
-from .overdue import ShutdownTimeoutError
+from .shutdown_errors import ShutdownTimeoutError
 
 Companion: TypeAlias = Callable[[Clock], Coroutine[Any, Any, None]]
 
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -5,13 +5,13 @@
 
 from ...clock import Clock
 from ...connection.channel import ChannelClosedError, ResponseIncompleteError
-from ...connection.link import ChannelPool
+from ...connection.channel_pool import ChannelPool
 from ...metrics import MemoryMetrics, Metrics
 from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_wire import CLIENT_KEEPALIVE, CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX
+from .peer_protocol import CLIENT_KEEPALIVE, CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX
 
 LINK_IDLE_SECONDS: Final = 60.0
 SWEEP_INTERVAL: Final = 10.0
--- a/src/reedhook/process/network/peer_server.py
+++ b/src/reedhook/process/network/peer_server.py
@@ -10,7 +10,7 @@
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_wire import CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX, SERVER_KEEPALIVE
+from .peer_protocol import CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX, SERVER_KEEPALIVE
 from .plain_server import LENGTH, PlainRequest, PlainResponse, PlainServer
 
 SHUTDOWN: Final = 10.0
--- a/src/reedhook/process/lead/deputy.py
+++ b/src/reedhook/process/primary_lease/backup_holder.py
@@ -3,11 +3,11 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
-from ..announced.announcements import Announcements
-from .claim import LeaseClaim
-from .states import TargetStatusClient
-from .user import HomeFactory, PrimaryClient
+from ...decision_log import DecisionLog
+from ..discovery.announcements import Announcements
+from .lease_claim import LeaseClaim
+from .primary_client import HomeFactory, PrimaryClient
+from .target_status import TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 4.0
 """Seconds between two looks at whether this host is still the deputy; with a
--- a/src/reedhook/process/lead/deputies.py
+++ b/src/reedhook/process/primary_lease/backup_holders.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Final, TypeAlias
 
-from ...background import BackgroundTasks
-from ...decisions import DecisionLog
-from .deputy import BackupHolder
-from .record import HostIncarnation, PrimaryLeaseRecord
+from ...background_tasks import BackgroundTasks
+from ...decision_log import DecisionLog
+from .backup_holder import BackupHolder
+from .lease_record import HostIncarnation, PrimaryLeaseRecord
 
 BackupHolderFactory: TypeAlias = Callable[[PrimaryLeaseRecord, float], BackupHolder]
 
--- a/src/reedhook/process/lead/vigil.py
+++ b/src/reedhook/process/primary_lease/holder_failure_detector.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError
--- a/src/reedhook/process/lead/ranking.py
+++ b/src/reedhook/process/primary_lease/holder_ranking.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from ...peer import HostRef
-from ...version.registry import TargetAnnouncement
-from ..announced.announcements import Announcements
-from ..fleet.directory import MembershipDirectory
-from .book import PrimaryLeaseRegistry
-from .record import lease_key
-from .vigil import HolderFailureDetector
+from ...version.route_table import TargetAnnouncement
+from ..discovery.announcements import Announcements
+from ..fleet.membership_directory import MembershipDirectory
+from .holder_failure_detector import HolderFailureDetector
+from .lease_record import lease_key
+from .lease_registry import PrimaryLeaseRegistry
 
 
 class LeaseHolderRanking:
--- a/src/reedhook/process/lead/witness.py
+++ b/src/reedhook/process/primary_lease/indirect_prober.py
@@ -8,11 +8,11 @@
 from ...peer import HostRef, PeerClient, PeerError, PeerRoutes
 from ...record import Record
 from ...request.refusal import RefusalError
-from ...version.registry import TargetAnnouncement
+from ...version.route_table import TargetAnnouncement
 from ...wire import Json, string_field
-from ..announced.announcements import Announcements
+from ..discovery.announcements import Announcements
 from ..fleet.membership_table import MembershipTable
-from .states import TargetStatusClient
+from .target_status import TargetStatusClient
 
 PROBE_TARGET_PATH: Final = "sight"
 CLAIM_PATH: Final = "take"
--- a/src/reedhook/process/lead/claim.py
+++ b/src/reedhook/process/primary_lease/lease_claim.py
@@ -4,16 +4,16 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
-from ..announced.keyspace import (
+from ...decision_log import DecisionLog
+from ..discovery.key_value_store import (
     Item,
     KeyValueStore,
     KeyValueStoreError,
     RevisionConflictError,
 )
-from .book import PrimaryLeaseRegistry
-from .record import HostIncarnation, PrimaryLeaseRecord, lease_key
-from .tenure import LeaseValidity
+from .lease_record import HostIncarnation, PrimaryLeaseRecord, lease_key
+from .lease_registry import PrimaryLeaseRegistry
+from .lease_validity import LeaseValidity
 
 STORE_TIMEOUT_SECONDS: Final = 0.5
 """Seconds for an answer of the store: 4 ms, or 240 ms when it is slow."""
--- a/src/reedhook/process/lead/lead.py
+++ b/src/reedhook/process/primary_lease/lease_holder.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.member import (
+from ...connection.session_target import (
     SessionTargetDriver,
     SessionTargetNoReplyError,
     SessionTargetStatus,
@@ -12,21 +12,21 @@
     StatementDialect,
     TargetQuery,
 )
-from ...connection.memberhome import SessionTargetHome
-from ...decisions import DecisionLog
+from ...connection.session_target_home import SessionTargetHome
+from ...decision_log import DecisionLog
 from ...peer import HostRef
 from ...record import Record
 from ...request.refusal import RefusalError
-from ...version.registry import TargetAnnouncement
-from ..announced.announcements import Announcements
-from .claim import LeaseClaim
-from .others import OtherHolders
-from .promotion import PrimaryReplacement
-from .ranking import LeaseHolderRanking
-from .states import STATUS_TIMEOUT_SECONDS, TargetStatusClient
-from .tenure import RENEWAL_INTERVAL_SECONDS
-from .user import PROBE_TIMEOUT_SECONDS, HomeFactory, PrimaryClient
-from .witness import IndirectProber, TargetObservation
+from ...version.route_table import TargetAnnouncement
+from ..discovery.announcements import Announcements
+from .holder_ranking import LeaseHolderRanking
+from .indirect_prober import IndirectProber, TargetObservation
+from .lease_claim import LeaseClaim
+from .lease_validity import RENEWAL_INTERVAL_SECONDS
+from .other_holders import OtherHolders
+from .primary_client import PROBE_TIMEOUT_SECONDS, HomeFactory, PrimaryClient
+from .primary_replacement import PrimaryReplacement
+from .target_status import STATUS_TIMEOUT_SECONDS, TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks at the primary."""
--- a/src/reedhook/process/lead/leads.py
+++ b/src/reedhook/process/primary_lease/lease_manager.py
@@ -4,25 +4,29 @@
 from collections.abc import Callable
 from typing import Final, TypeAlias
 
-from ...background import BackgroundTasks
+from ...background_tasks import BackgroundTasks
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, string_field
-from ..announced.announcements import Announcements
-from ..announced.keyspace import KeyValueStore, KeyValueStoreError, StoreUnansweredError
+from ..discovery.announcements import Announcements
+from ..discovery.key_value_store import (
+    KeyValueStore,
+    KeyValueStoreError,
+    StoreUnansweredError,
+)
 from ..fleet.membership_table import MembershipTable
-from .book import PrimaryLeaseRegistry
-from .claim import STORE_TIMEOUT_SECONDS
-from .deputies import BackupHolders
-from .lead import PrimaryLeaseHolder
-from .others import INCARNATION_PATH, LEASE_STATUS_PATH
-from .ranking import LeaseHolderRanking
-from .record import HostIncarnation, PrimaryLeaseRecord, lease_key
-from .user import PrimaryClient
-from .vigil import HolderFailureDetector
-from .witness import CLAIM_PATH, CLAIM_TIMEOUT_SECONDS, IndirectProber
+from .backup_holders import BackupHolders
+from .holder_failure_detector import HolderFailureDetector
+from .holder_ranking import LeaseHolderRanking
+from .indirect_prober import CLAIM_PATH, CLAIM_TIMEOUT_SECONDS, IndirectProber
+from .lease_claim import STORE_TIMEOUT_SECONDS
+from .lease_holder import PrimaryLeaseHolder
+from .lease_record import HostIncarnation, PrimaryLeaseRecord, lease_key
+from .lease_registry import PrimaryLeaseRegistry
+from .other_holders import INCARNATION_PATH, LEASE_STATUS_PATH
+from .primary_client import PrimaryClient
 
 LeaseHolderFactory: TypeAlias = Callable[
     [PrimaryLeaseRecord, float], PrimaryLeaseHolder
--- a/src/reedhook/process/lead/record.py
+++ b/src/reedhook/process/primary_lease/lease_record.py
@@ -4,10 +4,10 @@
 
 from ...peer import HostRef
 from ...record import Record
-from ...version.registry import TargetAnnouncement
+from ...version.route_table import TargetAnnouncement
 from ...wire import Json, decode, encode, wraps_decode_errors
-from ..announced.announcements import SYSTEM_KEY_PREFIX
-from ..announced.keyspace import Item
+from ..discovery.announcements import SYSTEM_KEY_PREFIX
+from ..discovery.key_value_store import Item
 
 LEASE_KEY_PREFIX: Final = f"{SYSTEM_KEY_PREFIX}lead/"
 PROMOTION_COORDINATOR_KEY: Final = f"{SYSTEM_KEY_PREFIX}duty"
--- a/src/reedhook/process/lead/book.py
+++ b/src/reedhook/process/primary_lease/lease_registry.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...wire import Json, WireError
-from ..announced.announcements import Announcements
-from ..announced.keyspace import Item
-from .record import LEASE_KEY_PREFIX, PrimaryLeaseRecord
+from ..discovery.announcements import Announcements
+from ..discovery.key_value_store import Item
+from .lease_record import LEASE_KEY_PREFIX, PrimaryLeaseRecord
 
 
 class PrimaryLeaseRegistry:
--- a/src/reedhook/process/lead/others.py
+++ b/src/reedhook/process/primary_lease/other_holders.py
@@ -4,15 +4,15 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.memberhome import SessionTargetHome
-from ...decisions import DecisionLog
+from ...connection.session_target_home import SessionTargetHome
+from ...decision_log import DecisionLog
 from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError
-from .claim import LeaseClaim
-from .ranking import LeaseHolderRanking
-from .record import HostIncarnation
-from .tenure import EXPIRY_MARGIN_SECONDS, LEASE_VALIDITY_SECONDS
-from .vigil import HolderFailureDetector
+from .holder_failure_detector import HolderFailureDetector
+from .holder_ranking import LeaseHolderRanking
+from .lease_claim import LeaseClaim
+from .lease_record import HostIncarnation
+from .lease_validity import EXPIRY_MARGIN_SECONDS, LEASE_VALIDITY_SECONDS
 
 STOP_CONFIRMATION_TIMEOUT_SECONDS: Final = 0.5
 """Seconds in which a former holder says that it has stopped."""
--- a/src/reedhook/process/lead/user.py
+++ b/src/reedhook/process/primary_lease/primary_client.py
@@ -4,26 +4,30 @@
 from collections.abc import Callable
 from typing import Final, Protocol
 
-from ...background import BackgroundTasks
+from ...background_tasks import BackgroundTasks
 from ...clock import Clock
-from ...connection.lanes import OnConnectionOpened
-from ...connection.member import (
+from ...connection.session_connection_pool import OnConnectionOpened
+from ...connection.session_target import (
     SessionTargetDataLossError,
     SessionTargetNoReplyError,
     SessionTargetStatus,
     SessionTargetUnreachableError,
     StatementFault,
 )
-from ...connection.memberhome import SessionTargetHome
-from ...decisions import DecisionLog
+from ...connection.session_target_home import SessionTargetHome
+from ...decision_log import DecisionLog
 from ...request.position import Position
 from ...request.refusal import RefusalError, RefusalReason, not_run
-from ...request.work import PositionProof, SessionStatement, SessionStatementResult
-from ...version.registry import TargetAnnouncement
-from .claim import LeaseClaim
-from .record import PrimaryLeaseRecord
-from .states import TargetStatusClient
-from .tenure import LeaseValidity
+from ...request.session_statement import (
+    PositionProof,
+    SessionStatement,
+    SessionStatementResult,
+)
+from ...version.route_table import TargetAnnouncement
+from .lease_claim import LeaseClaim
+from .lease_record import PrimaryLeaseRecord
+from .lease_validity import LeaseValidity
+from .target_status import TargetStatusClient
 
 
 class HomeFactory(Protocol):
--- a/src/reedhook/process/lead/promotion.py
+++ b/src/reedhook/process/primary_lease/primary_replacement.py
@@ -4,15 +4,15 @@
 from typing import Final
 
 from ...clock import Clock
-from ...connection.member import SessionTargetStatus
-from ...decisions import DecisionLog
+from ...connection.session_target import SessionTargetStatus
+from ...decision_log import DecisionLog
 from ...record import Record
 from ...request.position import ORIGIN, Position
-from ...version.registry import TargetAnnouncement
-from .claim import LeaseClaim
-from .duty import OrderOutcome, PromotionCoordinator
-from .others import OtherHolders
-from .states import TargetStatusClient
+from ...version.route_table import TargetAnnouncement
+from .lease_claim import LeaseClaim
+from .other_holders import OtherHolders
+from .promotion_coordinator import OrderOutcome, PromotionCoordinator
+from .target_status import TargetStatusClient
 
 CATCH_UP_TIMEOUT_SECONDS: Final = 2.0
 """Seconds for which a planned change waits for a replica to hold everything."""
--- a/src/reedhook/process/lead/duty.py
+++ b/src/reedhook/process/primary_lease/promotion_coordinator.py
@@ -6,14 +6,14 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...peer import PeerClient, PeerError, PeerRoutes
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import Json, WireError, decode, encode, string_field
-from ..announced.keyspace import Item, KeyValueStore, KeyValueStoreError
+from ..discovery.key_value_store import Item, KeyValueStore, KeyValueStoreError
 from ..fleet.membership_record import MembershipState
 from ..fleet.membership_table import MembershipTable
-from .record import PROMOTION_COORDINATOR_KEY, HostIncarnation
+from .lease_record import PROMOTION_COORDINATOR_KEY, HostIncarnation
 
 PROMOTE_PATH: Final = "promote"
 
--- a/src/reedhook/process/lead/states.py
+++ b/src/reedhook/process/primary_lease/target_status.py
@@ -3,15 +3,15 @@
 import asyncio
 from typing import Final
 
-from ...connection.lanes import CONNECT_TIMEOUT_SECONDS
-from ...connection.member import (
+from ...connection.session_connection_pool import CONNECT_TIMEOUT_SECONDS
+from ...connection.session_target import (
     SessionTargetDriver,
     SessionTargetNoReplyError,
     SessionTargetStatus,
     SessionTargetUnreachableError,
 )
-from ...version.registry import TargetAnnouncement
-from ..announced.announcements import Announcements
+from ...version.route_table import TargetAnnouncement
+from ..discovery.announcements import Announcements
 
 STATUS_TIMEOUT_SECONDS: Final = 0.4
 """Seconds to connect to a target and to learn its state; both wait for a slot
--- a/src/reedhook/process/rates/owner.py
+++ b/src/reedhook/process/rates/rate_owner.py
@@ -5,15 +5,15 @@
 from typing import Final
 
 from ...clock import Clock
-from ...decisions import DecisionLog
-from ...directory import HostDirectory
+from ...decision_log import DecisionLog
+from ...host_directory import HostDirectory
 from ...peer import HostRef, PeerRoutes
 from ...record import Record
-from ...request.rate import TokenBucket
+from ...request.token_bucket import TokenBucket
 from ...version.workspace import Workspace, Workspaces
 from ...wire import Json, non_negative_int_field, string_field, wraps_decode_errors
-from ..announced.freshness import ConfigurationFreshness
-from .terms import RateTolerance
+from ..discovery.configuration_freshness import ConfigurationFreshness
+from .rate_tolerance import RateTolerance
 
 RATE_PATH: Final = "rate"
 
--- a/src/reedhook/process/rates/allowances.py
+++ b/src/reedhook/process/rates/workspace_rate_limiter.py
@@ -4,17 +4,17 @@
 import math
 from typing import Final
 
-from ...background import BackgroundTasks
+from ...background_tasks import BackgroundTasks
 from ...clock import Clock
-from ...decisions import DecisionLog
+from ...decision_log import DecisionLog
 from ...metrics import Metrics
 from ...peer import HostRef, PeerClient, PeerError
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...version.workspace import Workspace
 from ...wire import WireError
-from .allowance import OperationAllowance
-from .owner import RATE_PATH, Grant, GrantRequest, RateOwner
-from .terms import RateTolerance
+from .operation_allowance import OperationAllowance
+from .rate_owner import RATE_PATH, Grant, GrantRequest, RateOwner
+from .rate_tolerance import RateTolerance
 
 REQUEST_TIMEOUT_SECONDS: Final = 0.15
 """Seconds for the answer of the host that counts, which takes some 3 ms."""
--- a/src/reedhook/process/run.py
+++ b/src/reedhook/process/run.py
@@ -11,7 +11,7 @@
 
 from .collector import freeze_startup_objects
 from .io_uring import require_no_io_uring
-from .overdue import ShutdownTimeoutError
+from .shutdown_errors import ShutdownTimeoutError
 
 
 class Process(Protocol):
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -7,57 +7,57 @@
 
 import logbook
 
-from ..background import BackgroundTasks
+from ..background_tasks import BackgroundTasks
 from ..clock import Clock
-from ..connection.lanes import OnConnectionOpened
-from ..connection.member import SessionTargetDriver, StatementDialect
-from ..connection.memberhome import SessionTargetHome
-from ..decisions import DecisionLog
+from ..connection.session_connection_pool import OnConnectionOpened
+from ..connection.session_target import SessionTargetDriver, StatementDialect
+from ..connection.session_target_home import SessionTargetHome
+from ..decision_log import DecisionLog
 from ..peer import HostRef, PeerClient, PeerRoutes
 from ..request.authorization import Authorizer
-from ..request.hop import StatementForwarder
 from ..request.position import Position
-from ..request.replicas import ReplicaReader
-from ..request.steering import SessionRouter
-from ..version.registry import RouteTable, TargetAnnouncement
+from ..request.replica_reader import ReplicaReader
+from ..request.session_router import SessionRouter
+from ..request.statement_forwarder import StatementForwarder
+from ..version.route_table import RouteTable, TargetAnnouncement
 from ..wire import Json
-from .announced.announcements import Announcements
-from .announced.capacities import HostCapacities, capacity
-from .announced.documents import StoreValueParser
-from .announced.freshness import ConfigurationFreshness
-from .announced.keyspace import KeyValueStore
-from .announced.news import PeerUpdateSource, UpdateServer
-from .announced.proving import FreshnessProver
-from .announced.registration import HostRegistration
-from .announced.tables import RouteTableFetcher, RouteTableServer
-from .announced.watch import StoreWatcher
-from .callers import CallerSessions
-from .desk import StatementServer
+from .caller_sessions import CallerSessions
+from .discovery.announcements import Announcements
+from .discovery.configuration_freshness import ConfigurationFreshness
+from .discovery.freshness_prover import FreshnessProver
+from .discovery.host_capacities import HostCapacities, capacity
+from .discovery.host_registration import HostRegistration
+from .discovery.key_value_store import KeyValueStore
+from .discovery.route_table_transfer import RouteTableFetcher, RouteTableServer
+from .discovery.store_value_parser import StoreValueParser
+from .discovery.store_watcher import StoreWatcher
+from .discovery.update_source import PeerUpdateSource, UpdateServer
 from .events.timeline import Timeline
-from .fleet.directory import MembershipDirectory
 from .fleet.heartbeat import Heartbeats
 from .fleet.membership import Membership
+from .fleet.membership_directory import MembershipDirectory
 from .fleet.rendezvous import connection_quota, home_connection_limit
 from .histograms import HistogramMetrics
-from .hosting_settings import SessionHostSettings
-from .lead.book import PrimaryLeaseRegistry
-from .lead.claim import BackupHolderClaim, HolderClaim, LeaseClaim
-from .lead.deputies import BackupHolders
-from .lead.deputy import BackupHolder
-from .lead.duty import Promoter, PromotionCoordinator
-from .lead.lead import PrimaryLeaseHolder
-from .lead.leads import PrimaryLeaseManager
-from .lead.others import OtherHolders
-from .lead.promotion import PrimaryReplacement
-from .lead.ranking import LeaseHolderRanking
-from .lead.record import HostIncarnation, PrimaryLeaseRecord
-from .lead.states import TargetStatusClient
-from .lead.vigil import HolderFailureDetector
-from .lead.witness import IndirectProber
-from .network.heard_peers import AnswerTrackingPeers
-from .partition import ZoneIsolationDetector
-from .rates.allowances import WorkspaceRateLimiter
-from .rates.owner import RateOwner
+from .network.answer_tracking_peers import AnswerTrackingPeers
+from .primary_lease.backup_holder import BackupHolder
+from .primary_lease.backup_holders import BackupHolders
+from .primary_lease.holder_failure_detector import HolderFailureDetector
+from .primary_lease.holder_ranking import LeaseHolderRanking
+from .primary_lease.indirect_prober import IndirectProber
+from .primary_lease.lease_claim import BackupHolderClaim, HolderClaim, LeaseClaim
+from .primary_lease.lease_holder import PrimaryLeaseHolder
+from .primary_lease.lease_manager import PrimaryLeaseManager
+from .primary_lease.lease_record import HostIncarnation, PrimaryLeaseRecord
+from .primary_lease.lease_registry import PrimaryLeaseRegistry
+from .primary_lease.other_holders import OtherHolders
+from .primary_lease.primary_replacement import PrimaryReplacement
+from .primary_lease.promotion_coordinator import Promoter, PromotionCoordinator
+from .primary_lease.target_status import TargetStatusClient
+from .rates.rate_owner import RateOwner
+from .rates.workspace_rate_limiter import WorkspaceRateLimiter
+from .session_host_settings import SessionHostSettings
+from .statement_server import StatementServer
+from .zone_isolation import ZoneIsolationDetector
 
 INCARNATION_BITS: Final = 48
 """Random bits that tell one life of a process from another."""
--- a/src/reedhook/process/hosting_settings.py
+++ b/src/reedhook/process/session_host_settings.py
@@ -1,7 +1,7 @@
 """Settings of a host that serves sessions on a platform with a store."""
 
 from ..record import Record
-from .rates.terms import DEFAULT_TOLERANCE, RateTolerance
+from .rates.rate_tolerance import DEFAULT_TOLERANCE, RateTolerance
 
 
 class SessionHostSettings(Record):
--- a/src/reedhook/process/desk.py
+++ b/src/reedhook/process/statement_server.py
@@ -5,24 +5,24 @@
 from typing import Final
 
 from ..clock import Clock
-from ..connection.member import RETRYABLE_FAULTS
-from ..connection.memberhome import SessionTargetHome
-from ..decisions import DecisionLog
+from ..connection.session_target import RETRYABLE_FAULTS
+from ..connection.session_target_home import SessionTargetHome
+from ..decision_log import DecisionLog
 from ..peer import PeerRoutes
 from ..request.refusal import RefusalError, RefusalReason, may_have_run, not_run
-from ..request.verdict import Verdict
-from ..request.work import (
+from ..request.session_statement import (
     PositionProof,
     SessionStatement,
     SessionStatementKind,
     SessionStatementResult,
 )
-from ..version.registry import TargetAnnouncement
+from ..request.verdict import Verdict
+from ..version.route_table import TargetAnnouncement
 from ..wire import Json, string_field
-from .announced.announcements import Announcements
-from .lead.leads import PrimaryLeaseManager
-from .lead.user import HomeFactory, PrimaryClient
-from .rates.allowances import WorkspaceRateLimiter
+from .discovery.announcements import Announcements
+from .primary_lease.lease_manager import PrimaryLeaseManager
+from .primary_lease.primary_client import HomeFactory, PrimaryClient
+from .rates.workspace_rate_limiter import WorkspaceRateLimiter
 
 WORK: Final = "work"
 END: Final = "end"
--- a/src/reedhook/process/tool/command_timeline.py
+++ b/src/reedhook/process/tool/command_timeline.py
@@ -7,8 +7,8 @@
 from typing import Final
 
 from ...wire import WireError
+from ..events.timeline_html import page_of
 from ..events.timeline_merge import EventHistory
-from ..events.timeline_page import page_of
 from ..events.timeline_text import text_of
 from .command_client import Client
 from .command_error import CommandError, ToolExitCode
--- a/src/reedhook/process/partition.py
+++ b/src/reedhook/process/zone_isolation.py
@@ -6,13 +6,13 @@
 from typing import Any, Final
 
 from ..clock import Clock
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..peer import HostRef
-from .announced.announcements import Announcements
+from .discovery.announcements import Announcements
 from .fleet.membership_table import MembershipTable
-from .lead.states import TargetStatusClient
-from .lead.vigil import HolderFailureDetector
-from .network.heard_peers import AnswerTrackingPeers
+from .network.answer_tracking_peers import AnswerTrackingPeers
+from .primary_lease.holder_failure_detector import HolderFailureDetector
+from .primary_lease.target_status import TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
 """Seconds between two looks."""
--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -29,15 +29,19 @@
     parse_body,
 )
 from .credential import authenticate, check_service_access
-from .dispatch import NO_EFFECT_KINDS, CatalogSource, StatementDispatcher
-from .execution import HomeResponse
-from .handle import TransactionHandle, TransactionHandleCodec, unknown_transaction
 from .position import Position
-from .rate import LocalRateLimiter
 from .refusal import RefusalError, RefusalReason, may_have_run, not_run
 from .router import Router
+from .session_token import SessionToken, TokenCodec
 from .statement import Consistency, Statement, StatementKind
-from .token import SessionToken, TokenCodec
+from .statement_dispatcher import NO_EFFECT_KINDS, CatalogSource, StatementDispatcher
+from .statement_executor import HomeResponse
+from .token_bucket import LocalRateLimiter
+from .transaction_handle import (
+    TransactionHandle,
+    TransactionHandleCodec,
+    unknown_transaction,
+)
 from .verdict import Verdict
 
 MAX_REQUEST_ID_AHEAD_SECONDS: Final = 300.0
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -2,11 +2,11 @@
 
 from typing import Final
 
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..metrics import Metrics
-from ..process.announced.announcements import Announcements
-from ..process.announced.freshness import ConfigurationFreshness
-from ..version.registry import Route
+from ..process.discovery.announcements import Announcements
+from ..process.discovery.configuration_freshness import ConfigurationFreshness
+from ..version.route_table import Route
 from ..version.workspace import MAX_KEY_CHARACTERS, Workspace, key_digest, short_digest
 from .refusal import RefusalError, RefusalReason, not_run
 
--- a/src/reedhook/request/views.py
+++ b/src/reedhook/request/group_view_cache.py
@@ -12,12 +12,12 @@
 from typing import Any, Final, TypeAlias
 
 from ..clock import Clock
-from ..directory import HostDirectory
+from ..host_directory import HostDirectory
 from ..peer import HostRef, PeerClient, PeerError, PeerHandler
 from ..version.catalog import Group
 from ..wire import Json
+from .group_view import GroupView, GroupViewRequest
 from .refusal import RefusalError, RefusalReason, not_run
-from .view import GroupView, GroupViewRequest
 
 STALE_AFTER_SECONDS: Final = 0.5
 QUERY_TIMEOUT_SECONDS: Final = 0.5
--- a/src/reedhook/request/hedge.py
+++ b/src/reedhook/request/hedge.py
@@ -4,8 +4,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Final
 
-from .execution import HomeResponse
 from .refusal import RefusalError
+from .statement_executor import HomeResponse
 
 QUANTILE: Final = 0.95
 INITIAL_ESTIMATE_SECONDS: Final = 0.05
--- a/src/reedhook/request/reign.py
+++ b/src/reedhook/request/primary_attempt.py
@@ -10,10 +10,10 @@
 from typing import Any, Final
 
 from ..version.catalog import Group
-from .execution import HomeResponse
+from .group_view_cache import GroupViewCache
 from .refusal import RefusalError, RefusalReason, may_have_run, not_run
 from .statement import StatementKind
-from .views import GroupViewCache
+from .statement_executor import HomeResponse
 
 POLL_DELAY_SECONDS: Final = 0.1
 RETRY_AFTER_MS: Final = 20
--- a/src/reedhook/request/ratelimits.py
+++ b/src/reedhook/request/remote_rate_limits.py
@@ -5,7 +5,7 @@
 
 from ..clock import Clock
 from .refusal import RefusalError, RefusalReason, not_run
-from .work import SessionStatement
+from .session_statement import SessionStatement
 
 MS_PER_SECOND: Final = 1000.0
 
--- a/src/reedhook/request/replicas.py
+++ b/src/reedhook/request/replica_reader.py
@@ -3,22 +3,22 @@
 from typing import Final
 
 from ..clock import Clock
-from ..connection.member import StatementFault
-from ..decisions import DecisionLog
-from ..directory import HostDirectory
+from ..connection.session_target import StatementFault
+from ..decision_log import DecisionLog
+from ..host_directory import HostDirectory
 from ..peer import PeerClient, PeerError
-from ..process.announced.announcements import Announcements
-from ..process.desk import PROOF, StatementServer
-from ..process.lead.book import PrimaryLeaseRegistry
+from ..process.discovery.announcements import Announcements
+from ..process.primary_lease.lease_registry import PrimaryLeaseRegistry
+from ..process.statement_server import PROOF, StatementServer
 from ..record import Record
-from ..version.registry import Route, TargetAnnouncement
+from ..version.route_table import Route, TargetAnnouncement
 from ..wire import Json, WireError
-from .hop import LocatedResult, StatementForwarder, StatementLocation
 from .position import Position
 from .refusal import RefusalError, RefusalReason
-from .sightings import ServiceObservations
+from .service_observations import ServiceObservations
+from .session_statement import PositionProof, SessionStatement
+from .statement_forwarder import LocatedResult, StatementForwarder, StatementLocation
 from .verdict import Verdict
-from .work import PositionProof, SessionStatement
 
 AGE_MARGIN_SECONDS: Final = 0.15
 """Seconds by which a proof must be younger than a read demands: the way of the
--- a/src/reedhook/request/choice.py
+++ b/src/reedhook/request/replica_selector.py
@@ -12,9 +12,9 @@
 
 from ..record import Record
 from ..version.catalog import Group, Member
+from .group_view import GroupView, MemberView
 from .position import Position
 from .statement import Consistency, Statement
-from .view import GroupView, MemberView
 
 HISTORY_SPACING_SECONDS: Final = 0.05
 MAX_HISTORY_POSITIONS: Final = 256
--- a/src/reedhook/request/router.py
+++ b/src/reedhook/request/router.py
@@ -8,22 +8,27 @@
 from ..clock import Clock
 from ..metrics import Metrics
 from ..version.catalog import Group
-from .choice import (
+from .group_view import GroupView, MemberView
+from .group_view_cache import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, GroupViewCache
+from .hedge import HedgedRead, LatencyPercentile
+from .primary_attempt import PrimaryAttempt
+from .refusal import RefusalError, RefusalReason, not_run
+from .replica_selector import (
     AGE_UNPROVED_LAG_FACTOR,
     GroupObservations,
     ReplicaSelector,
     SelectionContext,
 )
-from .execution import HomeResponse, StatementExecutor
-from .hedge import HedgedRead, LatencyPercentile
-from .rate import RetryBudget
-from .refusal import RefusalError, RefusalReason, not_run
-from .reign import PrimaryAttempt
-from .retry import MEMBER_FAULT_REASONS, RetryDecision, decide_retry, final_refusal
+from .retry_decision import (
+    MEMBER_FAULT_REASONS,
+    RetryDecision,
+    decide_retry,
+    final_refusal,
+)
 from .statement import Consistency, Statement, StatementKind
+from .statement_executor import HomeResponse, StatementExecutor
+from .token_bucket import RetryBudget
 from .verdict import Verdict
-from .view import GroupView, MemberView
-from .views import MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS, GroupViewCache
 
 PRIMARY_ROLE: Final = "primary"
 REPLICA_BEHIND_REASONS: Final = frozenset(
--- a/src/reedhook/request/sightings.py
+++ b/src/reedhook/request/service_observations.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from .position import Position
-from .work import PositionProof
+from .session_statement import PositionProof
 
 MAX_PROOFS: Final = 64
 """Proofs that are kept; with one in 50 ms they reach back 3 s, which is longer
--- a/src/reedhook/request/steering.py
+++ b/src/reedhook/request/session_router.py
@@ -3,21 +3,25 @@
 from typing import Final
 
 from ..clock import Clock
-from ..connection.member import StatementFault
-from ..connection.memberhome import BUSY_RETRY_SECONDS, MAX_BUSY_RETRIES
-from ..decisions import DecisionLog
-from ..directory import HostDirectory
+from ..connection.session_target import StatementFault
+from ..connection.session_target_home import BUSY_RETRY_SECONDS, MAX_BUSY_RETRIES
+from ..decision_log import DecisionLog
+from ..host_directory import HostDirectory
 from ..peer import PeerClient, PeerError
-from ..process.lead.book import PrimaryLeaseRegistry
-from ..process.lead.leads import RECORDS_PATH
-from ..version.registry import Route, RouteConsistency
+from ..process.primary_lease.lease_manager import RECORDS_PATH
+from ..process.primary_lease.lease_registry import PrimaryLeaseRegistry
+from ..version.route_table import Route, RouteConsistency
 from ..wire import WireError
-from .hop import LocatedResult, StatementForwarder, StatementLocation
 from .position import Position
 from .refusal import RefusalError, RefusalReason, not_run
-from .replicas import ReplicaReader, ReplicaReadResult, retry_after_seconds
+from .replica_reader import ReplicaReader, ReplicaReadResult, retry_after_seconds
+from .session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    SessionStatementResult,
+)
+from .statement_forwarder import LocatedResult, StatementForwarder, StatementLocation
 from .verdict import Verdict
-from .work import SessionStatement, SessionStatementKind, SessionStatementResult
 
 RECORDS_TIMEOUT_SECONDS: Final = 0.25
 """Seconds for another host to say who holds the leads."""
--- a/src/reedhook/request/work.py
+++ b/src/reedhook/request/session_statement.py
@@ -3,8 +3,8 @@
 from enum import Enum
 from typing import Final
 
-from ..connection.member import SessionTargetReply, StatementFault
-from ..connection.state import SessionState
+from ..connection.session_state import SessionState
+from ..connection.session_target import SessionTargetReply, StatementFault
 from ..record import Record
 from ..wire import Json, wraps_decode_errors
 from .position import Position
--- a/src/reedhook/request/queue.py
+++ b/src/reedhook/request/slot_queue.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from ..clock import Clock
+from .priority_class import PriorityClass, QueueEntry
 from .refusal import RefusalError, RefusalReason, not_run
-from .share import PriorityClass, QueueEntry
 
 CLASS_WEIGHTS: Final = (16.0, 4.0, 1.0)
 """Shares of the classes; a priority beyond the last counts as the last."""
--- a/src/reedhook/request/dispatch.py
+++ b/src/reedhook/request/statement_dispatcher.py
@@ -4,12 +4,12 @@
 from typing import Final, TypeAlias
 
 from ..clock import Clock
-from ..directory import HostDirectory
+from ..host_directory import HostDirectory
 from ..peer import HostRef, PeerClient, PeerError
 from ..version.catalog import Catalog
-from .execution import HomeResponse, StatementExecutor
 from .refusal import RefusalError, RefusalReason, may_have_run, not_run
 from .statement import Statement, StatementKind
+from .statement_executor import HomeResponse, StatementExecutor
 from .verdict import Verdict
 
 HOP_GRACE_SECONDS: Final = 0.05
--- a/src/reedhook/request/execution.py
+++ b/src/reedhook/request/statement_executor.py
@@ -5,8 +5,8 @@
 from ..peer import HostRef
 from ..record import Record
 from ..wire import Json
+from .group_view import GroupView
 from .statement import Statement, StatementResult
-from .view import GroupView
 
 
 class HomeResponse(Record):
--- a/src/reedhook/request/hop.py
+++ b/src/reedhook/request/statement_forwarder.py
@@ -5,18 +5,22 @@
 from typing import Final
 
 from ..clock import Clock
-from ..decisions import DecisionLog
+from ..decision_log import DecisionLog
 from ..peer import HostRef, PeerError
-from ..process.desk import END, WORK, StatementServer
-from ..process.lead.record import PrimaryLeaseRecord
-from ..process.lead.vigil import ALIVE_PATH as ALIVE
-from ..process.network.heard_peers import AnswerTrackingPeers
+from ..process.network.answer_tracking_peers import AnswerTrackingPeers
+from ..process.primary_lease.holder_failure_detector import ALIVE_PATH as ALIVE
+from ..process.primary_lease.lease_record import PrimaryLeaseRecord
+from ..process.statement_server import END, WORK, StatementServer
 from ..record import Record
 from ..wire import Json, WireError
 from .position import Position
-from .ratelimits import RemoteRateLimits
 from .refusal import RefusalError, RefusalReason, may_have_run, not_run
-from .work import SessionStatement, SessionStatementKind, SessionStatementResult
+from .remote_rate_limits import RemoteRateLimits
+from .session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    SessionStatementResult,
+)
 
 HOP_GRACE_SECONDS: Final = 0.05
 """Seconds beyond the deadline for the answer of another host to arrive."""
--- a/src/reedhook/version/difference.py
+++ b/src/reedhook/version/difference.py
@@ -3,9 +3,9 @@
 from ..record import Record
 from ..wire import Json
 from .document import BASE_FILE, ConfigurationDocuments, overlay_file, parse_document
-from .edition import SnapshotManifest
-from .fault import ConfigurationError
+from .errors import ConfigurationError
 from .merge import changed_paths
+from .snapshot import SnapshotManifest
 
 
 class PathChange(Record):
--- a/src/reedhook/version/document.py
+++ b/src/reedhook/version/document.py
@@ -8,7 +8,7 @@
 
 from ..record import Record
 from ..wire import Json, WireError
-from .fault import (
+from .errors import (
     ConfigurationError,
     ConfigurationSyntaxError,
     DuplicateKeyError,
--- a/src/reedhook/version/merge.py
+++ b/src/reedhook/version/merge.py
@@ -5,7 +5,7 @@
 from ..record import Record
 from ..wire import Json
 from .document import ParsedDocument
-from .fault import KeyPath, SourceLocation
+from .errors import KeyPath, SourceLocation
 
 
 class MergedConfiguration(Record):
--- a/src/reedhook/version/schema.py
+++ b/src/reedhook/version/schema.py
@@ -7,7 +7,7 @@
 from jsonschema.exceptions import ValidationError
 
 from ..wire import Json
-from .fault import KeyPath
+from .errors import KeyPath
 
 NAME_PATTERN: Final = r"^[a-z][a-z0-9-]{0,62}\Z"
 NAME: Final[Json] = {
--- a/src/reedhook/version/check.py
+++ b/src/reedhook/version/validation.py
@@ -15,7 +15,7 @@
     overlay_file,
     parse_document,
 )
-from .fault import (
+from .errors import (
     ConfigurationError,
     InvalidReferenceError,
     KeyPath,
--- a/src/reedhook_standins/database.py
+++ b/src/reedhook_standins/database.py
@@ -11,10 +11,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
-from reedhook.connection.state import SessionState
+from reedhook.connection.session_state import SessionState
+from reedhook.connection.session_target import (
+    SessionTargetReply,
+    StatementFault,
+    TargetQuery,
+)
 from reedhook.request.position import Position
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.version.route_table import TargetAnnouncement
 
 LAG = 0.008
 PROMOTION = 0.3
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -5,7 +5,7 @@
 
 from reedhook.record import Record
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteConsistency
+from reedhook.version.route_table import RouteConsistency
 
 from .database import DatabaseGroup, DatabaseSession
 
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -8,7 +8,7 @@
 from reedhook.platform.text import read_position
 from reedhook.record import Record
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteConsistency
+from reedhook.version.route_table import RouteConsistency
 
 from ..promises import Promises, Sent, Viewer
 
--- a/src/reedhook_standins/soak/proxy.py
+++ b/src/reedhook_standins/soak/proxy.py
@@ -4,7 +4,7 @@
 from typing import Final, cast
 
 from reedhook.address import split_address
-from reedhook.connection.reset import reset_transport
+from reedhook.connection.transport_reset import reset_transport
 
 from ..listening import Listening
 
--- a/src/reedhook_standins/wiredatabase.py
+++ b/src/reedhook_standins/wiredatabase.py
@@ -3,7 +3,11 @@
 import asyncio
 from typing import Final
 
-from reedhook.connection.member import SessionTargetReply, StatementFault, TargetQuery
+from reedhook.connection.session_target import (
+    SessionTargetReply,
+    StatementFault,
+    TargetQuery,
+)
 from reedhook.platform.line import LineError, LineReader, encode_line
 from reedhook.platform.text import (
     FAULT_CODES,
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -14,8 +14,8 @@
     KnownHost,
 )
 from reedhook.process.events.timeline import Timeline
+from reedhook.request.group_view import GroupView, MemberView
 from reedhook.request.position import Position
-from reedhook.request.view import GroupView, MemberView
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 from reedhook.wire import Json, decode, encode
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -8,19 +8,19 @@
 from contextlib import asynccontextmanager
 from itertools import count
 
-from reedhook.directory import HostDirectory
+from reedhook.host_directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.events.timeline import Event, EventKind, Timeline
-from reedhook.process.groups.control import MemberController
-from reedhook.process.groups.coordinator import PrimaryChange
-from reedhook.process.groups.executor import LocalStatementExecutor
-from reedhook.process.groups.group import GroupManager
-from reedhook.process.groups.grouproutes import GroupRoutes
-from reedhook.request.execution import HomeResponse
+from reedhook.process.groups.group_manager import GroupManager
+from reedhook.process.groups.group_promotion_coordinator import PrimaryChange
+from reedhook.process.groups.group_routes import GroupRoutes
+from reedhook.process.groups.local_statement_executor import LocalStatementExecutor
+from reedhook.process.groups.member_control import MemberController
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Consistency, Statement, StatementKind
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -7,15 +7,15 @@
 
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerError, PeerRoutes
-from reedhook.process.configuring.archive import SnapshotRepository
-from reedhook.process.configuring.configuration import ConfigurationManager
+from reedhook.process.configuring.configuration_manager import ConfigurationManager
+from reedhook.process.configuring.configuration_relay import ConfigurationRelay
 from reedhook.process.configuring.editor import ConfigurationEditor
-from reedhook.process.configuring.relay import ConfigurationRelay
+from reedhook.process.configuring.snapshot_repository import SnapshotRepository
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.worker import Worker
 from reedhook.version.catalog import Catalog
 from reedhook.version.document import ConfigurationDocuments
-from reedhook.version.edition import SnapshotManifest
+from reedhook.version.snapshot import SnapshotManifest
 from reedhook.wire import Json
 
 from .fakes_peers import FakeNetwork
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -4,7 +4,7 @@
 
 from reedhook.connection.home import Home, HomeLoad
 from reedhook.connection.target import MemberState, TargetResult
-from reedhook.process.groups.homes import LocalHomes
+from reedhook.process.groups.local_homes import LocalHomes
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Statement
 from reedhook.version.catalog import Catalog, Group, Limits, Member
--- a/tests/fakes_hosts.py
+++ b/tests/fakes_hosts.py
@@ -6,9 +6,9 @@
 
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.events.timeline import Timeline
-from reedhook.process.fleet.directory import MembershipDirectory
 from reedhook.process.fleet.heartbeat import Heartbeats
 from reedhook.process.fleet.membership import Membership
+from reedhook.process.fleet.membership_directory import MembershipDirectory
 from reedhook.process.fleet.membership_record import MembershipState
 
 from .fakes_peers import FakeNetwork
--- a/tests/fakes_keyspace.py
+++ b/tests/fakes_keyspace.py
@@ -11,7 +11,7 @@
 
 import asyncio
 
-from reedhook.process.announced.keyspace import (
+from reedhook.process.discovery.key_value_store import (
     HistoryCompactedError,
     Item,
     Items,
--- a/tests/fakes_members.py
+++ b/tests/fakes_members.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from reedhook.connection.member import (
+from reedhook.connection.session_target import (
     SessionTargetConnection,
     SessionTargetDriver,
     SessionTargetFullError,
@@ -15,8 +15,8 @@
     StatementFault,
     TargetQuery,
 )
-from reedhook.process.lead.duty import OrderOutcome, Promoter
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.process.primary_lease.promotion_coordinator import OrderOutcome, Promoter
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook_standins.database import (
     DatabaseGroup,
     DatabaseMember,
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -12,14 +12,14 @@
 from typing import Final
 
 from reedhook.clock import Clock
-from reedhook.directory import HostDirectory
+from reedhook.host_directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.request.choice import ReplicaSelector
-from reedhook.request.dispatch import StatementDispatcher
-from reedhook.request.execution import HomeResponse, StatementExecutor
+from reedhook.request.group_view import GroupView, MemberView
+from reedhook.request.group_view_cache import GroupViewCache
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason, not_run
+from reedhook.request.replica_selector import ReplicaSelector
 from reedhook.request.router import Router
 from reedhook.request.statement import (
     Consistency,
@@ -27,8 +27,8 @@
     StatementKind,
     StatementResult,
 )
-from reedhook.request.view import GroupView, MemberView
-from reedhook.request.views import GroupViewCache
+from reedhook.request.statement_dispatcher import StatementDispatcher
+from reedhook.request.statement_executor import HomeResponse, StatementExecutor
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspace, Workspaces
 from reedhook.wire import Json
--- a/tests/home_support.py
+++ b/tests/home_support.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from typing import Any, TypeVar
 
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.events.timeline import EventKind, Timeline
 from reedhook.request.refusal import RefusalError
--- a/tests/load.py
+++ b/tests/load.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Final
 
-from reedhook.connection.turns import (
+from reedhook.connection.admission_queue import (
     Admission,
     AdmissionQueue,
     AdmissionRequest,
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -11,19 +11,19 @@
 import random
 from typing import Any
 
-from reedhook.connection.member import StatementFault
 from reedhook.connection.session import Session, SessionReply
-from reedhook.connection.state import SessionState
-from reedhook.decisions import DecisionLog
+from reedhook.connection.session_state import SessionState
+from reedhook.connection.session_target import StatementFault
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.process.announced.documents import StoreValueParser
+from reedhook.process.discovery.store_value_parser import StoreValueParser
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.histograms import HistogramMetrics
-from reedhook.process.hosting_settings import SessionHostSettings
 from reedhook.process.session_host import SessionHost
-from reedhook.request.command import SessionCommand, SessionCommandKind
+from reedhook.process.session_host_settings import SessionHostSettings
+from reedhook.request.session_command import SessionCommand, SessionCommandKind
 from reedhook.request.verdict import Verdict
-from reedhook.version.registry import (
+from reedhook.version.route_table import (
     Route,
     RouteConsistency,
     RouteTable,
--- a/tests/test_admin_config.py
+++ b/tests/test_admin_config.py
@@ -14,9 +14,9 @@
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
 from reedhook.process.administration.admin_operator import OperatorAuthenticator
-from reedhook.process.configuring.archive import SnapshotRepository
-from reedhook.process.configuring.configuration import ConfigurationManager
+from reedhook.process.configuring.configuration_manager import ConfigurationManager
 from reedhook.process.configuring.editor import ConfigurationEditor
+from reedhook.process.configuring.snapshot_repository import SnapshotRepository
 from reedhook.wire import Json
 
 from .admin_fakes import DIGESTS, HEADERS, FakeNetwork
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -5,16 +5,16 @@
 
 import pytest
 
-from reedhook.decisions import DecisionLog
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import ConfigurationFreshness
-from reedhook.process.announced.keyspace import Item, Items
-from reedhook.process.announced.watch import (
+from reedhook.decision_log import DecisionLog
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.discovery.configuration_freshness import ConfigurationFreshness
+from reedhook.process.discovery.key_value_store import Item, Items
+from reedhook.process.discovery.store_watcher import (
     HOLD_MARGIN_SECONDS,
     StoreWatcher,
     UpdateSource,
 )
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook.wire import encode
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -3,8 +3,8 @@
 import asyncio
 import os
 
-from reedhook.background import BackgroundTasks
-from reedhook.decisions import DecisionLog
+from reedhook.background_tasks import BackgroundTasks
+from reedhook.decision_log import DecisionLog
 from reedhook.wire import decode
 
 from .fakes_clock import LoopClock, run_virtual
--- a/tests/test_capacities.py
+++ b/tests/test_capacities.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from reedhook.decisions import DecisionLog
-from reedhook.process.announced.announcements import HOSTS_KEY_PREFIX, Announcements
-from reedhook.process.announced.capacities import HostCapacities, capacity
-from reedhook.process.announced.keyspace import Item
+from reedhook.decision_log import DecisionLog
+from reedhook.process.discovery.announcements import HOSTS_KEY_PREFIX, Announcements
+from reedhook.process.discovery.host_capacities import HostCapacities, capacity
+from reedhook.process.discovery.key_value_store import Item
 from reedhook.wire import encode
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_config_accept.py
+++ b/tests/test_config_accept.py
@@ -8,29 +8,32 @@
 
 import pytest
 
-from reedhook.process.configuring import archive as archive_module
-from reedhook.process.configuring.archive import (
+from reedhook.process.configuring import snapshot_repository as archive_module
+from reedhook.process.configuring.configuration_edit import EditConflictError
+from reedhook.process.configuring.snapshot_exchange import (
+    MAX_ANSWER_BYTES,
+    parts_answer,
+)
+from reedhook.process.configuring.snapshot_repository import (
     HEAD_KEY,
     PART_PREFIX,
     history_key,
     part_key,
 )
-from reedhook.process.configuring.edit import EditConflictError
-from reedhook.process.configuring.exchange import MAX_ANSWER_BYTES, parts_answer
 from reedhook.process.worker import ThreadWorker
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.verdict import Verdict
-from reedhook.version import edition as edition_module
-from reedhook.version.check import validate_documents
+from reedhook.version import snapshot as edition_module
 from reedhook.version.document import ConfigurationDocuments
-from reedhook.version.edition import (
+from reedhook.version.errors import InvalidConfigurationError
+from reedhook.version.snapshot import (
     MAX_PART_BYTES,
     SnapshotError,
     SnapshotManifest,
     build_snapshot,
     decompress_part,
 )
-from reedhook.version.fault import InvalidConfigurationError
+from reedhook.version.validation import validate_documents
 
 from .config_fleet import BASE, Fleet, FleetHost, documents
 from .fakes_clock import run_virtual
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -9,13 +9,13 @@
 from hypothesis import given, strategies as st
 
 from reedhook.version.catalog import Limits
-from reedhook.version.check import validate_documents
 from reedhook.version.document import ConfigurationDocuments
-from reedhook.version.fault import (
+from reedhook.version.errors import (
     ConfigurationSyntaxError,
     DuplicateKeyError,
     InvalidConfigurationError,
 )
+from reedhook.version.validation import validate_documents
 
 EXAMPLES: Final = Path(__file__).parent.parent / "examples"
 DIGEST: Final = "0" * 64
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -10,15 +10,15 @@
 from hypothesis import given, settings, strategies as st
 
 from reedhook.peer import HostRef
-from reedhook.process.configuring.archive import HEAD_KEY
-from reedhook.process.configuring.edit import EditConflictError
+from reedhook.process.configuring.configuration_edit import EditConflictError
 from reedhook.process.configuring.editor import ConfigurationEditor
+from reedhook.process.configuring.snapshot_repository import HEAD_KEY
 from reedhook.process.configuring.store_http import HttpStore
 from reedhook.process.events.timeline import EventKind
 from reedhook.request.refusal import RefusalError
 from reedhook.request.verdict import Verdict
 from reedhook.version.document import ConfigurationDocuments
-from reedhook.version.edition import SnapshotManifest, compress_part
+from reedhook.version.snapshot import SnapshotManifest, compress_part
 from reedhook.wire import Json
 from reedhook_standins.store import StoreStandin
 
--- a/tests/test_connection_reset.py
+++ b/tests/test_connection_reset.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedhook.connection.channel import ResponseIncompleteError, open_channel
-from reedhook.connection.member import SessionTargetNoReplyError, TargetQuery
+from reedhook.connection.session_target import SessionTargetNoReplyError, TargetQuery
 from reedhook.platform.driver import WireDriver
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.version.route_table import TargetAnnouncement
 
 SHORT = 0.05
 PATIENCE = 2.0
--- a/tests/test_daemon_imports.py
+++ b/tests/test_daemon_imports.py
@@ -17,7 +17,7 @@
     ),
     (
         "reedhook.process.assembly",
-        ("reedhook.process.lead", "reedhook.process.announced"),
+        ("reedhook.process.primary_lease", "reedhook.process.discovery"),
     ),
 ]
 """Where each kind of host is assembled, and what is the other kind's alone; a reader
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -6,7 +6,7 @@
 import pytest
 
 from reedhook.process.lifecycle import HostDaemon
-from reedhook.process.overdue import ShutdownTimeoutError
+from reedhook.process.shutdown_errors import ShutdownTimeoutError
 
 from .daemon_fakes import Counted, FakeHost, a_process
 from .support import on_loop
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,7 +2,7 @@
 
 import os
 
-from reedhook.decisions import BURST_LINES, DecisionLog
+from reedhook.decision_log import BURST_LINES, DecisionLog
 from reedhook.wire import decode
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -5,9 +5,9 @@
 import pytest
 
 from reedhook.connection.target import TargetResult
-from reedhook.request.execution import HomeResponse
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Consistency, Statement, StatementKind
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.request.verdict import Verdict
 from reedhook.wire import WireError
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -5,16 +5,19 @@
 
 import pytest
 
-from reedhook.connection.memberhome import SessionTargetHome
-from reedhook.decisions import DecisionLog
+from reedhook.connection.session_target_home import SessionTargetHome
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import ConfigurationFreshness
-from reedhook.process.announced.news import UpdateServer
-from reedhook.process.announced.proving import FALLBACK_AGE_SECONDS, FreshnessProver
-from reedhook.process.announced.watch import StoreWatcher, UpdateSource
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.discovery.configuration_freshness import ConfigurationFreshness
+from reedhook.process.discovery.freshness_prover import (
+    FALLBACK_AGE_SECONDS,
+    FreshnessProver,
+)
+from reedhook.process.discovery.store_watcher import StoreWatcher, UpdateSource
+from reedhook.process.discovery.update_source import UpdateServer
 from reedhook.request.refusal import RefusalError, RefusalReason
-from reedhook.request.work import (
+from reedhook.request.session_statement import (
     SessionStatement,
     SessionStatementKind,
     TransactionMode,
--- a/tests/test_group_hint.py
+++ b/tests/test_group_hint.py
@@ -4,8 +4,8 @@
 import random
 
 from reedhook.process.configuring.store import StoreEntry
-from reedhook.process.groups.coordinator import PrimaryChange
-from reedhook.process.groups.hint import PrimaryHints
+from reedhook.process.groups.group_promotion_coordinator import PrimaryChange
+from reedhook.process.groups.primary_hints import PrimaryHints
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_store import FakeStore
--- a/tests/test_group_proofs.py
+++ b/tests/test_group_proofs.py
@@ -6,9 +6,12 @@
 from hypothesis import given, strategies as st
 
 from reedhook.connection.target import MemberState, Role
-from reedhook.process.groups.confirmation import GroupLeader, LeaderConfirmation
-from reedhook.process.groups.durability import DurabilityTracker, durable_position
-from reedhook.process.groups.sample import PrimarySample, PrimarySamples
+from reedhook.process.groups.durability_tracker import (
+    DurabilityTracker,
+    durable_position,
+)
+from reedhook.process.groups.leader_confirmation import GroupLeader, LeaderConfirmation
+from reedhook.process.groups.primary_sample import PrimarySample, PrimarySamples
 from reedhook.request.position import ORIGIN, Position
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Consistency
--- a/tests/test_home_health.py
+++ b/tests/test_home_health.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from reedhook.connection.target import Role, TargetError
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.process.events.timeline import EventKind
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason
--- a/tests/test_home_interleaving.py
+++ b/tests/test_home_interleaving.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies as st
 
 from reedhook.connection.target import TargetResult
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
--- a/tests/test_home_transactions.py
+++ b/tests/test_home_transactions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
--- a/tests/test_home_verdicts.py
+++ b/tests/test_home_verdicts.py
@@ -7,7 +7,7 @@
 from hypothesis import given, strategies as st
 
 from reedhook.connection.target import TargetResult
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Statement, StatementKind
 from reedhook.request.verdict import Verdict
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reedhook.process.events.timeline import EventKind
-from reedhook.process.groups.executor import LocalStatementExecutor
+from reedhook.process.groups.local_statement_executor import LocalStatementExecutor
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.request.statement import Statement, StatementKind
 from reedhook.version.catalog import Catalog, Group, Limits
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -4,22 +4,22 @@
 
 import pytest
 
-from reedhook.decisions import DecisionLog
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef, PeerClient, PeerError
-from reedhook.process.desk import StatementServer
-from reedhook.process.network.heard_peers import AnswerTrackingPeers
-from reedhook.request.hop import (
-    READ_WAIT_LIMIT_SECONDS,
-    StatementForwarder,
-    StatementLocation,
-)
+from reedhook.process.network.answer_tracking_peers import AnswerTrackingPeers
+from reedhook.process.statement_server import StatementServer
 from reedhook.request.refusal import RefusalError, RefusalReason
-from reedhook.request.verdict import Verdict
-from reedhook.request.work import (
+from reedhook.request.session_statement import (
     SessionStatement,
     SessionStatementKind,
     TransactionMode,
 )
+from reedhook.request.statement_forwarder import (
+    READ_WAIT_LIMIT_SECONDS,
+    StatementForwarder,
+    StatementLocation,
+)
+from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -9,11 +9,11 @@
 import pytest
 
 from reedhook.connection.session import SessionReply
-from reedhook.connection.state import SessionState
-from reedhook.process.hosting_settings import SessionHostSettings
+from reedhook.connection.session_state import SessionState
+from reedhook.process.session_host_settings import SessionHostSettings
 from reedhook.request.authorization import REVOCATION_MARGIN_SECONDS
-from reedhook.request.command import SessionCommandKind
 from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.session_command import SessionCommandKind
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
--- a/tests/test_keys_on_the_wire.py
+++ b/tests/test_keys_on_the_wire.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from reedhook.decisions import DecisionLog
-from reedhook.platform.entry import CallerListener
+from reedhook.decision_log import DecisionLog
+from reedhook.platform.caller_listener import CallerListener
 from reedhook.process.session_host import SessionHost
 from reedhook.wire import encode
 
--- a/tests/test_lead_claim.py
+++ b/tests/test_lead_claim.py
@@ -2,13 +2,17 @@
 
 import asyncio
 
-from reedhook.decisions import DecisionLog
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.lead.book import PrimaryLeaseRegistry
-from reedhook.process.lead.claim import HolderClaim
-from reedhook.process.lead.record import HostIncarnation, PrimaryLeaseRecord, lease_key
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.primary_lease.lease_claim import HolderClaim
+from reedhook.process.primary_lease.lease_record import (
+    HostIncarnation,
+    PrimaryLeaseRecord,
+    lease_key,
+)
+from reedhook.process.primary_lease.lease_registry import PrimaryLeaseRegistry
+from reedhook.version.route_table import TargetAnnouncement
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_keyspace import FakeStore
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,10 +6,10 @@
 import pytest
 
 from reedhook.process.events.timeline import EventKind, Timeline
-from reedhook.process.fleet.leaving import LeavingTargetHandler
-from reedhook.process.groups.group import GroupManager
+from reedhook.process.fleet.leaving_targets import LeavingTargetHandler
+from reedhook.process.groups.group_manager import GroupManager
+from reedhook.request.group_view import GroupView
 from reedhook.request.refusal import RefusalError
-from reedhook.request.view import GroupView
 from reedhook.version.catalog import Group, Member
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -14,7 +14,7 @@
     ListedKind,
     ListedState,
 )
-from reedhook.process.fleet.listing import (
+from reedhook.process.fleet.hostlist_poller import (
     LEAVING_CONFIRMATION_SECONDS,
     MAX_POLL_INTERVAL_SECONDS,
     HostListPoller,
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -6,17 +6,20 @@
 
 import pytest
 
-from reedhook.connection.lanes import MAX_CONNECTION_WAIT_SECONDS
-from reedhook.connection.member import SessionTargetReply, StatementFault
-from reedhook.connection.memberhome import STALLED_AFTER_SECONDS, SessionTargetHome
-from reedhook.decisions import DecisionLog
+from reedhook.connection.session_connection_pool import MAX_CONNECTION_WAIT_SECONDS
+from reedhook.connection.session_target import SessionTargetReply, StatementFault
+from reedhook.connection.session_target_home import (
+    STALLED_AFTER_SECONDS,
+    SessionTargetHome,
+)
+from reedhook.decision_log import DecisionLog
 from reedhook.request.refusal import RefusalError, RefusalReason
-from reedhook.request.verdict import Verdict
-from reedhook.request.work import (
+from reedhook.request.session_statement import (
     SessionStatement,
     SessionStatementKind,
     TransactionMode,
 )
+from reedhook.request.verdict import Verdict
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent
 
--- a/tests/test_membership_directory.py
+++ b/tests/test_membership_directory.py
@@ -5,7 +5,7 @@
 from hypothesis import given, strategies as st
 
 from reedhook.peer import HostRef
-from reedhook.process.fleet.directory import MembershipDirectory
+from reedhook.process.fleet.membership_directory import MembershipDirectory
 from reedhook.process.fleet.membership_record import HostRecord, MembershipState
 from reedhook.process.fleet.membership_table import MembershipTable
 from reedhook.process.fleet.rendezvous import connection_quota, ranked_hosts
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -5,9 +5,13 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from reedhook.process.announced import mirror as module
-from reedhook.process.announced.keyspace import HistoryCompactedError, Item, Items
-from reedhook.process.announced.mirror import StoreMirror
+from reedhook.process.discovery import store_mirror as module
+from reedhook.process.discovery.key_value_store import (
+    HistoryCompactedError,
+    Item,
+    Items,
+)
+from reedhook.process.discovery.store_mirror import StoreMirror
 
 CHANGES = st.lists(st.tuples(st.sampled_from("abcd"), st.booleans()), max_size=30)
 
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from reedhook.process.callers import ROTATION_DELAY_SECONDS, CallerConnection
+from reedhook.process.caller_sessions import ROTATION_DELAY_SECONDS, CallerConnection
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import run_virtual
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings, strategies as st
 
 from reedhook.clock import SystemClock
-from reedhook.connection.link import MAX_IDLE_CHANNELS
+from reedhook.connection.channel_pool import MAX_IDLE_CHANNELS
 from reedhook.peer import HostRef, PeerError, PeerRoutes
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.network.peer_http import LINK_IDLE_SECONDS, HttpPeers
-from reedhook.process.network.peer_server import PeerEndpoint, PeerServer
-from reedhook.process.network.peer_wire import (
+from reedhook.process.network.peer_protocol import (
     CLIENT_KEEPALIVE,
     CREDENTIAL,
     MAX_PEER_BODY_BYTES,
 )
+from reedhook.process.network.peer_server import PeerEndpoint, PeerServer
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json, WireError
--- a/tests/test_permission_properties.py
+++ b/tests/test_permission_properties.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings, strategies as st
 
-from reedhook.request.command import SessionCommandKind
+from reedhook.request.session_command import SessionCommandKind
 
 from .fakes_clock import run_virtual
 from .session_world import SessionWorld
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -5,16 +5,16 @@
 
 from hypothesis import given, settings, strategies as st
 
-from reedhook.connection.member import SessionTargetReply, StatementFault
-from reedhook.connection.memberhome import SessionTargetHome
-from reedhook.decisions import DecisionLog
+from reedhook.connection.session_target import SessionTargetReply, StatementFault
+from reedhook.connection.session_target_home import SessionTargetHome
+from reedhook.decision_log import DecisionLog
 from reedhook.request.refusal import RefusalError
-from reedhook.request.work import (
+from reedhook.request.session_statement import (
     SessionStatement,
     SessionStatementKind,
     TransactionMode,
 )
-from reedhook.version.registry import RouteConsistency
+from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent, Viewer
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -15,10 +15,10 @@
     read_position,
     write_position,
 )
-from reedhook.process.rates.terms import DEFAULT_TOLERANCE, RateTolerance
-from reedhook.request.command import SessionCommandKind
+from reedhook.process.rates.rate_tolerance import DEFAULT_TOLERANCE, RateTolerance
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteConsistency, TargetAnnouncement
+from reedhook.request.session_command import SessionCommandKind
+from reedhook.version.route_table import RouteConsistency, TargetAnnouncement
 from reedhook.wire import WireError, encode
 
 ENTRY: dict[str, object] = {
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -7,7 +7,7 @@
 
 from reedhook.clock import SystemClock
 from reedhook.platform.store import PlatformStore
-from reedhook.process.announced.keyspace import (
+from reedhook.process.discovery.key_value_store import (
     HistoryCompactedError,
     RevisionConflictError,
     StoreLeaseExpiredError,
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reedhook.connection.member import (
+from reedhook.connection.session_target import (
     SessionTargetFullError,
     SessionTargetNoReplyError,
     SessionTargetUnreachableError,
@@ -13,12 +13,12 @@
     TargetQuery,
     WrongTargetError,
 )
+from reedhook.platform.caller_listener import CallerListener, refusal_fields
 from reedhook.platform.driver import WireDriver
-from reedhook.platform.entry import CallerListener, refusal_fields
-from reedhook.process.callers import CallerSessions
+from reedhook.process.caller_sessions import CallerSessions
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalReason, may_have_run, not_run
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook_standins.wiremember import WireMemberStandIn
 
 from .session_world import SessionWorld
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from reedhook.connection.member import TargetQuery
+from reedhook.connection.session_target import TargetQuery
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteConsistency
+from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup, DatabaseSession
 from reedhook_standins.promises import Promises, Sent, Viewer
 
--- a/tests/test_promotion.py
+++ b/tests/test_promotion.py
@@ -8,7 +8,7 @@
 
 from reedhook.connection.target import MemberState, Role
 from reedhook.process.events.timeline import EventKind
-from reedhook.process.groups.control import (
+from reedhook.process.groups.member_control import (
     ControlOperation,
     MemberController,
     MemberControlRequest,
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -8,8 +8,8 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from reedhook.request.queue import SlotQueue
 from reedhook.request.refusal import RefusalError, RefusalReason
+from reedhook.request.slot_queue import SlotQueue
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import LoopClock, in_virtual_time
--- a/tests/test_queue_overload.py
+++ b/tests/test_queue_overload.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from reedhook.connection.targethome import TargetHome
+from reedhook.connection.target_home import TargetHome
 from reedhook.request.refusal import RefusalError
 from reedhook.request.statement import StatementKind
 from reedhook.request.verdict import Verdict
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -12,16 +12,16 @@
 
 import pytest
 
-from reedhook.decisions import DecisionLog
-from reedhook.directory import HostDirectory
+from reedhook.decision_log import DecisionLog
+from reedhook.host_directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import ConfigurationFreshness
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.discovery.configuration_freshness import ConfigurationFreshness
 from reedhook.process.fleet.rendezvous import ranked_hosts
-from reedhook.process.rates.allowances import WorkspaceRateLimiter
-from reedhook.process.rates.owner import GrantRequest, RateOwner
-from reedhook.process.rates.terms import DEFAULT_TOLERANCE
+from reedhook.process.rates.rate_owner import GrantRequest, RateOwner
+from reedhook.process.rates.rate_tolerance import DEFAULT_TOLERANCE
+from reedhook.process.rates.workspace_rate_limiter import WorkspaceRateLimiter
 from reedhook.request.refusal import RefusalError, RefusalReason
 from reedhook.version.workspace import Workspace, Workspaces
 
--- a/tests/test_reign.py
+++ b/tests/test_reign.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from reedhook.request.execution import HomeResponse
+from reedhook.request.group_view import GroupView
+from reedhook.request.primary_attempt import PrimaryAttempt
 from reedhook.request.refusal import RefusalError, RefusalReason
-from reedhook.request.reign import PrimaryAttempt
 from reedhook.request.statement import StatementKind
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.request.verdict import Verdict
-from reedhook.request.view import GroupView
 
 from .cluster_group import Cluster
 from .fakes_clock import run_virtual
--- a/tests/test_request_dispatch.py
+++ b/tests/test_request_dispatch.py
@@ -7,9 +7,9 @@
 import pytest
 
 from reedhook.peer import HostRef
-from reedhook.request.execution import HomeResponse
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Statement, StatementKind
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
--- a/tests/test_request_sessions.py
+++ b/tests/test_request_sessions.py
@@ -10,11 +10,11 @@
 
 from hypothesis import given, strategies as st
 
-from reedhook.request.execution import HomeResponse
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalError
+from reedhook.request.session_token import SessionToken, TokenCodec
 from reedhook.request.statement import Statement
-from reedhook.request.token import SessionToken, TokenCodec
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.request.verdict import Verdict
 
 from .fakes_clock import run_virtual
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,13 +6,13 @@
 
 import pytest
 
+from reedhook.request.group_view_cache import MAX_WAITERS
 from reedhook.request.hedge import MIN_DELAY_SECONDS
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.router import HEDGE_BURST, RETRY_BURST
 from reedhook.request.statement import Consistency, Statement, StatementKind
 from reedhook.request.verdict import Verdict
-from reedhook.request.views import MAX_WAITERS
 
 from .fakes_clock import in_virtual_time
 from .fakes_request import World, read, write
--- a/tests/test_self_feeding.py
+++ b/tests/test_self_feeding.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from reedhook.connection.member import StatementFault
+from reedhook.connection.session_target import StatementFault
 from reedhook.peer import HostRef
 from reedhook.request.refusal import RefusalError
 
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from reedhook.connection.member import StatementFault
-from reedhook.connection.state import SessionState
+from reedhook.connection.session_state import SessionState
+from reedhook.connection.session_target import StatementFault
 from reedhook.peer import HostRef
-from reedhook.process.lead.record import HostIncarnation
-from reedhook.request.command import SessionCommandKind
-from reedhook.request.hop import StatementLocation
+from reedhook.process.primary_lease.lease_record import HostIncarnation
 from reedhook.request.refusal import RefusalReason, not_run
+from reedhook.request.session_command import SessionCommandKind
+from reedhook.request.session_statement import SessionStatement, SessionStatementResult
+from reedhook.request.statement_forwarder import StatementLocation
 from reedhook.request.verdict import Verdict
-from reedhook.request.work import SessionStatement, SessionStatementResult
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook.wire import decode
 
 from .fakes_clock import in_virtual_time, run_virtual
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from reedhook.connection.homerefusals import transaction_lost_refusal
-from reedhook.request.hop import LocatedResult
+from reedhook.connection.session_target_refusals import transaction_lost_refusal
 from reedhook.request.refusal import RefusalError, RefusalReason, not_run
-from reedhook.request.replicas import ReplicaReader, ReplicaReadResult
-from reedhook.request.steering import SessionRouter
-from reedhook.request.work import (
+from reedhook.request.replica_reader import ReplicaReader, ReplicaReadResult
+from reedhook.request.session_router import SessionRouter
+from reedhook.request.session_statement import (
     SessionStatement,
     SessionStatementKind,
     TransactionMode,
 )
-from reedhook.version.registry import TargetAnnouncement
+from reedhook.request.statement_forwarder import LocatedResult
+from reedhook.version.route_table import TargetAnnouncement
 
 from .fakes_clock import in_virtual_time
 
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedhook.connection.member import StatementFault
+from reedhook.connection.session_target import StatementFault
 from reedhook.request.position import Position
 from reedhook.wire import encode
 from reedhook_standins.database import DatabaseMember
@@ -136,7 +136,7 @@
 
     decide = promotion.decide_successor
 
-    async def decide_and_lose(*arguments: object) -> bool:
+    async def lose_it(*arguments: object) -> bool:
         found = await decide(*arguments)  # type: ignore[arg-type]
         if found and not chosen:
             chosen.append(promotion.claim.record.successor)
@@ -145,7 +145,7 @@
         return found
 
     promotion.coordinator.order = late_order  # type: ignore[assignment, method-assign]
-    promotion.decide_successor = decide_and_lose  # type: ignore[assignment, method-assign]
+    promotion.decide_successor = lose_it  # type: ignore[assignment, method-assign]
     world.group.primary.down = True
     caller = await world.caller("h00", "tickets")
     await first_success(caller, 20.0)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -14,8 +14,8 @@
     Timeline,
 )
 from reedhook.process.events.timeline_filter import EventFilter
+from reedhook.process.events.timeline_html import page_of
 from reedhook.process.events.timeline_merge import EventHistory, failovers, merge, order
-from reedhook.process.events.timeline_page import page_of
 from reedhook.process.events.timeline_text import text_of
 from reedhook.wire import WireError
 
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -5,7 +5,7 @@
 
 from reedhook.request.position import Position
 from reedhook.request.refusal import RefusalError, RefusalReason
-from reedhook.request.token import (
+from reedhook.request.session_token import (
     FORMAT_VERSION,
     MAX_GROUPS,
     SessionToken,
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from reedhook.connection.turns import (
+from reedhook.connection.admission_queue import (
     EXTRA_IN_FLIGHT_LIMIT,
     AdmissionQueue,
     AdmissionRequest,
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -10,8 +10,8 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from reedhook.connection.lane import PooledConnection
-from reedhook.connection.lanes import SessionConnectionPool
+from reedhook.connection.pooled_connection import PooledConnection
+from reedhook.connection.session_connection_pool import SessionConnectionPool
 from reedhook.process.fleet.rendezvous import connection_quota, home_connection_limit
 from reedhook.request.refusal import RefusalError
 from reedhook_standins.database import DatabaseGroup
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reedhook.platform.documents import PlatformDocuments
-from reedhook.version.registry import RouteTable
+from reedhook.version.route_table import RouteTable
 from reedhook.version.workspace import (
     MAX_KEY_CHARACTERS,
     Workspace,
--- a/tests/thin_links.py
+++ b/tests/thin_links.py
@@ -13,16 +13,19 @@
 import random
 from collections import Counter
 
-from reedhook.decisions import DecisionLog
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef, PeerError, PeerRoutes
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.announced.freshness import ConfigurationFreshness
-from reedhook.process.announced.keyspace import Items
-from reedhook.process.announced.news import PeerUpdateSource, UpdateServer
-from reedhook.process.announced.tables import RouteTableFetcher, RouteTableServer
-from reedhook.process.announced.watch import StoreWatcher
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.discovery.configuration_freshness import ConfigurationFreshness
+from reedhook.process.discovery.key_value_store import Items
+from reedhook.process.discovery.route_table_transfer import (
+    RouteTableFetcher,
+    RouteTableServer,
+)
+from reedhook.process.discovery.store_watcher import StoreWatcher
+from reedhook.process.discovery.update_source import PeerUpdateSource, UpdateServer
 from reedhook.process.fleet.rendezvous import ranked_hosts
-from reedhook.version.registry import RouteTable
+from reedhook.version.route_table import RouteTable
 from reedhook.wire import Json, decode, encode, wraps_decode_errors
 
 from .fakes_clock import LoopClock
