--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -413,7 +413,7 @@
     """Return the refusal for an error of this host itself."""
     ask = request.get(REQUEST_CONTEXT)
     detail = "this host failed; its log says more"
-    if ask is not None and ask.sent and ask.kind not in NO_EFFECT_KINDS:
+    if ask is not None and ask.forwarded and ask.kind not in NO_EFFECT_KINDS:
         return may_have_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
     return not_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
 
