--- a/src/reedhook/process/primary_lease/lease_holder.py
+++ b/src/reedhook/process/primary_lease/lease_holder.py
@@ -170,7 +170,7 @@
         if entry is not None and not entry.is_incarnation(home.entry.started_at_ms):
             await self.change("reborn", home.entry, planned=False)
             return
-        if self.questioned and await self.has_lost_leadership(home.entry):
+        if self.leadership_questioned and await self.has_lost_leadership(home.entry):
             await self.change("leads no more", home.entry, planned=False)
             return
         if self.clock.monotonic() - home.last_reply_at < PROBE_AFTER_SECONDS:
@@ -206,7 +206,7 @@
 
         Without an answer that is asked again at the next sign.
         """
-        self.questioned = False
+        self.leadership_questioned = False
         status = await self.states.status(entry)
         if status is None:
             return False
--- a/tests/trace_replay.py
+++ b/tests/trace_replay.py
@@ -523,7 +523,7 @@
     network = replay.world.network
 
     async def before(host: str, order: Any) -> None:
-        if not paused and order.op.value == event["before"]:
+        if not paused and order.operation.value == event["before"]:
             paused.append(host)
             network.pause(host)
             loop = asyncio.get_running_loop()
