--- a/src/reedhook/request/__init__.py
+++ b/src/reedhook/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Request handling: authorization, routing, queueing and forwarding."""
--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -1,4 +1,4 @@
-"""The callers' interface: HTTP with JSON, described in docs/API.md."""
+"""HTTP and JSON interface for callers, described in docs/API.md."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -60,11 +60,10 @@
 
 
 class RequestContext:
-    """Keep what is known of one request while it is answered.
+    """Keep the state of one request while it is served.
 
-    :param token_text: the token as it was given, if one was.
-    :ivar forwarded: whether it was handed on, so that it may have run.
-    :ivar kind: what it does.
+    :param token_text: the session token as the caller sent it, if any.
+    :ivar forwarded: whether the request left this layer, so that it may have run.
     """
 
     __slots__ = (
@@ -100,17 +99,17 @@
 
 
 class Api:
-    """Answer callers.
+    """Serve callers' requests.
 
-    The server must let handlers go on when a caller hangs up, as aiohttp's
-    does by default, so that a write comes to a definite end. It must leave
-    compressed bodies alone (``auto_decompress=False``); they are refused here.
+    The server must not cancel handlers when a caller disconnects (aiohttp's
+    default), so that each write gets a definite outcome. It must not decompress
+    bodies (``auto_decompress=False``); compressed ones are refused here.
 
     :param me: this host.
     :param secrets: secrets of session tokens and transaction handles, shared
         by all hosts; the first one signs.
     :ivar active_requests: requests in progress.
-    :ivar leaving: whether the balancer should send callers elsewhere.
+    :ivar leaving: whether the load balancer should stop sending callers here.
     :ivar draining: whether only open transactions are still served.
     """
 
@@ -156,43 +155,51 @@
         self.draining = False
 
     async def read(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/read``."""
-        body, ask = await self.open_request(request, READ_SCHEMA, StatementKind.READ)
-        statement = self.build_statement(ask, body)
-        set_consistency(statement, body, ask.catalog)
-        return self.build_response(ask, await self.run(ask, statement, True))
+        """Handle ``POST /v1/read``."""
+        body, context = await self.open_request(
+            request, READ_SCHEMA, StatementKind.READ
+        )
+        statement = self.build_statement(context, body)
+        set_consistency(statement, body, context.catalog)
+        return self.build_response(context, await self.run(context, statement, True))
 
     async def write(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/write``."""
-        body, ask = await self.open_request(request, WRITE_SCHEMA, StatementKind.WRITE)
-        statement = self.build_statement(ask, body)
-        statement.request_id = self.scoped_request_id(ask.workspace, body)
-        return self.build_response(ask, await self.run(ask, statement, True))
+        """Handle ``POST /v1/write``."""
+        body, context = await self.open_request(
+            request, WRITE_SCHEMA, StatementKind.WRITE
+        )
+        statement = self.build_statement(context, body)
+        statement.request_id = self.scoped_request_id(context.workspace, body)
+        return self.build_response(context, await self.run(context, statement, True))
 
     async def begin(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/transactions``."""
-        body, ask = await self.open_request(request, BEGIN_SCHEMA, StatementKind.BEGIN)
-        statement = self.build_statement(ask, body)
-        statement.request_id = self.scoped_request_id(ask.workspace, body)
-        served = await self.run(ask, statement, True)
-        return self.build_response(ask, served, self.new_handle(ask, statement, served))
+        """Handle ``POST /v1/transactions``."""
+        body, context = await self.open_request(
+            request, BEGIN_SCHEMA, StatementKind.BEGIN
+        )
+        statement = self.build_statement(context, body)
+        statement.request_id = self.scoped_request_id(context.workspace, body)
+        home_response = await self.run(context, statement, True)
+        return self.build_response(
+            context, home_response, self.new_handle(context, statement, home_response)
+        )
 
     async def step(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/transactions/{id}/statements``."""
+        """Handle ``POST /v1/transactions/{id}/statements``."""
         return await self.run_in_transaction(request, STEP_SCHEMA, StatementKind.STEP)
 
     async def commit(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/transactions/{id}/commit``."""
+        """Handle ``POST /v1/transactions/{id}/commit``."""
         return await self.run_in_transaction(request, END_SCHEMA, StatementKind.COMMIT)
 
     async def rollback(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``POST /v1/transactions/{id}/rollback``."""
+        """Handle ``POST /v1/transactions/{id}/rollback``."""
         return await self.run_in_transaction(
             request, END_SCHEMA, StatementKind.ROLLBACK
         )
 
     async def health(self, request: web.BaseRequest) -> web.Response:
-        """Answer ``GET /v1/health`` for the platform's balancer."""
+        """Handle ``GET /v1/health`` of the platform's load balancer."""
         catalog = self.catalog()
         status = "ok" if catalog else "starting"
         if self.leaving or self.draining:
@@ -208,9 +215,9 @@
     async def open_request(
         self, request: web.BaseRequest, schema: BodySchema, kind: StatementKind
     ) -> tuple[RequestBody, RequestContext]:
-        """Check a request that names its group.
+        """Parse and check a request that is not part of an open transaction.
 
-        :raises Refusal: if anything is wrong with it; nothing was run.
+        :raises RefusalError: not run, if the request is invalid.
         """
         if self.draining:
             raise not_run(
@@ -224,7 +231,10 @@
     async def run_in_transaction(
         self, request: web.BaseRequest, schema: BodySchema, kind: StatementKind
     ) -> web.Response:
-        """Run a statement of an open transaction at the host that holds it."""
+        """Run a statement of an open transaction at the host that holds it.
+
+        :raises RefusalError: if the request is invalid or the statement fails.
+        """
         catalog, workspace = self.admit_request(request)
         body = parse_body(schema, await read_body(request, self.max_body_bytes))
         handle = self.handles.decode(request[TRANSACTION_HANDLE], workspace.name)
@@ -232,33 +242,36 @@
         if group is None:
             raise unknown_transaction()
         check_service_access(workspace, group)
-        ask = self.new_context(request, workspace, catalog, group, body, kind)
-        statement = self.build_statement(ask, body)
+        context = self.new_context(request, workspace, catalog, group, body, kind)
+        statement = self.build_statement(context, body)
         statement.transaction = handle.transaction
-        ask.forwarded = True
-        served = await self.execute_at_holder(handle, statement)
-        open_still = request[TRANSACTION_HANDLE] if kind is StatementKind.STEP else None
-        return self.build_response(ask, served, open_still)
+        context.forwarded = True
+        home_response = await self.execute_at_holder(handle, statement)
+        transaction = (
+            request[TRANSACTION_HANDLE] if kind is StatementKind.STEP else None
+        )
+        return self.build_response(context, home_response, transaction)
 
     async def execute_at_holder(
         self, handle: TransactionHandle, statement: Statement
     ) -> HomeResponse:
-        """Run a statement of a transaction where it was begun, once.
+        """Run a statement of a transaction once, at the host that began it.
 
-        A commit whose transaction is no longer known may have run before.
+        :raises RefusalError: ``may have run`` for a commit of an unknown
+            transaction, since an earlier commit may have succeeded.
         """
         try:
             return await self.dispatch.execute_at(handle.host, handle.member, statement)
         except RefusalError as refusal:
-            forgotten = refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
-            if forgotten and statement.kind is StatementKind.COMMIT:
+            transaction_unknown = refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
+            if transaction_unknown and statement.kind is StatementKind.COMMIT:
                 raise may_have_run(refusal.reason, refusal.detail) from refusal
             raise
 
     def admit_request(self, request: web.BaseRequest) -> tuple[Catalog, Workspace]:
-        """Return the configuration and the workspace that sent a request.
+        """Authenticate a request and apply the rate limit of its workspace.
 
-        :raises Refusal: if it is not to be served; nothing was run.
+        :raises RefusalError: not run, if the request is not admitted.
         """
         catalog = self.catalog()
         if catalog is None:
@@ -280,14 +293,17 @@
         body: RequestBody,
         kind: StatementKind,
     ) -> RequestContext:
-        """Return the request as it is answered, with its session token."""
+        """Return the context of a request and attach it to the request.
+
+        :raises RefusalError: ``token_invalid``.
+        """
         if body.token is None:
             token = SessionToken(workspace.name, group.service)
         else:
             token = self.tokens.decode(body.token, workspace.name, group.service)
-        ask = RequestContext(workspace, catalog, group, token, body.token, kind)
-        request[REQUEST_CONTEXT] = ask
-        return ask
+        context = RequestContext(workspace, catalog, group, token, body.token, kind)
+        request[REQUEST_CONTEXT] = context
+        return context
 
     def build_statement(self, context: RequestContext, body: RequestBody) -> Statement:
         """Return the statement of a request."""
@@ -306,38 +322,39 @@
     async def run(
         self, context: RequestContext, statement: Statement, repeatable: bool
     ) -> HomeResponse:
-        """Hand a statement on to the router."""
+        """Run a statement through the router."""
         context.forwarded = True
         return await self.router.run(context.group, statement, repeatable)
 
     def scoped_request_id(self, workspace: Workspace, body: RequestBody) -> str | None:
-        """Return the request id as targets record it.
+        """Return the request id that targets record.
 
-        It is made of the caller's id and the workspace, so that no workspace can reach
-        another's effect by a guessed id.
+        It includes a digest of the caller's id and the workspace, so that a guessed
+        id does not match a request of another workspace.
 
-        :raises Refusal: if it was issued too far in the future.
+        :raises RefusalError: if the id was issued too far in the future.
         """
-        given = body.request_id
-        if given is None:
+        caller_request_id = body.request_id
+        if caller_request_id is None:
             return None
-        issued = given[:ISSUED_AT_DIGITS]
-        if int(issued) / 1000.0 > self.clock.wall() + MAX_REQUEST_ID_AHEAD_SECONDS:
+        issued_at = caller_request_id[:ISSUED_AT_DIGITS]
+        if int(issued_at) / 1000.0 > self.clock.wall() + MAX_REQUEST_ID_AHEAD_SECONDS:
             raise not_run(
                 RefusalReason.BAD_REQUEST, "request_id was issued too far in the future"
             )
-        scoped = blake2b(
-            f"{workspace.name}\0{given}".encode(), digest_size=REQUEST_ID_DIGEST_BYTES
+        digest = blake2b(
+            f"{workspace.name}\0{caller_request_id}".encode(),
+            digest_size=REQUEST_ID_DIGEST_BYTES,
         )
-        return f"{issued}-{scoped.hexdigest()}"
+        return f"{issued_at}-{digest.hexdigest()}"
 
     def new_handle(
         self, context: RequestContext, statement: Statement, home_response: HomeResponse
     ) -> str | None:
-        """Return the handle of the transaction that was begun.
+        """Return the handle of a new transaction.
 
-        There is none if the request id had run: its answer is that of the
-        earlier commit.
+        None if the request id was already committed: the response is then that of
+        the earlier commit.
         """
         if home_response.result.repeated or statement.transaction is None:
             return None
@@ -358,24 +375,24 @@
         home_response: HomeResponse,
         transaction: str | None = None,
     ) -> web.Response:
-        """Return the response with a token that covers what it shows."""
-        answer = home_response.result
-        age = answer.age
-        self.metrics.increment(f"api.{context.kind.value}.{answer.role}")
+        """Return the response, with a token that covers its position."""
+        result = home_response.result
+        age = result.age
+        self.metrics.increment(f"api.{context.kind.value}.{result.role}")
         message: Json = {
             "verdict": Verdict.DONE.value,
-            "columns": answer.columns,
-            "rows": answer.rows,
-            "rowcount": answer.rowcount,
-            "token": self.token_after(context, answer.position),
+            "columns": result.columns,
+            "rows": result.rows,
+            "rowcount": result.rowcount,
+            "token": self.token_after(context, result.position),
             "age_ms": None if age is None else round(age * 1000.0, 3),
-            "target": answer.target,
-            "role": answer.role,
+            "target": result.target,
+            "role": result.role,
             "host": self.me.host,
             "home": home_response.host.host if home_response.host else None,
-            "term": answer.position.term,
-            "position": answer.position.to_json(),
-            "repeated": answer.repeated,
+            "term": result.position.term,
+            "position": result.position.to_json(),
+            "repeated": result.repeated,
         }
         if transaction is not None:
             message["transaction"] = transaction
@@ -390,7 +407,7 @@
 
 
 def refuse_on_error(api: Api, handler: Handler) -> Handler:
-    """Answer with a typed refusal whatever `handler` raises."""
+    """Wrap `handler` so that every exception becomes a typed refusal."""
 
     async def answer(request: web.BaseRequest) -> web.Response:
         api.active_requests += 1
@@ -401,7 +418,7 @@
             return respond_refused(refusal)
         except Exception:
             api.metrics.increment("api.refused.internal")
-            log.exception("A request failed unexpectedly.")
+            log.exception("unexpected error in a request handler; refusing the request")
             return respond_refused(internal_error_refusal(request))
         finally:
             api.active_requests -= 1
@@ -410,10 +427,10 @@
 
 
 def internal_error_refusal(request: web.BaseRequest) -> RefusalError:
-    """Return the refusal for an error of this host itself."""
-    ask = request.get(REQUEST_CONTEXT)
-    detail = "this host failed; its log says more"
-    if ask is not None and ask.sent and ask.kind not in NO_EFFECT_KINDS:
+    """Return the refusal of a request whose handler failed."""
+    context = request.get(REQUEST_CONTEXT)
+    detail = "internal error; see the log of this host"
+    if context is not None and context.sent and context.kind not in NO_EFFECT_KINDS:
         return may_have_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
     return not_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
 
@@ -435,9 +452,9 @@
 
 
 async def read_body(request: web.BaseRequest, limit: int) -> bytes:
-    """Read the body of a request, within bounds of size and time.
+    """Read the body of a request, with limits on size and time.
 
-    :raises Refusal: if a bound is passed or the body is cut short.
+    :raises RefusalError: if a limit is exceeded or the body is incomplete.
     """
     if request.headers.get(CONTENT_ENCODING, IDENTITY_ENCODING) != IDENTITY_ENCODING:
         raise not_run(RefusalReason.BAD_REQUEST, "compressed bodies are not accepted")
@@ -466,14 +483,14 @@
 
 
 def too_large(limit: int) -> RefusalError:
-    """Return the refusal of a body beyond `limit` bytes."""
+    """Return the refusal of a body of more than `limit` bytes."""
     return not_run(RefusalReason.TOO_LARGE, f"a body may hold at most {limit} bytes")
 
 
 def resolve_group(body: RequestBody, catalog: Catalog, workspace: Workspace) -> Group:
-    """Return the group that a request names, by name or by service and key.
+    """Return the group that a request specifies, by name or by service and key.
 
-    :raises Refusal: if there is none, or the workspace may not use it.
+    :raises RefusalError: if the group is unknown or the workspace may not use it.
     """
     name = body.group
     if name is None:
@@ -492,7 +509,10 @@
 
 
 def group_for_key(catalog: Catalog, service: str, key: str) -> str:
-    """Return the name of the group of `service` that holds `key`."""
+    """Return the name of the group of `service` that holds `key`.
+
+    :raises RefusalError: ``unknown_group`` if the service has no groups.
+    """
     names = [one.name for one in catalog.groups.values() if one.service == service]
     if not names:
         raise not_run(
@@ -503,7 +523,7 @@
 
 
 def set_consistency(statement: Statement, body: RequestBody, catalog: Catalog) -> None:
-    """Set what a read demands."""
+    """Set the consistency of a read and its maximum age."""
     statement.consistency = Consistency(body.consistency or Consistency.SESSION)
     if statement.consistency is not Consistency.MAX_AGE:
         return
--- a/src/reedhook/request/authorization.py
+++ b/src/reedhook/request/authorization.py
@@ -1,4 +1,4 @@
-"""Whose work a caller's statements are, by its key."""
+"""Maps callers' keys to workspaces, with a bound on the delay of a revocation."""
 
 from typing import Final
 
@@ -11,24 +11,21 @@
 from .refusal import RefusalError, RefusalReason, not_run
 
 REVOCATION_MARGIN_SECONDS: Final = 0.25
-"""Seconds by which a host knows the keys younger than it has to: far more than two
-clocks that count the same seconds drift apart in between."""
+"""Safety margin of the key age, larger than the clock drift within the bound."""
 
 RETRY_AFTER_MS: Final = 250
-"""When to come back to a host that cannot prove its keys, in milliseconds."""
 
 
 class Authorizer:
-    """Find the workspace of a caller, on proof that its key was not taken away.
+    """Authorize callers by key, with proof that the key has not been revoked.
 
-    A request that arrives was sent earlier, so that a key which was taken away more
-    than `revoke` seconds before it was sent was so before the moment that a proof
-    younger than `revoke` covers. The look at a statement's arrival decides: whatever
-    happens to it later, it was sent before.
+    The configuration known here must be younger than `revocation_seconds` when a
+    statement arrives. A key that was revoked more than `revocation_seconds` before
+    the statement was sent is therefore rejected. The check on arrival is sufficient,
+    since the statement was sent earlier.
 
-    :param revocation_seconds: seconds after which a key that was taken away opens
-        nothing; None
-        where that is not bounded.
+    :param revocation_seconds: seconds after which a revoked key must be rejected;
+        None if there is no bound.
     """
 
     def __init__(
@@ -46,9 +43,9 @@
         self.metrics = metrics
 
     def authorize_session(self, route: Route, key: str) -> str:
-        """Return the digest of the key with which a session is opened.
+        """Return the digest of a session's key; empty on a public route.
 
-        :raises Refusal: not run, if it opens nothing.
+        :raises RefusalError: not run, if the key is not authorized.
         """
         if route.public:
             return ""
@@ -57,23 +54,23 @@
         return digest
 
     def authorize_statement(self, route: Route, digest: str) -> Workspace | None:
-        """Return the workspace whose work a statement is; None where none is named.
+        """Return the workspace of a key; None on a public route.
 
-        :raises Refusal: not run, if the key is not known, or this host cannot prove
-            that it knows the keys.
+        :raises RefusalError: not run, if the key is unknown or the known keys may be
+            outdated.
         """
         if route.public:
             return None
         self.check_key_freshness(route, digest)
-        found = self.announcements.table.workspaces.find_by_digest(digest)
-        if found is None:
+        workspace = self.announcements.table.workspaces.find_by_digest(digest)
+        if workspace is None:
             raise self.unknown_key_refusal(route, digest)
-        return found
+        return workspace
 
     def check_key_freshness(self, route: Route, digest: str) -> None:
-        """Refuse where a key may have been taken away unnoticed.
+        """Refuse if the known keys are too old to rule out a revocation.
 
-        :raises Refusal: not run.
+        :raises RefusalError: not run.
         """
         if self.revocation_seconds is None:
             return
@@ -92,12 +89,12 @@
         )
         raise not_run(
             RefusalReason.KEYS_UNPROVED,
-            "this host has not heard of the keys for too long",
+            "the keys known to this host are too old to rule out a revocation",
             RETRY_AFTER_MS,
         )
 
     def unknown_key_refusal(self, route: Route, digest: str) -> RefusalError:
-        """Return the refusal of a caller whose key nobody holds."""
+        """Return the refusal of a key that belongs to no workspace."""
         self.metrics.increment("denied")
         self.decisions.record(
             "denied",
--- a/src/reedhook/request/body.py
+++ b/src/reedhook/request/body.py
@@ -1,7 +1,7 @@
-"""The bodies of callers' requests, checked field by field.
+"""Parses and validates the bodies of callers' requests.
 
-The check is written by hand; docs/design/routing.md has the figures that
-decided against a general schema validator on this path.
+The checks are hand-written, since a general schema validator is too slow on this
+path; see docs/design/routing.md.
 """
 
 import re
@@ -27,13 +27,14 @@
 
 
 class BodySchema(Record):
-    """Describe the body that an entry of the callers' interface takes.
-
-    :param allowed_fields: names of the fields it may have.
-    :param requires_sql: whether a statement must be given.
-    :param requires_group: whether the group must be named.
-    :param requires_idempotency: whether a write must say how it may be repeated.
-    :param allows_empty: whether the body may be left out.
+    """Describe the request body of one path of the callers' interface.
+
+    :param allowed_fields: names of the permitted fields.
+    :param requires_sql: whether a statement is required.
+    :param requires_group: whether a group, or service and key, are required.
+    :param requires_idempotency: whether a request id or the flag ``idempotent`` is
+        required.
+    :param allows_empty: whether the body may be omitted.
     """
 
     __slots__ = (
@@ -60,7 +61,7 @@
 
 
 class RequestBody(Record):
-    """Carry the checked fields of a request; None stands for absent."""
+    """Carry the validated fields of a request; None means absent."""
 
     __slots__ = (
         "group",
@@ -92,9 +93,9 @@
 
 
 def parse_body(schema: BodySchema, raw: bytes) -> RequestBody:
-    """Read and check the body of a request.
+    """Parse and validate the body of a request.
 
-    :raises Refusal: ``bad_request``, with every error that was found.
+    :raises RefusalError: ``bad_request``, with all errors found.
     """
     fields = decode_fields(schema, raw)
     errors = field_errors(schema, fields)
@@ -107,7 +108,10 @@
 
 
 def decode_fields(schema: BodySchema, raw: bytes) -> Json:
-    """Decode the body; ending a transaction needs none."""
+    """Decode the body; return no fields for an empty one that is allowed.
+
+    :raises RefusalError: ``bad_request`` if the body is not a JSON object.
+    """
     if not raw and schema.allows_empty:
         return {}
     try:
@@ -117,18 +121,18 @@
 
 
 def field_errors(schema: BodySchema, fields: Json) -> list[str]:
-    """Return what is wrong with single fields."""
+    """Return the errors of single fields."""
     errors = []
     for name, value in fields.items():
         if name not in schema.allowed_fields:
-            errors.append(f"the field {name[:MAX_NAME_CHARACTERS]!r} is unknown here")
+            errors.append(f"unknown field {name[:MAX_NAME_CHARACTERS]!r}")
         elif value is not None and (error := FIELD_CHECKS[name](value)) is not None:
             errors.append(f"{name} {error}")
     return errors
 
 
 def cross_field_errors(schema: BodySchema, body: RequestBody) -> list[str]:
-    """Return what is wrong with fields taken together."""
+    """Return the errors of combinations of fields."""
     errors = []
     if schema.requires_sql and not body.sql:
         errors.append("sql is missing")
@@ -137,83 +141,83 @@
     if schema.requires_idempotency and (body.request_id is not None) == body.idempotent:
         errors.append("either request_id or idempotent: true must be given")
     if body.max_age_ms is not None and body.consistency != Consistency.MAX_AGE:
-        errors.append("max_age_ms goes with consistency max_age only")
+        errors.append("max_age_ms is allowed with consistency max_age only")
     return errors
 
 
 def names_group(body: RequestBody) -> bool:
-    """Say whether the body names its group in exactly one way."""
+    """Return whether the body specifies its group in exactly one way."""
     if body.group is not None:
         return body.service is None and body.key is None
     return body.service is not None and body.key is not None
 
 
 def check_name(value: Any) -> str | None:
-    """Return what is wrong with a name, or None."""
+    """Return the error of a name, or None."""
     if isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS:
         return None
-    return f"must be a text of 1 to {MAX_NAME_CHARACTERS} characters"
+    return f"must be a string of 1 to {MAX_NAME_CHARACTERS} characters"
 
 
 def check_sql(value: Any) -> str | None:
-    """Return what is wrong with the text of a statement, or None."""
+    """Return the error of a statement's text, or None."""
     if not isinstance(value, str) or len(value) > MAX_SQL_CHARACTERS:
-        return f"must be a text of at most {MAX_SQL_CHARACTERS} characters"
+        return f"must be a string of at most {MAX_SQL_CHARACTERS} characters"
     if "\0" in value:
-        return "must not hold the character NUL"
+        return "must not contain the character NUL"
     return None
 
 
 def check_params(value: Any) -> str | None:
-    """Return what is wrong with the values of a statement, or None."""
+    """Return the error of a statement's parameters, or None."""
     if not isinstance(value, list) or len(value) > MAX_PARAMS:
         return f"must be a list of at most {MAX_PARAMS} values"
-    for one in value:
-        if isinstance(one, int) and not -INT64_LIMIT <= one < INT64_LIMIT:
-            return "holds a whole number beyond 64 bits"
-        if isinstance(one, (list, dict)):
-            return "may hold texts, numbers, true, false and null only"
+    for param in value:
+        if isinstance(param, int) and not -INT64_LIMIT <= param < INT64_LIMIT:
+            return "contains an integer that does not fit into 64 bits"
+        if isinstance(param, (list, dict)):
+            return "may contain only strings, numbers, true, false and null"
     return None
 
 
 def check_consistency(value: Any) -> str | None:
-    """Return what is wrong with the name of a consistency, or None."""
+    """Return the error of a consistency, or None."""
     if isinstance(value, str) and value in CONSISTENCIES:
         return None
     return "must be fresh, session or max_age"
 
 
 def check_text(value: Any) -> str | None:
-    """Return what is wrong with a text, or None."""
-    return None if isinstance(value, str) else "must be a text"
+    """Return the error of a string, or None."""
+    return None if isinstance(value, str) else "must be a string"
 
 
 def check_flag(value: Any) -> str | None:
-    """Return what is wrong with a truth value, or None."""
+    """Return the error of a boolean, or None."""
     return None if isinstance(value, bool) else "must be true or false"
 
 
 def check_request_id(value: Any) -> str | None:
-    """Return what is wrong with the id of a request, or None."""
+    """Return the error of a request id, or None."""
     if isinstance(value, str) and REQUEST_ID_PATTERN.fullmatch(value):
         return None
     return "must be 13 digits of milliseconds, a dash and 8 to 64 of A-Za-z0-9_-"
 
 
 def check_deadline(value: Any) -> str | None:
-    """Return what is wrong with the milliseconds that a request may take."""
+    """Return the error of a deadline in milliseconds, or None."""
     return number_error(value, 1, MAX_DEADLINE_MS)
 
 
 def check_age(value: Any) -> str | None:
-    """Return what is wrong with the age in milliseconds that a read allows, or None."""
+    """Return the error of a maximum age in milliseconds, or None."""
     return number_error(value, 0, MAX_AGE_MS)
 
 
 def number_error(value: Any, low: int, high: int) -> str | None:
-    """Say what is wrong with a number that must lie within bounds."""
-    whole = isinstance(value, (int, float)) and not isinstance(value, bool)
-    if whole and low <= value <= high:
+    """Return the error of a number outside `low` to `high`, or None."""
+    is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+    if is_number and low <= value <= high:
         return None
     return f"must be a number from {low} to {high}"
 
--- a/src/reedhook/request/credential.py
+++ b/src/reedhook/request/credential.py
@@ -1,4 +1,4 @@
-"""Authentication of callers by their workspace's credential."""
+"""Authentication of callers by the credential of their workspace."""
 
 import hashlib
 from typing import Final
@@ -12,21 +12,24 @@
 
 
 def authenticate(header: str | None, catalog: Catalog) -> Workspace:
-    """Return the workspace that the header ``Authorization`` proves.
+    """Return the workspace whose credential the ``Authorization`` header contains.
 
-    Digests are looked up: how alike two are tells nothing about their credentials.
+    The lookup is by digest, so that its timing reveals nothing of the credentials.
 
-    :raises Refusal: ``unauthenticated`` if it proves none.
+    :raises RefusalError: ``unauthenticated`` if the credential is missing or unknown.
     """
     digest = hashlib.sha256(bearer_credential(header)).hexdigest()
-    found = catalog.workspaces.find_by_digest(digest)
-    if found is None:
+    workspace = catalog.workspaces.find_by_digest(digest)
+    if workspace is None:
         raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is not known")
-    return found
+    return workspace
 
 
 def bearer_credential(header: str | None) -> bytes:
-    """Return the credential of an ``Authorization`` header."""
+    """Return the credential of an ``Authorization`` header.
+
+    :raises RefusalError: ``unauthenticated`` if the header is missing or malformed.
+    """
     if header is None:
         raise not_run(
             RefusalReason.UNAUTHENTICATED, "the header Authorization is missing"
@@ -44,9 +47,9 @@
 
 
 def check_service_access(workspace: Workspace, group: Group) -> None:
-    """Let a workspace reach the groups of its own services only.
+    """Check that a workspace may use the service of a group.
 
-    :raises Refusal: ``forbidden``.
+    :raises RefusalError: ``forbidden`` if it may not.
     """
     if not workspace.may_use(group.service):
         raise not_run(
--- a/src/reedhook/request/deadline.py
+++ b/src/reedhook/request/deadline.py
@@ -1,15 +1,15 @@
-"""A deadline kept as a point of local monotonic time."""
+"""A deadline as a point of local monotonic time."""
 
 from ..clock import Clock
 
 
 class Deadline:
-    """Tell how much time is left.
+    """Compute the time that remains for a request.
 
-    Hosts pass durations to each other, since their clocks are not
-    synchronized; each turns the duration into a point of its own clock.
+    Hosts exchange durations, since their clocks are not synchronized. Each host
+    converts them to its own monotonic time.
 
-    :param remaining: time left now, in seconds.
+    :param remaining: the remaining time now, in seconds.
     """
 
     __slots__ = ("clock", "expires_at")
@@ -19,5 +19,5 @@
         self.expires_at = clock.monotonic() + remaining
 
     def remaining(self) -> float:
-        """Return the time left in seconds; negative once it has passed."""
+        """Return the remaining time in seconds; negative after the deadline."""
         return self.expires_at - self.clock.monotonic()
--- a/src/reedhook/request/endpoint.py
+++ b/src/reedhook/request/endpoint.py
@@ -1,7 +1,7 @@
-"""The way from a caller's HTTP request to the handler of its path.
+"""Dispatches callers' HTTP requests to the handlers of their paths.
 
-aiohttp's application with its router and signals takes longer than a choice
-among these few paths; its plain server calls one handler for all requests.
+aiohttp's low-level server calls one handler for all requests. Its application
+layer adds overhead that these few paths do not need.
 """
 
 from typing import Final
@@ -17,11 +17,12 @@
 
 
 class CallerEndpoint:
-    """Answer each request of a caller, be it by a typed refusal.
+    """Answer each request of a caller with a response or a typed refusal.
 
-    :ivar handle: answers one request; it raises nothing.
+    :ivar handle: answers one request without raising an exception.
     :ivar handlers: handlers by method and path.
-    :ivar transaction_handlers: handlers by what follows the id of an open transaction.
+    :ivar transaction_handlers: handlers by the path segment after the id of an open
+        transaction.
     """
 
     __slots__ = ("handle", "handlers", "transaction_handlers")
@@ -44,7 +45,7 @@
     async def answer(self, request: web.BaseRequest) -> web.Response:
         """Answer one request.
 
-        :raises Refusal: if it cannot be served.
+        :raises RefusalError: if the request cannot be served.
         """
         handler = self.handler(request)
         if hdrs.EXPECT in request.headers:
@@ -54,37 +55,37 @@
     def handler(self, request: web.BaseRequest) -> Handler:
         """Return the handler of a request.
 
-        :raises Refusal: if the interface does not have its method and path.
+        :raises RefusalError: if no handler exists for its method and path.
         """
         path = request.path
         handler = self.handlers.get((request.method, path))
         if handler is None and request.method == hdrs.METH_POST:
             handler = self.transaction_handler(request, path)
         if handler is None:
-            detail = f"there is no {request.method} on this path"
+            detail = f"the method {request.method} is not supported on this path"
             raise not_run(RefusalReason.BAD_REQUEST, detail)
         return handler
 
     def transaction_handler(
         self, request: web.BaseRequest, path: str
     ) -> Handler | None:
-        """Return the handler of a path below an open transaction."""
+        """Return the handler of a path of an open transaction, or None."""
         if not path.startswith(TRANSACTION_PATH_PREFIX):
             return None
-        transaction, _, end = path[len(TRANSACTION_PATH_PREFIX) :].partition("/")
+        transaction, _, action = path[len(TRANSACTION_PATH_PREFIX) :].partition("/")
         request[TRANSACTION_HANDLE] = transaction
-        return self.transaction_handlers.get(end) if transaction else None
+        return self.transaction_handlers.get(action) if transaction else None
 
 
 async def send_continue(request: web.BaseRequest) -> None:
-    """Tell a client that waits for it to send the body now.
+    """Answer an ``Expect: 100-continue`` header.
 
-    :raises Refusal: if the client expects anything else.
+    :raises RefusalError: if the header has another value.
     """
     if request.headers[hdrs.EXPECT].lower() != CONTINUE_EXPECTATION:
         raise not_run(
-            RefusalReason.BAD_REQUEST, "the header Expect holds an unknown value"
+            RefusalReason.BAD_REQUEST, "the header Expect has an unknown value"
         )
     await request.writer.write(CONTINUE_RESPONSE)
-    # The head of the answer proper is still to be sent.
+    # aiohttp takes a nonzero size for response headers that are already sent.
     request.writer.output_size = 0
--- a/src/reedhook/request/group_view.py
+++ b/src/reedhook/request/group_view.py
@@ -1,4 +1,4 @@
-"""What a host knows of a database group, passed along with answers."""
+"""A host's view of a database group, exchanged with responses."""
 
 from ..record import Record
 from ..wire import Json, string_field, wraps_decode_errors
@@ -6,14 +6,14 @@
 
 
 class MemberView(Record):
-    """Carry what is known of one member.
+    """Carry the known state of one member.
 
-    :param applied: a position that its reads see at least.
-    :param held: a position that it holds at least.
-    :param observed_at: local monotonic time at which this was true at the earliest.
+    :param applied: lower bound of the position that its reads see.
+    :param held: lower bound of the position that it holds.
+    :param observed_at: earliest local monotonic time at which the state was valid.
     :param expected_wait: expected wait of a new statement at its home, in seconds.
-    :param lag: proved upper bound of its age when seen, in seconds; None if
-        nothing is proved.
+    :param lag: proved upper bound of its age when observed, in seconds; None if
+        unproved.
     :param leaving: whether it takes no new work.
     """
 
@@ -47,11 +47,11 @@
 
 
 class GroupView:
-    """Keep the newest knowledge of a group.
+    """Keep the newest known state of a group.
 
     :param group: the group's name.
-    :param term: the highest leader term known.
-    :param primary: the member that leads in that term; None if unknown.
+    :param term: the highest known term.
+    :param primary: the primary of that term; None if unknown.
     """
 
     __slots__ = ("group", "term", "primary", "members")
@@ -63,7 +63,7 @@
         self.members: dict[str, MemberView] = {}
 
     def record_primary(self, term: int, primary: str | None) -> bool:
-        """Take note of a leader; return whether it is news."""
+        """Record the primary of a term; return whether the view changed."""
         if term < self.term or (term == self.term and self.primary is not None):
             return False
         if primary is None and term == self.term:
@@ -73,21 +73,21 @@
         return True
 
     def merge_member(self, update: MemberView) -> None:
-        """Keep `news` of a member unless what is known is newer."""
+        """Replace the view of a member unless the known one is newer."""
         known = self.members.get(update.member)
         if known is not None and known.observed_at > update.observed_at:
             return
         self.members[update.member] = update
 
     def merge(self, other: "GroupView") -> bool:
-        """Take over what `other` knows better; return whether the leader is new."""
+        """Merge the newer parts of `other`; return whether the primary changed."""
         changed = self.record_primary(other.term, other.primary)
         for member in other.members.values():
             self.merge_member(member)
         return changed
 
     def to_json(self, now: float) -> Json:
-        """Return the view for the wire; times become ages at `now`."""
+        """Return the view in its wire format, with times as ages at `now`."""
         return {
             "group": self.group,
             "term": self.term,
@@ -110,9 +110,10 @@
     def from_json(
         cls, message: Json, requested_at: float, members: bool = True
     ) -> "GroupView":
-        """Read a view; `asked` is when the question was sent, local monotonic.
+        """Decode a view.
 
-        :param members: whether to read what is said of the members, too.
+        :param requested_at: local monotonic time at which the request was sent.
+        :param members: whether to decode the members.
         """
         view = cls(message["group"], message["term"], message["primary"])
         if not members:
@@ -131,11 +132,12 @@
 
 
 class GroupViewRequest(Record):
-    """Ask a home for its view of a group.
+    """Request a home's view of a group.
 
-    :param long_poll_seconds: for how many seconds to wait for a leader that is news.
-    :param term: the highest leader term that the asker knows.
-    :param primary: who leads it, as far as the asker knows.
+    :param long_poll_seconds: how long the home waits for a primary that the
+        requester does not know; 0 for an immediate response.
+    :param term: the highest term known to the requester.
+    :param primary: the primary of that term; None if unknown to the requester.
     """
 
     __slots__ = ("group", "long_poll_seconds", "term", "primary")
@@ -153,7 +155,7 @@
         self.primary = primary
 
     def to_json(self) -> Json:
-        """Return the question as it stands on the wire."""
+        """Return the request in its wire format."""
         if self.long_poll_seconds <= 0.0:
             return {"group": self.group}
         return {
@@ -166,7 +168,7 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "GroupViewRequest":
-        """Read a question from the wire."""
+        """Decode a request from its wire format."""
         return cls(
             string_field(message, "group"),
             float(message.get("hold", 0.0)),
--- a/src/reedhook/request/group_view_cache.py
+++ b/src/reedhook/request/group_view_cache.py
@@ -1,9 +1,9 @@
-"""What this host knows of each group, learned from answers and by asking homes.
+"""Cache of group views from responses and from queries to homes.
 
-Every answer of a home carries its view of the group. A host asks only when it
-knows nothing, when what it knows is old and in use, or while requests wait
-for the news of a new primary. Such a question is held open by the homes until
-there is news, so that it travels at once.
+Every response of a home contains its view of the group. A host queries the homes
+only if it has no view, if a view in use is stale, or while requests wait for a new
+primary. The homes hold the latter queries open until the primary changes (long
+polling).
 """
 
 import asyncio
@@ -31,13 +31,14 @@
 
 
 class CachedGroupView:
-    """Keep the view of one group and who waits for news of it.
-
-    :ivar refreshed_at: local monotonic time when a home's view last came in.
-    :ivar rounds_failed: rounds of asking in a row that no home answered.
-    :ivar primary_changed: done once another leader is learned.
-    :ivar listeners: called in order when another leader is learned.
-    :ivar poll_requests: how many listeners want the homes to be asked.
+    """Keep the view of one group, its waiters and its listeners.
+
+    :ivar refreshed_at: local monotonic time of the last view from a home.
+    :ivar rounds_failed: consecutive query rounds without a response.
+    :ivar waiters: requests that wait for a change of primary.
+    :ivar primary_changed: set, then replaced, when the primary changes.
+    :ivar listeners: called in order when the primary changes.
+    :ivar poll_requests: number of unfinished calls of `start_polling`.
     """
 
     __slots__ = (
@@ -97,14 +98,14 @@
         self.query_tasks: set[asyncio.Task[bool]] = set()
 
     def group(self, name: str) -> CachedGroupView:
-        """Return what is known of the group `name`."""
+        """Return the cache entry of the group `name`, created on first use."""
         known = self.known.get(name)
         if known is None:
             known = self.known[name] = CachedGroupView(name)
         return known
 
     def merge(self, view: GroupView) -> None:
-        """Take over a view that came from a home."""
+        """Merge a view from a home; notify waiters if the primary changed."""
         known = self.group(view.group)
         known.refreshed_at = self.clock.monotonic()
         if known.view.merge(view):
@@ -114,9 +115,9 @@
                 listener()
 
     async def current(self, group: Group) -> GroupView:
-        """Return the view of `group`, asking first if nothing is known.
+        """Return the view of `group`; query the homes first if it is empty.
 
-        An old view is returned as it is and refreshed in the background.
+        A stale view is returned at once and refreshed in the background.
         """
         known = self.group(group.name)
         if not known.view.members:
@@ -126,15 +127,15 @@
         return known.view
 
     async def refresh(self, group: Group) -> bool:
-        """Ask the homes of the group; return whether one answered.
+        """Query the homes of the group; return whether one responded.
 
-        Callers that refresh at once share one round.
+        Concurrent calls share one round of queries.
         """
         task = self.start_refresh(group, self.group(group.name))
         return await asyncio.shield(task)
 
     def start_refresh(self, group: Group, known: CachedGroupView) -> asyncio.Task[bool]:
-        """Return the running round of asking, started if there is none."""
+        """Return the task of the current round of queries; start one if needed."""
         if known.refresh_task is None or known.refresh_task.done():
             known.refresh_task = asyncio.create_task(
                 self.query_homes(group, known, 0.0)
@@ -144,11 +145,11 @@
     async def query_homes(
         self, group: Group, known: CachedGroupView, long_poll_seconds: float
     ) -> bool:
-        """Ask the homes of all members; return once the first has answered.
+        """Query the homes of all members; return whether one responded.
 
-        The other answers are merged when they come.
+        Returns on the first response; later ones are merged when they arrive.
 
-        :param long_poll_seconds: for how many seconds homes wait for news to tell.
+        :param long_poll_seconds: how long homes wait for a change of primary.
         """
         calls = [
             self.start_query(self.query_home(home, group, long_poll_seconds))
@@ -162,59 +163,59 @@
         return False
 
     def start_query(self, query: Coroutine[Any, Any, bool]) -> asyncio.Task[bool]:
-        """Run a question as a task that is kept until it ends."""
+        """Run a query as a task; keep a reference until it is done."""
         task = asyncio.create_task(query)
         self.query_tasks.add(task)
         task.add_done_callback(self.query_tasks.discard)
         return task
 
     def homes(self, group: Group) -> list[HostRef]:
-        """Return the homes of the members, each once."""
-        found: dict[str, HostRef] = {}
+        """Return the distinct homes of the members."""
+        homes: dict[str, HostRef] = {}
         for member in group.members:
             home = self.directory.home(member.member_id, member.zone)
             if home is not None:
-                found[home.host] = home
-        return list(found.values())
+                homes[home.host] = home
+        return list(homes.values())
 
     async def query_home(
         self, home: HostRef, group: Group, long_poll_seconds: float
     ) -> bool:
-        """Ask one home for its view; return whether it answered.
+        """Query one home for its view; return whether it responded.
 
-        A view that was held open is dated by the question all the same.
+        The view is dated by the time of the request, also after a long poll.
         """
-        asked = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         view = self.group(group.name).view
-        question = GroupViewRequest(
-            group.name, long_poll_seconds, view.term, view.primary
-        )
+        query = GroupViewRequest(group.name, long_poll_seconds, view.term, view.primary)
         try:
             message = await self.call(
-                home, question.to_json(), QUERY_TIMEOUT_SECONDS + long_poll_seconds
+                home, query.to_json(), QUERY_TIMEOUT_SECONDS + long_poll_seconds
             )
-            self.merge(GroupView.from_json(message["view"], asked))
+            self.merge(GroupView.from_json(message["view"], requested_at))
         except (PeerError, RefusalError, LookupError, TypeError, ValueError):
             return False
         return True
 
     async def call(self, home: HostRef, body: Json, timeout: float) -> Json:
-        """Send the question to `home`, which may be this host."""
+        """Send a query to `home`, which may be this host."""
         if home.host == self.directory.me.host:
             return await self.query_local(body)
         return await self.peers.call(home, "view", body, timeout)
 
     async def wait_for_primary_change(self, group: Group, timeout: float) -> None:
-        """Return once another leader is learned, or after `timeout` seconds.
+        """Return when the primary changes, or after `timeout` seconds.
 
-        While requests wait, one task asks the homes, with a growing pause.
+        While requests wait, one task polls the homes with exponential backoff.
 
-        :raises Refusal: if too many requests wait already; nothing was run.
+        :raises RefusalError: not run, if too many requests wait.
         """
         known = self.group(group.name)
         if known.waiters >= MAX_WAITERS:
             raise not_run(
-                RefusalReason.OVERLOADED, "too many requests wait for a primary", 500
+                RefusalReason.OVERLOADED,
+                "too many requests are waiting for a primary",
+                500,
             )
         known.waiters += 1
         try:
@@ -227,50 +228,53 @@
             known.waiters -= 1
 
     def ensure_polling(self, group: Group, known: CachedGroupView) -> None:
-        """Let one task ask for news as long as requests wait."""
+        """Start the polling task unless it is running."""
         if known.poll_task is None or known.poll_task.done():
             known.poll_task = asyncio.create_task(self.poll_homes(group, known))
 
     def add_listener(self, group: Group, listener: PrimaryListener) -> None:
-        """Call `listener` whenever another leader is learned, until `unlisten`."""
+        """Call `listener` on each change of primary, until `remove_listener`."""
         self.group(group.name).listeners[listener] = None
 
     def remove_listener(self, group: Group, listener: PrimaryListener) -> None:
-        """Take back a call of `listen`."""
+        """Remove a listener, if it is registered."""
         self.group(group.name).listeners.pop(listener, None)
 
     def start_polling(self, group: Group) -> None:
-        """Have the homes asked for news until `look_away`."""
+        """Poll the homes until the matching `stop_polling`."""
         known = self.group(group.name)
         known.poll_requests += 1
         self.ensure_polling(group, known)
 
     def stop_polling(self, group: Group) -> None:
-        """Take back one call of `look_out`."""
+        """Undo one call of `start_polling`."""
         self.group(group.name).poll_requests -= 1
 
     async def poll_homes(self, group: Group, known: CachedGroupView) -> None:
-        """Ask the homes again and again while requests wait for news.
+        """Query the homes repeatedly while requests or listeners need a new primary.
 
-        The pause grows unless homes hold the question open.
+        The backoff grows unless the homes hold the query open.
         """
-        pause = MIN_BACKOFF_SECONDS
+        backoff = MIN_BACKOFF_SECONDS
         while known.waiters + known.poll_requests > 0:
-            asked = self.clock.monotonic()
+            started_at = self.clock.monotonic()
             answered = await self.query_homes(group, known, LONG_POLL_SECONDS)
-            held = self.clock.monotonic() - asked >= JITTER_FRACTION * LONG_POLL_SECONDS
+            held_open = (
+                self.clock.monotonic() - started_at
+                >= JITTER_FRACTION * LONG_POLL_SECONDS
+            )
             jitter = 1.0 + JITTER_FRACTION * self.random.random()
-            await self.clock.sleep(pause * jitter)
-            pause = (
+            await self.clock.sleep(backoff * jitter)
+            backoff = (
                 MIN_BACKOFF_SECONDS
-                if answered and held
-                else min(2 * pause, MAX_BACKOFF_SECONDS)
+                if answered and held_open
+                else min(2 * backoff, MAX_BACKOFF_SECONDS)
             )
 
     async def close(self) -> None:
-        """Stop asking."""
-        for question in self.query_tasks:
-            question.cancel()
+        """Cancel all queries and tasks."""
+        for query in self.query_tasks:
+            query.cancel()
         for known in self.known.values():
             for task in (known.refresh_task, known.poll_task):
                 if task is not None:
--- a/src/reedhook/request/hedge.py
+++ b/src/reedhook/request/hedge.py
@@ -1,4 +1,4 @@
-"""Hedged reads: ask a second member when the first takes unusually long."""
+"""Hedged reads: a second attempt at another member if the first is slow."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -25,7 +25,7 @@
         self.seconds = INITIAL_ESTIMATE_SECONDS
 
     def add(self, duration: float) -> None:
-        """Take a duration in seconds into account."""
+        """Update the estimate with a duration in seconds."""
         if duration > self.seconds:
             self.seconds *= 1.0 + STEP_FACTOR * QUANTILE
         else:
@@ -34,14 +34,16 @@
 
 
 class HedgedRead:
-    """Run a second attempt once `delay` seconds passed without an answer.
+    """Run a second attempt after `delay` seconds without a response.
 
-    The first attempt runs in the task of its caller, so that a read which
-    needs no hedge costs one timer and no task. Whichever attempt answers
-    first wins; the other is cancelled.
+    The first attempt runs in the caller's task, so that a read without a hedge
+    costs one timer and no task. The first response wins; the other attempt is
+    cancelled.
 
-    :param start_second: starts the second attempt; returns None if there is no
-        member or no budget left for it.
+    :param start_second: returns the second attempt; None if no member or no budget
+        is left for it.
+    :ivar owner: the task that runs the first attempt; None when it is not running.
+    :ivar interrupted: whether the second attempt cancelled the first, or replaced it.
     """
 
     __slots__ = ("delay", "start_second", "owner", "second_attempt", "interrupted")
@@ -58,9 +60,9 @@
         self.interrupted = False
 
     async def run(self, first: Awaitable[HomeResponse]) -> HomeResponse:
-        """Return the first answer.
+        """Return the first response.
 
-        :raises Refusal: that of the last attempt, if none answers.
+        :raises RefusalError: the refusal of the last attempt, if both fail.
         """
         self.owner = asyncio.current_task()
         timer = asyncio.get_running_loop().call_later(self.delay, self.start)
@@ -90,7 +92,7 @@
         self.second_attempt.add_done_callback(self.finish)
 
     def finish(self, attempt: asyncio.Task[HomeResponse]) -> None:
-        """Interrupt the first attempt once the second has answered."""
+        """Cancel the first attempt once the second has succeeded."""
         if attempt.cancelled() or attempt.exception() is not None:
             return
         if self.owner is not None and not self.interrupted:
@@ -98,11 +100,14 @@
             self.owner.cancel()
 
     def clear_interruption(self) -> bool:
-        """Take back the interruption; return whether nobody else cancelled."""
+        """Undo the cancellation; return whether no other one is pending."""
         return self.owner is not None and self.owner.uncancel() == 0
 
     async def fallback(self) -> HomeResponse:
-        """Wait for the second attempt after the first was refused."""
+        """Return the response of the second attempt after the first was refused.
+
+        :raises RefusalError: the refusal of the second attempt.
+        """
         if self.interrupted:
             self.clear_interruption()
         self.interrupted = True
--- a/src/reedhook/request/position.py
+++ b/src/reedhook/request/position.py
@@ -1,4 +1,4 @@
-"""Log positions and the one rule by which they compare."""
+"""Positions in a replication log and their order."""
 
 from typing import Any, Final
 
@@ -6,14 +6,14 @@
 
 
 class Position(Record):
-    """Name an entry of a group's log by its term and index.
+    """Identify an entry of a group's log by its term and index.
 
     Positions compare by term first: the primary of a later term holds every
     acknowledged entry of all earlier terms, so a member whose last entry is
-    of a later term covers them whatever the indexes say.
+    of a later term covers them regardless of the indexes.
 
     :param term: the term of the primary that wrote the entry.
-    :param index: the place of the entry in the log.
+    :param index: the index of the entry in the log.
     """
 
     __slots__ = ("term", "index")
@@ -22,8 +22,8 @@
         self.term = term
         self.index = index
 
-    # All four comparisons are written out: each statement makes several, and
-    # functools.total_ordering was measured at four times their cost.
+    # All four comparisons are written out: they are on the path of every statement,
+    # and those of functools.total_ordering are slower.
 
     def __lt__(self, other: "Position") -> bool:
         if self.term != other.term:
@@ -42,16 +42,16 @@
         return other <= self
 
     def covers(self, other: "Position") -> bool:
-        """Say whether a member at this position holds what `other` names."""
+        """Return whether a member at this position holds the entry `other`."""
         return self >= other
 
     def to_json(self) -> list[int]:
-        """Return the position as it stands on the wire."""
+        """Return the position in its wire format."""
         return [self.term, self.index]
 
     @classmethod
     def from_json(cls, value: Any) -> "Position":
-        """Read a position from the wire."""
+        """Decode a position from its wire format."""
         term, index = value
         return cls(int(term), int(index))
 
--- a/src/reedhook/request/primary_attempt.py
+++ b/src/reedhook/request/primary_attempt.py
@@ -1,8 +1,8 @@
-"""End an attempt at a primary once the news of another primary is in.
+"""Cancels an attempt at a primary once a newer primary is known.
 
-A home that was cut off gives no answer, and a connection to it breaks late.
-News of the next primary reach this host from other homes long before. They
-are asked for once an attempt takes longer than is usual.
+A home behind a network partition does not answer, and its connections time out
+late. Other homes report the next primary much earlier, so they are polled when an
+attempt is slow.
 """
 
 import asyncio
@@ -20,9 +20,12 @@
 
 
 class PrimaryAttempt:
-    """Run one attempt at `primary` for as long as nobody else is known to lead.
+    """Run one attempt at `primary` until another primary of a later term is known.
 
-    :param term: the term that the primary leads by what is known here.
+    :param term: the term of `primary`.
+    :ivar owner: the task that runs the attempt; None when it is not running.
+    :ivar superseded: whether the attempt was cancelled for a newer primary.
+    :ivar polling: whether this attempt has started polling of the homes.
     """
 
     __slots__ = ("views", "group", "primary", "term", "owner", "superseded", "polling")
@@ -41,9 +44,9 @@
     async def run(
         self, attempt: Coroutine[Any, Any, HomeResponse], kind: StatementKind
     ) -> HomeResponse:
-        """Return what `attempt` brings; it runs in the task of its caller.
+        """Return the response of `attempt`, run in the caller's task.
 
-        :raises Refusal: that of the attempt, or ``superseded``.
+        :raises RefusalError: the refusal of the attempt, or ``superseded``.
         """
         self.owner = asyncio.current_task()
         timer = asyncio.get_running_loop().call_later(
@@ -64,14 +67,14 @@
                 self.views.stop_polling(self.group)
 
     def start_polling(self) -> None:
-        """Have the homes asked for news; called by the timer."""
+        """Start polling the homes for a new primary; called by the timer."""
         self.polling = True
         self.views.start_polling(self.group)
 
     def cancel_if_superseded(self) -> None:
-        """Interrupt the attempt if another member leads a later term.
+        """Cancel the attempt if another member is the primary of a later term.
 
-        News that the attempt itself brings come with its answer.
+        A change found in the attempt's own response does not cancel it.
         """
         view = self.views.group(self.group.name).view
         if view.term <= self.term or view.primary in (None, self.primary):
@@ -83,12 +86,12 @@
         self.owner.cancel()
 
     def clear_interruption(self) -> bool:
-        """Take back the interruption; return whether nobody else cancelled."""
+        """Undo the cancellation; return whether no other one is pending."""
         return self.owner is not None and self.owner.uncancel() == 0
 
 
 def superseded_refusal(primary: str, kind: StatementKind) -> RefusalError:
-    """Return the refusal of an attempt that was ended; a read has no effect."""
+    """Return the refusal of a cancelled attempt; a read counts as not run."""
     text = f"{primary} was superseded before it answered"
     if kind is StatementKind.READ:
         return not_run(RefusalReason.SUPERSEDED, text, RETRY_AFTER_MS)
--- a/src/reedhook/request/priority_class.py
+++ b/src/reedhook/request/priority_class.py
@@ -1,4 +1,4 @@
-"""What waits for the slots of one target, by class and caller."""
+"""Queue entries for the slots of one target, by class and caller."""
 
 import asyncio
 from collections import deque
@@ -6,15 +6,18 @@
 from typing import Final
 
 MAX_IDLE_FLOWS: Final = 256
-"""Callers remembered in a class before idle ones without debt are dropped."""
+"""Number of flows in a class from which idle flows are dropped."""
 
 
 class QueueEntry:
-    """Stand for one statement that waits for a slot or holds one.
+    """Represent one statement that waits for a slot or holds one.
 
     :ivar started_at: monotonic time at which it got its slot; None while it waits.
     :ivar deadline: monotonic time at which it is dropped from the queue.
-    :ivar charged_seconds: seconds charged to its flow in advance.
+    :ivar charged_seconds: service time charged to its flow in advance.
+    :ivar granted: done when the entry gets its slot or is refused; None if it never
+        waited.
+    :ivar timer: drops the entry at its deadline; None if it never waited.
     """
 
     __slots__ = (
@@ -38,7 +41,7 @@
 class Flow:
     """Keep the waiting statements of one caller in one class.
 
-    :ivar tag: seconds of service used, in the virtual time of the class.
+    :ivar tag: start tag of the next statement, in the virtual time of the class.
     """
 
     __slots__ = ("priority_class", "caller", "waiting", "tag")
@@ -53,9 +56,10 @@
 class PriorityClass:
     """Keep the flows of one class.
 
-    :ivar tag: weighted seconds of service used, in virtual time of the queue.
-    :ivar virtual_time: virtual time of the class.
-    :ivar mean_service_seconds: mean service time in seconds; 0 before the first.
+    :ivar queued: waiting statements.
+    :ivar tag: start tag of the next statement, in the virtual time of the queue.
+    :ivar virtual_time: the tag of the flow that was served last.
+    :ivar mean_service_seconds: mean service time; 0 without a sample.
     :ivar busy: slots in use.
     :ivar last_arrival_at: monotonic time of the newest arrival.
     """
@@ -84,7 +88,7 @@
         self.last_arrival_at = float("-inf")
 
     def flow(self, caller: str) -> Flow:
-        """Return the flow of `caller`."""
+        """Return the flow of `caller`, created on first use."""
         flow = self.flows.get(caller)
         if flow is not None:
             return flow
@@ -95,7 +99,7 @@
         return flow
 
     def drop_idle_flows(self) -> None:
-        """Drop the flows that neither wait nor have used more than others."""
+        """Drop the flows without waiting statements and without a charge ahead."""
         self.flows = {
             caller: flow
             for caller, flow in self.flows.items()
@@ -103,11 +107,11 @@
         }
 
     def waiting_flows(self) -> Iterator[Flow]:
-        """Yield the flows that wait."""
+        """Return an iterator over the flows with waiting statements."""
         return (flow for flow in self.flows.values() if flow.waiting)
 
     def count_ahead(self, caller: str) -> int:
-        """Return how many of the class go before a new statement of `caller`."""
+        """Return how many waiting statements precede a new one of `caller`."""
         own = self.flows.get(caller)
-        turns = 1 if own is None else len(own.waiting) + 1
-        return sum(min(len(flow.waiting), turns) for flow in self.waiting_flows())
+        rounds = 1 if own is None else len(own.waiting) + 1
+        return sum(min(len(flow.waiting), rounds) for flow in self.waiting_flows())
--- a/src/reedhook/request/refusal.py
+++ b/src/reedhook/request/refusal.py
@@ -1,4 +1,4 @@
-"""Typed refusals: why a request was not answered, and whether it may have run."""
+"""Typed refusals: the reason, and whether the request may have run."""
 
 from enum import Enum
 from typing import Final
@@ -8,7 +8,7 @@
 
 
 class RefusalReason(str, Enum):
-    """Name the reason of a refusal."""
+    """Enumerate the reasons for refusals."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -65,13 +65,12 @@
 
 
 class RefusalError(Exception):
-    """Carry a refusal to the caller.
+    """Signal that a request was refused.
 
-    :param reason: why the request was refused.
     :param verdict: whether the request may have run.
-    :param detail: one sentence for a person.
-    :param retry_after_ms: when to come back, in milliseconds; None if a
-        retry cannot help.
+    :param detail: a human-readable explanation.
+    :param retry_after_ms: the retry delay in milliseconds; None if a retry cannot
+        succeed.
     """
 
     def __init__(
@@ -89,11 +88,11 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status that goes with the reason."""
+        """Return the HTTP status for the reason."""
         return STATUS_BY_REASON.get(self.reason, DEFAULT_HTTP_STATUS)
 
     def to_json(self) -> Json:
-        """Return the refusal as it stands on the wire."""
+        """Return the refusal in its wire format."""
         return {
             "verdict": self.verdict.value,
             "reason": self.reason.value,
@@ -103,7 +102,7 @@
 
     @classmethod
     def from_json(cls, message: Json) -> "RefusalError":
-        """Read a refusal from the wire."""
+        """Decode a refusal from its wire format."""
         return cls(
             RefusalReason(message["reason"]),
             Verdict(message["verdict"]),
--- a/src/reedhook/request/remote_rate_limits.py
+++ b/src/reedhook/request/remote_rate_limits.py
@@ -1,4 +1,4 @@
-"""Which hosts have refused operations beyond a rate, and until when."""
+"""Caches rate limit refusals of other hosts."""
 
 import math
 from typing import Final
@@ -11,9 +11,9 @@
 
 
 class RemoteRateLimits:
-    """Refuse at once what another host has refused a moment ago.
+    """Refuse operations locally while another host's rate limit refusal is valid.
 
-    :ivar retry_at: when to ask again, by workspace and host, by `Clock.monotonic`.
+    :ivar retry_at: monotonic time of the next attempt, by workspace and host.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -21,30 +21,30 @@
         self.retry_at: dict[tuple[str, str], float] = {}
 
     def check(self, host: str, statement: SessionStatement) -> None:
-        """Refuse an operation that the host would refuse.
+        """Check that the host is not known to refuse the operation.
 
-        :raises Refusal: not run.
+        :raises RefusalError: not run, if it would be refused.
         """
         if not statement.workspace or not statement.starts_operation:
             return
         key = (statement.workspace, host)
-        until = self.retry_at.get(key)
-        if until is None:
+        retry_at = self.retry_at.get(key)
+        if retry_at is None:
             return
-        left = until - self.clock.monotonic()
-        if left <= 0.0:
+        remaining = retry_at - self.clock.monotonic()
+        if remaining <= 0.0:
             del self.retry_at[key]
             return
         raise not_run(
             RefusalReason.RATE_LIMITED,
             f"the workspace {statement.workspace} exceeds its rate",
-            math.ceil(left * MS_PER_SECOND),
+            math.ceil(remaining * MS_PER_SECOND),
         )
 
     def record_refusal(
         self, host: str, statement: SessionStatement, refusal: RefusalError
     ) -> None:
-        """Take note of a refusal of another host."""
+        """Record a refusal by another host, if it is for the rate limit."""
         if refusal.reason is not RefusalReason.RATE_LIMITED:
             return
         wait = (refusal.retry_after_ms or 0) / MS_PER_SECOND
--- a/src/reedhook/request/replica_reader.py
+++ b/src/reedhook/request/replica_reader.py
@@ -1,4 +1,4 @@
-"""Reads at replicas: which of them is fresh enough, and expected to be quick."""
+"""Runs reads at the replica that is fresh enough and expected to answer first."""
 
 from typing import Final
 
@@ -21,34 +21,31 @@
 from .verdict import Verdict
 
 AGE_MARGIN_SECONDS: Final = 0.15
-"""Seconds by which a proof must be younger than a read demands: the way of the
-read to the target, with a wait for a connection."""
+"""Margin between the age of a proof and the age that a read allows. It covers the
+delay until the read runs at the target."""
 
 PROOF_TIMEOUT_SECONDS: Final = 0.25
-"""Seconds for another host to state a position."""
 
 MS_PER_SECOND: Final = 1000.0
 
 MAX_REPLICAS: Final = 2
-"""Replicas that are tried before the primary."""
+"""Replicas that a read tries before the primary."""
 
 SLOT_WAIT_LIMIT_SECONDS: Final = 0.02
-"""Seconds for which a read waits for its turn at a target while another one may
-have a slot free; a hop there takes 2 to 4 ms, a statement 6 to 30."""
+"""Queueing limit of a read at one target while another may have a free slot."""
 
 CROSS_ZONE_COST_SECONDS: Final = 0.012
-"""Seconds by which a target of another availability zone must be faster: a hop
-of 3 ms, and bytes between zones that are paid for."""
+"""Cost added to a target in another availability zone, for the slower hop and for
+billed traffic between zones."""
 
 
 class ReplicaReadResult(Record):
-    """Say what became of a read at the replicas.
+    """Carry the outcome of a read at the replicas.
 
-    :param located_result: its answer; None if no replica has given one.
-    :param overloaded_replica: the replica that could serve it after the least wait;
-        None if
-        none could.
-    :param wait_seconds: seconds until then.
+    :param located_result: the result; None if no replica answered.
+    :param overloaded_replica: the overloaded replica with the shortest wait; None if
+        no replica refused for overload.
+    :param wait_seconds: the wait at `overloaded_replica`.
     """
 
     __slots__ = ("located_result", "overloaded_replica", "wait_seconds")
@@ -65,7 +62,7 @@
 
 
 class ReplicaReader:
-    """Choose a replica for each read, by what its answers have told."""
+    """Choose a replica for each read from observations of earlier results."""
 
     def __init__(
         self,
@@ -96,37 +93,37 @@
         session_position: Position | None,
         deadline: float,
     ) -> ReplicaReadResult:
-        """Run a read at a replica that is fresh enough and has a slot free soon."""
-        floor = await self.required_position(route, session_position)
-        if floor is None:
+        """Run a read at a replica that is fresh enough and has a slot soon."""
+        min_position = await self.required_position(route, session_position)
+        if min_position is None:
             return ReplicaReadResult()
-        statement.min_position = floor
+        statement.min_position = min_position
         statement.wait_limit_seconds = SLOT_WAIT_LIMIT_SECONDS
-        crowded, wait = None, float("inf")
+        overloaded, wait = None, float("inf")
         tried: set[str] = set()
         while len(tried) < MAX_REPLICAS:
-            entry = self.best_replica(route.service, floor, tried)
+            entry = self.best_replica(route.service, min_position, tried)
             if entry is None:
                 break
             tried.add(entry.target)
-            found = await self.run_at_replica(entry, statement, deadline)
-            if found.located_result is not None:
-                return found
-            if found.overloaded_replica is not None and found.wait_seconds < wait:
-                crowded, wait = found.overloaded_replica, found.wait_seconds
-        return ReplicaReadResult(None, crowded, wait)
+            result = await self.run_at_replica(entry, statement, deadline)
+            if result.located_result is not None:
+                return result
+            if result.overloaded_replica is not None and result.wait_seconds < wait:
+                overloaded, wait = result.overloaded_replica, result.wait_seconds
+        return ReplicaReadResult(None, overloaded, wait)
 
     async def required_position(
         self, route: Route, session_position: Position | None
     ) -> Position | None:
-        """Return the position that a replica must hold; None if unknown."""
+        """Return the position that a replica must hold; None if it is unknown."""
         if route.max_age is None:
             return session_position
         since = self.clock.boottime() - route.max_age + AGE_MARGIN_SECONDS
-        sightings = self.observations(route.service)
-        proof = sightings.oldest_proof_since(since)
+        observations = self.observations(route.service)
+        proof = observations.oldest_proof_since(since)
         if proof is None:
-            proof = await self.request_proof(route, sightings)
+            proof = await self.request_proof(route, observations)
         if proof is None:
             return None
         if session_position is not None and session_position > proof.position:
@@ -136,21 +133,23 @@
     async def request_proof(
         self, route: Route, observations: ServiceObservations
     ) -> PositionProof | None:
-        """Ask the host that leads the service for the primary's position."""
+        """Request a proof of the primary's position from its acting lease holder."""
         record = self.lease_registry.get(route.service)
         assert route.max_age is not None
-        age = route.max_age / 2
+        max_proof_age = route.max_age / 2
         if record is None:
             return None
         host = self.forwarder.acting_holder(record, False)
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             if host.host == self.me.host:
-                proof = await self.local_handler.prove(route.service, asked - age)
+                proof = await self.local_handler.prove(
+                    route.service, requested_at - max_proof_age
+                )
             else:
-                body: Json = {"service": route.service, "age": age}
+                body: Json = {"service": route.service, "age": max_proof_age}
                 answer = await self.peers.call(host, PROOF, body, PROOF_TIMEOUT_SECONDS)
-                proof = PositionProof.from_json(answer, asked)
+                proof = PositionProof.from_json(answer, requested_at)
         except (PeerError, RefusalError, WireError) as error:
             self.decisions.record(
                 "position_unknown", service=route.service, error=str(error)
@@ -162,30 +161,33 @@
     def best_replica(
         self, service: str, min_position: Position, tried: set[str]
     ) -> TargetAnnouncement | None:
-        """Return the replica that is expected to answer first, or None."""
+        """Return the eligible replica with the lowest expected cost, or None."""
         now = self.clock.monotonic()
-        sightings = self.observations(service)
+        observations = self.observations(service)
         record = self.lease_registry.get(service)
         primary = "" if record is None else record.primary
         best: TargetAnnouncement | None = None
-        least = float("inf")
+        best_cost = float("inf")
         for entry in self.announcements.targets.values():
             if entry.service != service or entry.leaving or entry.target == primary:
                 continue
-            seen = sightings.target(entry.target)
-            covered = seen.position is not None and seen.position >= min_position
-            if entry.target in tried or (now < seen.avoid_until and not covered):
+            target = observations.target(entry.target)
+            covered = target.position is not None and target.position >= min_position
+            if entry.target in tried or (now < target.avoid_until and not covered):
                 continue
-            cost = seen.expected_seconds(now)
+            cost = target.expected_seconds(now)
             cost += 0.0 if entry.zone == self.me.zone else CROSS_ZONE_COST_SECONDS
-            if cost < least:
-                best, least = entry, cost
+            if cost < best_cost:
+                best, best_cost = entry, cost
         return best
 
     async def run_at_replica(
         self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
     ) -> ReplicaReadResult:
-        """Run a read at one replica, unless another target is to serve it."""
+        """Run a read at one replica.
+
+        :raises RefusalError: if no other target may run the statement.
+        """
         host = self.directory.home(entry.target, entry.zone)
         if host is None:
             return ReplicaReadResult()
@@ -193,34 +195,34 @@
         statement.subtract_elapsed(
             statement.remaining - (deadline - self.clock.monotonic())
         )
-        seen = self.observations(statement.service).target(entry.target)
-        begun = self.clock.monotonic()
-        seen.inflight += 1
-        place = StatementLocation(host, entry.target)
+        target = self.observations(statement.service).target(entry.target)
+        started_at = self.clock.monotonic()
+        target.inflight += 1
+        location = StatementLocation(host, entry.target)
         try:
-            answer = await self.forwarder.run_at(place, statement)
+            result = await self.forwarder.run_at(location, statement)
         except RefusalError as refusal:
             if refusal.verdict is not Verdict.NOT_RUN or statement.remaining <= 0.0:
                 raise
             if refusal.reason is RefusalReason.TRANSACTION_LOST:
-                # Its first statement was sent; elsewhere it would run on a second
-                # connection. The caller repeats the whole transaction.
+                # The first statement of the transaction was sent; another target
+                # would run it a second time. The caller must retry the transaction.
                 raise
             if refusal.reason is RefusalReason.RATE_LIMITED:
-                # The rate holds at all targets together.
+                # The rate limit covers all targets.
                 raise
             self.forwarder.log_reroute(statement, entry.target, refusal.reason.value)
             if refusal.reason is RefusalReason.OVERLOADED:
-                seen.record_overload(self.clock.monotonic())
+                target.record_overload(self.clock.monotonic())
                 return ReplicaReadResult(None, entry, retry_after_seconds(refusal))
-            seen.record_unreachable(self.clock.monotonic())
+            target.record_unreachable(self.clock.monotonic())
             return ReplicaReadResult()
         finally:
-            seen.inflight -= 1
+            target.inflight -= 1
         now = self.clock.monotonic()
-        reply = answer.reply
+        reply = result.reply
         if reply.fault is StatementFault.LAGGING:
-            seen.record_lag(reply.position, now)
+            target.record_lag(reply.position, now)
             self.forwarder.log_reroute(
                 statement, entry.target, reply.fault.value, statement.min_position
             )
@@ -228,21 +230,21 @@
         if reply.fault is StatementFault.BUSY:
             self.forwarder.log_reroute(statement, entry.target, reply.fault.value)
             return ReplicaReadResult()
-        seen.record_answer(now - begun, reply.position, now)
-        return ReplicaReadResult(LocatedResult(answer, place))
+        target.record_answer(now - started_at, reply.position, now)
+        return ReplicaReadResult(LocatedResult(result, location))
 
     def forget_target(self, entry: TargetAnnouncement) -> None:
-        """Forget what was learned of a target that holds nothing of it now."""
+        """Drop the observations of a target whose data was replaced."""
         self.observations(entry.service).targets.pop(entry.target, None)
 
     def observations(self, service: str) -> ServiceObservations:
-        """Return what this host has learned of a service."""
-        found = self.services.get(service)
-        if found is None:
-            found = self.services[service] = ServiceObservations()
-        return found
+        """Return the observations of a service, created on first use."""
+        observations = self.services.get(service)
+        if observations is None:
+            observations = self.services[service] = ServiceObservations()
+        return observations
 
 
 def retry_after_seconds(refusal: RefusalError) -> float:
-    """Return in how many seconds what is refused may come back."""
+    """Return the retry delay of a refusal in seconds; 0 if it has none."""
     return (refusal.retry_after_ms or 0) / MS_PER_SECOND
--- a/src/reedhook/request/replica_selector.py
+++ b/src/reedhook/request/replica_selector.py
@@ -1,8 +1,9 @@
-"""Which replica is to serve a read: by coverage, age, expected wait and distance.
+"""Selects the replica for a read by position, age, expected wait and distance.
 
-What a view says of a replica is a lower bound: it has gone on since. So a
-replica is also taken if by its usual lag it should have reached the position
-by now; its home proves it or refuses at once.
+The position of a replica in a group view is a lower bound, since replication
+has continued. A replica is therefore also eligible if, by its usual lag, it
+should have reached the position by now. Its home checks this and refuses at once
+if the replica is behind.
 """
 
 import random
@@ -31,9 +32,10 @@
 
 
 class PositionHistory:
-    """Keep when the positions of a group were first heard of.
+    """Keep the times at which the positions of a group were first observed.
 
-    Recent ones are kept each, older ones at a spacing of `HEAD_SPACING`.
+    All recent positions are kept, older ones at intervals of at least
+    `HISTORY_SPACING_SECONDS`. Positions and times are in ascending order.
     """
 
     __slots__ = ("positions", "times")
@@ -43,7 +45,7 @@
         self.times: list[float] = []
 
     def record(self, position: Position, now: float) -> None:
-        """Note that `position` exists."""
+        """Record that `position` exists, if it is the newest."""
         if self.positions and self.positions[-1] >= position:
             return
         self.positions.append(position)
@@ -52,45 +54,46 @@
             self.thin()
 
     def thin(self) -> None:
-        """Drop the older half except for one head in each spacing."""
+        """Thin out the older half to one position per spacing interval."""
         half = len(self.times) // 2
         kept = [0]
-        for at in range(1, half):
-            if self.times[at] - self.times[kept[-1]] >= HISTORY_SPACING_SECONDS:
-                kept.append(at)
+        for index in range(1, half):
+            if self.times[index] - self.times[kept[-1]] >= HISTORY_SPACING_SECONDS:
+                kept.append(index)
         kept = kept[-half // 2 :]
-        self.positions[:half] = [self.positions[at] for at in kept]
-        self.times[:half] = [self.times[at] for at in kept]
+        self.positions[:half] = [self.positions[index] for index in kept]
+        self.times[:half] = [self.times[index] for index in kept]
 
     def existed_by(self, position: Position) -> float | None:
-        """Return by when `position` existed; None if it was never heard of."""
-        at = bisect_left(self.positions, position)
-        return self.times[at] if at < len(self.times) else None
+        """Return a time at which `position` existed; None if none is known."""
+        index = bisect_left(self.positions, position)
+        return self.times[index] if index < len(self.times) else None
 
     def lag_bounds(self, applied: Position, observed_at: float) -> tuple[float, float]:
-        """Return the least and the greatest lag of a member, in seconds.
+        """Return the lower and the upper bound of a member's lag, in seconds.
 
-        At `seen` it showed the entry `applied`, and not yet the next one that
-        was heard of. The oldest head may have been written long before it was
-        heard of, so that it bounds nothing from above.
+        At `observed_at` the member had applied `applied`, but not yet the next
+        position of the history. The oldest position may have been written long
+        before it was first observed, so it gives no upper bound.
         """
-        at = bisect_left(self.positions, applied)
-        if at >= len(self.times):
+        index = bisect_left(self.positions, applied)
+        if index >= len(self.times):
             return 0.0, 0.0
-        greatest = max(0.0, observed_at - self.times[at]) if at > 0 else inf
-        if at + 1 >= len(self.times):
-            return 0.0, greatest
-        return max(0.0, observed_at - self.times[at + 1]), greatest
+        upper = max(0.0, observed_at - self.times[index]) if index > 0 else inf
+        if index + 1 >= len(self.times):
+            return 0.0, upper
+        return max(0.0, observed_at - self.times[index + 1]), upper
 
 
 class MemberObservations:
-    """Keep what this host experienced with one member.
-
-    :ivar lag: usual delay in seconds from an entry's being heard of until the
-        member's reads see it; 0 until something else is seen.
-    :ivar inflight: statements of this host that run at the member.
-    :ivar excluded_until: no read goes there before this time.
-    :ivar recovered_at: when it served again after a failure.
+    """Keep lag, load and failures of one member as seen by this host.
+
+    :ivar lag: usual delay in seconds between the first observation of a position
+        and its visibility to the member's reads; 0 until another is observed.
+    :ivar inflight: statements of this host in progress at the member.
+    :ivar exclusion_seconds: length of the last exclusion; 0 after a success.
+    :ivar excluded_until: monotonic time before which it gets no reads.
+    :ivar recovered_at: monotonic time of the first success after a failure.
     """
 
     __slots__ = (
@@ -109,7 +112,7 @@
         self.recovered_at = float("-inf")
 
     def record_failure(self, now: float) -> None:
-        """Exclude the member for a while that doubles with each failure."""
+        """Exclude the member for a time that doubles with each failure."""
         self.exclusion_seconds = min(
             max(2 * self.exclusion_seconds, MIN_EXCLUSION_SECONDS),
             MAX_EXCLUSION_SECONDS,
@@ -117,28 +120,31 @@
         self.excluded_until = now + self.exclusion_seconds
 
     def record_success(self, now: float) -> None:
-        """Note a success; the first after a failure begins the easing in."""
+        """Record a success; the first one after a failure begins the slow start."""
         if self.exclusion_seconds > 0.0:
             self.exclusion_seconds = 0.0
             self.recovered_at = now
 
     def admits_read(self, now: float, rng: random.Random) -> bool:
-        """Say whether a read may go there; rarely at first after a failure."""
+        """Return whether the member may get a read.
+
+        After an exclusion only a growing share of the reads is admitted.
+        """
         if now < self.excluded_until:
             return False
-        since = now - self.recovered_at
-        if since >= SLOW_START_SECONDS and self.exclusion_seconds == 0.0:
+        elapsed = now - self.recovered_at
+        if elapsed >= SLOW_START_SECONDS and self.exclusion_seconds == 0.0:
             return True
         share = (
             0.05
             if self.exclusion_seconds > 0.0
-            else max(0.05, since / SLOW_START_SECONDS)
+            else max(0.05, elapsed / SLOW_START_SECONDS)
         )
         return rng.random() < share
 
 
 class GroupObservations:
-    """Keep what this host experienced with the members of one group."""
+    """Keep this host's observations of the members of one group."""
 
     __slots__ = ("position_history", "members")
 
@@ -147,44 +153,44 @@
         self.members: dict[str, MemberObservations] = {}
 
     def member(self, name: str) -> MemberObservations:
-        """Return the track of the member `name`."""
-        track = self.members.get(name)
-        if track is None:
-            track = self.members[name] = MemberObservations()
-        return track
+        """Return the observations of the member `name`, created on first use."""
+        observations = self.members.get(name)
+        if observations is None:
+            observations = self.members[name] = MemberObservations()
+        return observations
 
     def record_view(self, view: GroupView, now: float) -> None:
-        """Take the positions of a view into account."""
-        for one in view.members.values():
-            self.position_history.record(one.applied, now)
-        for one in view.members.values():
-            if one.member != view.primary:
-                self.record_position(one.member, one.applied, one.observed_at)
+        """Record the positions of a view."""
+        for member in view.members.values():
+            self.position_history.record(member.applied, now)
+        for member in view.members.values():
+            if member.member != view.primary:
+                self.record_position(member.member, member.applied, member.observed_at)
 
     def record_position(
         self, member: str, applied: Position, observed_at: float
     ) -> None:
-        """Move the usual lag of a replica as little as this sighting allows."""
-        least, greatest = self.position_history.lag_bounds(applied, observed_at)
-        track = self.member(member)
-        track.lag = min(max(track.lag, least), greatest)
+        """Move the usual lag of a replica to the nearest bound observed."""
+        lower, upper = self.position_history.lag_bounds(applied, observed_at)
+        observations = self.member(member)
+        observations.lag = min(max(observations.lag, lower), upper)
 
     def record_not_covered(self, member: str, position: Position, now: float) -> None:
-        """Note that `member` did not cover `position` when asked."""
-        since = self.position_history.existed_by(position)
-        delay = MAX_COVERAGE_WAIT_SECONDS if since is None else now - since
+        """Raise the lag of `member` after it did not cover `position`."""
+        existed_at = self.position_history.existed_by(position)
+        delay = MAX_COVERAGE_WAIT_SECONDS if existed_at is None else now - existed_at
         self.record_min_lag(member, NOT_COVERED_LAG_FACTOR * delay)
 
     def record_min_lag(self, member: str, delay: float) -> None:
-        """Note that `member` is taken to be `delay` seconds behind at least."""
-        track = self.member(member)
-        track.lag = max(track.lag, delay)
+        """Raise the lag of `member` to at least `delay` seconds."""
+        observations = self.member(member)
+        observations.lag = max(observations.lag, delay)
 
 
 class SelectionContext(Record):
-    """Say which read needs a replica now, and what is known of the group.
+    """Carry a read that needs a replica and the known state of its group.
 
-    :param tried: replicas that refused it already.
+    :param tried: replicas that have refused the read.
     :param now: local monotonic time in seconds.
     """
 
@@ -208,7 +214,7 @@
 
 
 class ReplicaSelector:
-    """Choose replicas for reads of this host.
+    """Choose replicas for the reads of this host.
 
     :param zone: the availability zone of this host.
     """
@@ -220,7 +226,11 @@
         self.random = rng
 
     def select_replica(self, context: SelectionContext) -> str | None:
-        """Return the replica for a read, or None if only the primary will do."""
+        """Return the replica for a read, or None if the primary must serve it.
+
+        The cheaper of two random eligible replicas is chosen, so that hosts with
+        the same view do not all choose the same replica.
+        """
         best = None
         best_cost = 0.0
         for member in self.sample_two(self.eligible_members(context)):
@@ -230,37 +240,37 @@
         return best
 
     def sample_two(self, members: list[Member]) -> list[Member]:
-        """Return two members at random, or fewer if there are not so many."""
+        """Return two random members, or all if there are fewer."""
         return members if len(members) <= 2 else self.random.sample(members, 2)
 
     def eligible_members(self, context: SelectionContext) -> list[Member]:
-        """Return the replicas that can be expected to meet the demand.
+        """Return the replicas that can serve the read.
 
-        Those that are known to meet it go before those that only should, of
-        which the one least behind is taken.
+        If none is known to satisfy it, return the replica with the least lag among
+        those that are expected to.
         """
         known = []
-        likely = []
+        expected = []
         views = context.view.members
         for member in context.group.members:
-            one = views.get(member.member_id)
-            if one is None or not self.accepts_reads(one, context):
+            member_view = views.get(member.member_id)
+            if member_view is None or not self.accepts_reads(member_view, context):
                 continue
-            if is_known_to_satisfy(one, context.statement, context.now):
+            if is_known_to_satisfy(member_view, context.statement, context.now):
                 known.append(member)
-            elif is_expected_to_satisfy(one, context):
-                likely.append(member)
-        if known or not likely:
+            elif is_expected_to_satisfy(member_view, context):
+                expected.append(member)
+        if known or not expected:
             return known
         return [
             min(
-                likely,
+                expected,
                 key=lambda member: expected_lag(views[member.member_id], context),
             )
         ]
 
     def accepts_reads(self, member_view: MemberView, context: SelectionContext) -> bool:
-        """Say whether a member is a replica that takes reads at all."""
+        """Return whether a member is a replica that accepts reads."""
         if (
             member_view.leaving
             or member_view.member == context.view.primary
@@ -272,10 +282,10 @@
         )
 
     def cost(self, member: Member, context: SelectionContext) -> float:
-        """Return the wait to expect at `member`, with the way there, in seconds."""
-        one = context.view.members[member.member_id]
-        age = context.now - one.observed_at
-        wait = one.expected_wait * max(0.0, 1.0 - age / WAIT_DECAY_SECONDS)
+        """Return the expected wait at `member` plus network delay, in seconds."""
+        member_view = context.view.members[member.member_id]
+        age = context.now - member_view.observed_at
+        wait = member_view.expected_wait * max(0.0, 1.0 - age / WAIT_DECAY_SECONDS)
         hop = (
             SAME_ZONE_HOP_SECONDS
             if member.zone == self.zone
@@ -286,11 +296,11 @@
 
 
 def expected_lag(member_view: MemberView, context: SelectionContext) -> float:
-    """Return the lag in seconds to expect of a replica.
+    """Return the expected lag of a replica in seconds.
 
-    The age proved when it was seen is its lag and the time since the last
-    sample, hence never less. A replica of which nothing is known is taken to
-    keep up; its home knows better.
+    The proved age of its view includes the time since the last sample, so it is
+    an upper bound of the lag. An unobserved replica is assumed to have no lag; its
+    home refuses the read if that is wrong.
     """
     lag = context.observations.member(member_view.member).lag
     return lag if member_view.lag is None else min(member_view.lag, lag)
@@ -299,7 +309,7 @@
 def is_known_to_satisfy(
     member_view: MemberView, statement: Statement, now: float
 ) -> bool:
-    """Say whether a replica is known to meet what a read demands."""
+    """Return whether a replica is known to satisfy a read."""
     if (
         statement.min_position is not None
         and member_view.applied < statement.min_position
@@ -315,15 +325,20 @@
 
 
 def is_expected_to_satisfy(member_view: MemberView, context: SelectionContext) -> bool:
-    """Say whether a replica should by now meet what a read demands."""
+    """Return whether a replica is expected to satisfy a read by now."""
     statement = context.statement
     lag = expected_lag(member_view, context)
     if (
         statement.min_position is not None
         and member_view.applied < statement.min_position
     ):
-        since = context.observations.position_history.existed_by(statement.min_position)
-        if since is None or context.now + MAX_COVERAGE_WAIT_SECONDS < since + lag:
+        existed_at = context.observations.position_history.existed_by(
+            statement.min_position
+        )
+        if (
+            existed_at is None
+            or context.now + MAX_COVERAGE_WAIT_SECONDS < existed_at + lag
+        ):
             return False
     if statement.consistency is not Consistency.MAX_AGE:
         return True
--- a/src/reedhook/request/retry_decision.py
+++ b/src/reedhook/request/retry_decision.py
@@ -1,4 +1,4 @@
-"""What may follow a refusal: nothing, another member, or news of a primary."""
+"""Decides how a router proceeds after a refusal."""
 
 from enum import Enum, auto
 from typing import Final
@@ -8,7 +8,7 @@
 
 
 class RetryDecision(Enum):
-    """Name what a router does after a refusal."""
+    """Enumerate the actions of a router after a refusal."""
 
     GIVE_UP = auto()
     TRY_OTHER_MEMBER = auto()
@@ -39,10 +39,9 @@
 def decide_retry(
     refusal: RefusalError, repeatable: bool, at_primary: bool
 ) -> RetryDecision:
-    """Say what may follow `refusal`.
+    """Return how to proceed after `refusal`.
 
-    :param repeatable: whether a repetition after an attempt that may have run
-        is safe.
+    :param repeatable: whether a retry is safe after an attempt that may have run.
     :param at_primary: whether the primary refused.
     """
     if refusal.verdict is not Verdict.NOT_RUN and not repeatable:
@@ -57,7 +56,7 @@
 def final_refusal(refusal: RefusalError, effect_unknown: bool) -> RefusalError:
     """Return the refusal for the caller after all attempts.
 
-    Once an attempt may have run, no later refusal can take that back.
+    If any attempt may have run, so may the request, whatever the last refusal.
     """
     if not effect_unknown or refusal.verdict is Verdict.MAY_HAVE_RUN:
         return refusal
--- a/src/reedhook/request/router.py
+++ b/src/reedhook/request/router.py
@@ -1,4 +1,4 @@
-"""Bring each statement to a member that can answer it, within its deadline."""
+"""Routes each statement to a member that can serve it within the deadline."""
 
 import random
 from collections.abc import Coroutine
@@ -50,13 +50,14 @@
 
 
 class RequestAttempts:
-    """Keep what was tried for one request.
+    """Keep the state of all attempts at one request.
 
     :param deadline: local monotonic time in seconds.
+    :param repeatable: whether the request may be retried after it may have run.
     :ivar tried: replicas that refused.
     :ivar effect_unknown: whether an attempt may have run.
     :ivar refusal: the last refusal.
-    :ivar backoff_seconds: how long to wait for news before asking the same primary.
+    :ivar backoff_seconds: the wait before the same primary is tried again.
     """
 
     __slots__ = (
@@ -77,17 +78,16 @@
         self.backoff_seconds = MIN_BACKOFF_SECONDS
 
     def record_refusal(self, refusal: RefusalError) -> None:
-        """Keep a refusal and whether it leaves the effect unknown."""
+        """Record a refusal and whether the request may have run."""
         self.refusal = refusal
         if refusal.verdict is not Verdict.NOT_RUN:
             self.effect_unknown = True
 
 
 class Router:
-    """Choose members and repeat what may be repeated.
+    """Choose a member for each request and retry where that is safe.
 
-    :param executor: executes at the member that was chosen.
-    :param replica_selector: chooses among replicas.
+    :param executor: executes statements at the chosen member.
     """
 
     __slots__ = (
@@ -128,9 +128,9 @@
     ) -> HomeResponse:
         """Run a read, a write or the begin of a transaction.
 
-        :param repeatable: whether it may be repeated after an attempt that
-            may have run: it is idempotent, or has a request id.
-        :raises Refusal: with a verdict that holds for all attempts together.
+        :param repeatable: whether the statement may be retried after an attempt
+            that may have run, since it is idempotent or has a request id.
+        :raises RefusalError: with a verdict that covers all attempts.
         """
         now = self.clock.monotonic()
         attempts = RequestAttempts(now + statement.remaining, repeatable)
@@ -142,9 +142,9 @@
         try:
             if replicas_allowed(statement):
                 self.hedge_budget.record_request()
-                served = await self.run_at_replicas(group, statement, attempts)
-                if served is not None:
-                    return served
+                response = await self.run_at_replicas(group, statement, attempts)
+                if response is not None:
+                    return response
             return await self.run_at_primary(group, statement, attempts)
         except RefusalError as refusal:
             attempts.record_refusal(refusal)
@@ -153,9 +153,9 @@
     async def run_at_replicas(
         self, group: Group, statement: Statement, attempts: RequestAttempts
     ) -> HomeResponse | None:
-        """Return the answer of a replica, or None if the primary is to serve.
+        """Return the response of a replica, or None if the primary must serve.
 
-        :raises Refusal: if neither another replica nor the primary may help.
+        :raises RefusalError: if neither another replica nor the primary can serve.
         """
         while len(attempts.tried) < MAX_REPLICAS:
             view = await self.views.current(group)
@@ -180,15 +180,18 @@
         attempts: RequestAttempts,
         refusal: RefusalError,
     ) -> None:
-        """Go on to another member, or raise what is final."""
+        """Record a replica's refusal; return if another member may be tried.
+
+        :raises RefusalError: if the refusal is final.
+        """
         if decide_retry(refusal, attempts.repeatable, False) is RetryDecision.GIVE_UP:
             raise refusal
-        track = self.observations(group.name)
+        observations = self.observations(group.name)
         if (
             refusal.reason is RefusalReason.NOT_COVERED
             and statement.min_position is not None
         ):
-            track.record_not_covered(
+            observations.record_not_covered(
                 member, statement.min_position, self.clock.monotonic()
             )
             return
@@ -196,7 +199,9 @@
             refusal.reason is RefusalReason.AGE_UNPROVED
             and statement.max_age is not None
         ):
-            track.record_min_lag(member, AGE_UNPROVED_LAG_FACTOR * statement.max_age)
+            observations.record_min_lag(
+                member, AGE_UNPROVED_LAG_FACTOR * statement.max_age
+            )
             return
         if (
             refusal.reason is RefusalReason.OVERLOADED
@@ -207,10 +212,10 @@
             raise refusal
 
     def primary_has_capacity(self, group: Group) -> bool:
-        """Say whether the primary has room for reads that replicas refused."""
+        """Return whether the primary can take reads that replicas refused."""
         view = self.views.group(group.name).view
-        one = view.members.get(view.primary or "")
-        return one is not None and one.expected_wait < MAX_PRIMARY_WAIT_SECONDS
+        primary = view.members.get(view.primary or "")
+        return primary is not None and primary.expected_wait < MAX_PRIMARY_WAIT_SECONDS
 
     async def run_hedged(
         self,
@@ -220,31 +225,31 @@
         statement: Statement,
         attempts: RequestAttempts,
     ) -> HomeResponse:
-        """Run a read at `member`, and at a second replica if it is slow."""
-        slow = self.latency_percentiles.get(group.name)
-        if slow is None:
-            slow = self.latency_percentiles[group.name] = LatencyPercentile()
-        began = self.clock.monotonic()
+        """Run a read at `member`, hedged by a second replica if it is slow."""
+        latency = self.latency_percentiles.get(group.name)
+        if latency is None:
+            latency = self.latency_percentiles[group.name] = LatencyPercentile()
+        started_at = self.clock.monotonic()
         first = self.run_attempt(group, member, statement, attempts)
         tried = attempts.tried | {member}
 
-        def second() -> Coroutine[Any, Any, HomeResponse] | None:
+        def start_second() -> Coroutine[Any, Any, HomeResponse] | None:
             other = self.select_replica(group, view, statement, tried)
             if other is None or not self.hedge_budget.try_spend():
                 return None
             self.metrics.increment("router.hedged")
             return self.run_attempt(group, other, copy(statement), attempts)
 
-        served = await HedgedRead(slow.seconds, second).run(first)
-        slow.add(self.clock.monotonic() - began)
-        return served
+        response = await HedgedRead(latency.seconds, start_second).run(first)
+        latency.add(self.clock.monotonic() - started_at)
+        return response
 
     async def run_at_primary(
         self, group: Group, statement: Statement, attempts: RequestAttempts
     ) -> HomeResponse:
-        """Return the answer of the primary, waiting for one while time allows.
+        """Return the response of the primary, waiting for one until the deadline.
 
-        :raises Refusal: at once when no further attempt can help or fit.
+        :raises RefusalError: as soon as no further attempt can succeed in time.
         """
         view = await self.views.current(group)
         while True:
@@ -270,26 +275,26 @@
         statement: Statement,
         attempts: RequestAttempts,
     ) -> HomeResponse:
-        """Run an attempt at the primary, ended once another one is known.
+        """Run an attempt at the primary; cancel it once a newer primary is known.
 
-        :raises Refusal: ``superseded`` then; a write may have run.
+        :raises RefusalError: ``superseded`` if cancelled; a write may have run.
         """
         assert view.primary is not None
         attempt = self.run_attempt(group, view.primary, statement, attempts)
         if not attempts.repeatable or statement.kind not in RETRYABLE_KINDS:
             return await attempt
-        reign = PrimaryAttempt(self.views, group, view.primary, view.term)
-        return await reign.run(attempt, statement.kind)
+        primary_attempt = PrimaryAttempt(self.views, group, view.primary, view.term)
+        return await primary_attempt.run(attempt, statement.kind)
 
     async def wait_for_primary(
         self, group: Group, term: int, primary: str | None, attempts: RequestAttempts
     ) -> None:
-        """Return when there is reason to ask a primary again.
+        """Wait until a primary may be tried again.
 
-        That is another leader than that of `term`, or, after a pause and
-        within the retry budget, the same one.
+        This is a primary other than `primary` of `term`, or the same one after a
+        backoff and within the retry budget.
 
-        :raises Refusal: if the time left is too short, or no home answers.
+        :raises RefusalError: if the time left is too short or no home answers.
         """
         known = self.views.group(group.name)
         while (known.view.term, known.view.primary) == (term, primary):
@@ -298,8 +303,8 @@
                 raise self.timeout_refusal(group, attempts, NO_PRIMARY_RETRY_MS)
             if known.rounds_failed >= MAX_UNANSWERED_ROUNDS:
                 raise self.timeout_refusal(group, attempts, UNREACHABLE_RETRY_MS)
-            pause = min(attempts.backoff_seconds, left - MIN_REMAINING_SECONDS)
-            await self.views.wait_for_primary_change(group, pause)
+            backoff = min(attempts.backoff_seconds, left - MIN_REMAINING_SECONDS)
+            await self.views.wait_for_primary_change(group, backoff)
             attempts.backoff_seconds = min(
                 2 * attempts.backoff_seconds, MAX_BACKOFF_SECONDS
             )
@@ -309,7 +314,7 @@
     def timeout_refusal(
         self, group: Group, attempts: RequestAttempts, retry_after_ms: int
     ) -> RefusalError:
-        """Return the refusal of a request that no primary can serve in time."""
+        """Return the refusal of a request that no primary served in time."""
         if attempts.refusal is not None:
             last = attempts.refusal
             return RefusalError(last.reason, last.verdict, last.detail, retry_after_ms)
@@ -322,7 +327,7 @@
     async def run_attempt(
         self, group: Group, member: str, statement: Statement, attempts: RequestAttempts
     ) -> HomeResponse:
-        """Execute `statement` at `member` once and learn from what comes back."""
+        """Execute `statement` at `member` once and record the outcome."""
         now = self.clock.monotonic()
         statement.remaining = attempts.deadline - now
         if statement.remaining < MIN_REMAINING_SECONDS:
@@ -331,48 +336,51 @@
             )
         if statement.kind is StatementKind.BEGIN:
             statement.transaction = f"{self.random.getrandbits(TRANSACTION_BITS):x}"
-        track = self.observations(group.name)
-        one = track.member(member)
-        one.inflight += 1
+        group_observations = self.observations(group.name)
+        member_observations = group_observations.member(member)
+        member_observations.inflight += 1
         try:
-            served = await self.executor.execute(member, statement)
+            response = await self.executor.execute(member, statement)
         except RefusalError as refusal:
             if refusal.reason in MEMBER_FAULT_REASONS:
-                one.record_failure(self.clock.monotonic())
+                member_observations.record_failure(self.clock.monotonic())
             raise
         finally:
-            one.inflight -= 1
+            member_observations.inflight -= 1
         now = self.clock.monotonic()
-        one.record_success(now)
-        self.record_response(served, track, now)
-        self.check_coverage(statement, served, member)
-        return served
+        member_observations.record_success(now)
+        self.record_response(response, group_observations, now)
+        self.check_coverage(statement, response, member)
+        return response
 
     def record_response(
         self, response: HomeResponse, observations: GroupObservations, now: float
     ) -> None:
-        """Take over what an answer tells of its group."""
-        answer = response.result
+        """Merge the group view and position of a response."""
+        result = response.result
         self.views.merge(response.view)
-        observations.position_history.record(answer.position, now)
+        observations.position_history.record(result.position, now)
         observations.record_view(response.view, now)
-        if answer.role != PRIMARY_ROLE:
-            observations.record_position(answer.target, answer.position, now)
+        if result.role != PRIMARY_ROLE:
+            observations.record_position(result.target, result.position, now)
         members = self.views.group(response.view.group).view.members
-        known = members.get(answer.target)
+        known = members.get(result.target)
         if known is not None:
-            members[answer.target] = updated_member_view(known, response)
+            members[result.target] = updated_member_view(known, response)
 
     def check_coverage(
         self, statement: Statement, response: HomeResponse, member: str
     ) -> None:
-        """Refuse a read whose answer misses what the token covers."""
+        """Refuse a read that reflects a position before the session's.
+
+        :raises RefusalError: ``not_covered``.
+        """
         if statement.kind is not StatementKind.READ or statement.min_position is None:
             return
         if response.result.position < statement.min_position:
             raise not_run(
                 RefusalReason.NOT_COVERED,
-                f"the member {member} is behind the session",
+                f"the member {member} is behind the position of the session",
                 50,
             )
 
@@ -383,30 +391,30 @@
         statement: Statement,
         tried: frozenset[str],
     ) -> str | None:
-        """Return the replica to ask next, or None."""
-        track = self.observations(group.name)
+        """Return the replica to try next, or None."""
+        observations = self.observations(group.name)
         now = self.clock.monotonic()
         return self.replica_selector.select_replica(
-            SelectionContext(group, view, track, statement, tried, now)
+            SelectionContext(group, view, observations, statement, tried, now)
         )
 
     def observations(self, group: str) -> GroupObservations:
-        """Return what this host experienced with `group`."""
-        track = self.group_observations.get(group)
-        if track is None:
-            track = self.group_observations[group] = GroupObservations()
-        return track
+        """Return the observations of `group`, created on first use."""
+        observations = self.group_observations.get(group)
+        if observations is None:
+            observations = self.group_observations[group] = GroupObservations()
+        return observations
 
 
 def replicas_allowed(statement: Statement) -> bool:
-    """Say whether a replica may serve the statement."""
+    """Return whether a replica may serve the statement."""
     if statement.kind is not StatementKind.READ:
         return False
     return statement.consistency is not Consistency.FRESH
 
 
 def updated_member_view(known: MemberView, response: HomeResponse) -> MemberView:
-    """Return what is known of a member after it served; others keep `known`."""
+    """Return a new view of a member that served; views of others stay unchanged."""
     return MemberView(
         known.member,
         max(known.applied, response.result.position),
@@ -419,6 +427,6 @@
 
 
 def is_leaving(view: GroupView, member: str) -> bool:
-    """Say whether `member` takes no new work."""
-    one = view.members.get(member)
-    return one is not None and one.leaving
+    """Return whether `member` takes no new work."""
+    member_view = view.members.get(member)
+    return member_view is not None and member_view.leaving
--- a/src/reedhook/request/service_observations.py
+++ b/src/reedhook/request/service_observations.py
@@ -1,4 +1,4 @@
-"""What this host has learned of the targets of one service from answers."""
+"""Latency, lag and position observations of the targets of one service."""
 
 import math
 from collections import deque
@@ -8,43 +8,39 @@
 from .session_statement import PositionProof
 
 MAX_PROOFS: Final = 64
-"""Proofs that are kept; with one in 50 ms they reach back 3 s, which is longer
-than any bounded read accepts."""
+"""With `MIN_PROOF_INTERVAL_SECONDS`, the proofs must span longer than the largest
+age that a bounded read accepts."""
 
 MIN_PROOF_INTERVAL_SECONDS: Final = 0.05
-"""Seconds between two proofs that are kept."""
 
 SMOOTHING_FACTOR: Final = 0.2
-"""Weight of the newest time in the mean."""
+"""Weight of the newest sample in the mean latency."""
 
 DEFAULT_MEAN_SECONDS: Final = 0.012
-"""Seconds that a statement takes at a target that was never asked; the mean of
-the statements of the sites."""
+"""Latency assumed for a target without samples."""
 
 HALF_LIFE_SECONDS: Final = 2.0
-"""Seconds after which half of what was learned of slowness is forgotten, so
-that a target which has recovered is asked again."""
+"""Half-life of a deviation from the default latency. A target that has recovered
+gets reads again."""
 
 MIN_LAG_BACKOFF_SECONDS: Final = 0.1
 MAX_LAG_BACKOFF_SECONDS: Final = 1.6
-"""Seconds for which a replica that lagged too far is not asked, doubled with
-each time in a row."""
+"""The backoff of a lagging replica doubles up to this limit."""
 
 OVERLOAD_BACKOFF_SECONDS: Final = 0.05
-"""Seconds for which a target with a long queue is not asked: some three statements
-at each of its slots."""
 
 UNREACHABLE_BACKOFF_SECONDS: Final = 1.0
-"""Seconds for which a target that could not be reached is not asked."""
 
 
 class TargetObservations:
-    """Keep what answers of one target told.
-
-    :ivar mean_seconds: seconds that its statements take, the way there included.
-    :ivar inflight: statements of this host that wait for it.
-    :ivar avoid_until: monotonic time until which others are preferred.
-    :ivar position: the last entry that its reads are known to see.
+    """Keep latency, backoff and position of one target.
+
+    :ivar mean_seconds: mean latency of its statements, network hop included.
+    :ivar updated_at: monotonic time of the last latency sample.
+    :ivar inflight: statements of this host in progress at the target.
+    :ivar avoid_until: monotonic time until which other targets are preferred.
+    :ivar lag_backoff_seconds: backoff after the next lagging read.
+    :ivar position: the last position that its reads are known to see.
     """
 
     __slots__ = (
@@ -65,15 +61,17 @@
         self.position: Position | None = None
 
     def expected_seconds(self, now: float) -> float:
-        """Return how long a statement is expected to take, in seconds."""
-        aged = math.exp2((self.updated_at - now) / HALF_LIFE_SECONDS)
-        mean = DEFAULT_MEAN_SECONDS + (self.mean_seconds - DEFAULT_MEAN_SECONDS) * aged
+        """Return the expected latency of a new statement in seconds."""
+        weight = math.exp2((self.updated_at - now) / HALF_LIFE_SECONDS)
+        mean = (
+            DEFAULT_MEAN_SECONDS + (self.mean_seconds - DEFAULT_MEAN_SECONDS) * weight
+        )
         return mean * (1 + self.inflight)
 
     def record_answer(
         self, seconds: float, position: Position | None, now: float
     ) -> None:
-        """Take note of an answer."""
+        """Record the latency and position of a result."""
         self.mean_seconds += SMOOTHING_FACTOR * (seconds - self.mean_seconds)
         self.updated_at = now
         self.lag_backoff_seconds = MIN_LAG_BACKOFF_SECONDS
@@ -81,9 +79,9 @@
             self.position = position
 
     def record_lag(self, position: Position | None, now: float) -> None:
-        """Take note that the target lacked the position asked for."""
+        """Back off from a target that lacks the required position."""
         if position is not None and position != self.position:
-            # It moves, so that it may soon be there.
+            # Replication makes progress, so the lag may end soon.
             self.lag_backoff_seconds = MIN_LAG_BACKOFF_SECONDS
         self.position = position
         self.avoid_until = now + self.lag_backoff_seconds
@@ -92,16 +90,19 @@
         )
 
     def record_overload(self, now: float) -> None:
-        """Take note that the target had no slot for a statement in time."""
+        """Back off from a target that had no slot in time."""
         self.avoid_until = now + OVERLOAD_BACKOFF_SECONDS
 
     def record_unreachable(self, now: float) -> None:
-        """Take note that the target could not be reached."""
+        """Back off from a target that could not be reached."""
         self.avoid_until = now + UNREACHABLE_BACKOFF_SECONDS
 
 
 class ServiceObservations:
-    """Keep proofs of a primary's position, and what targets were like."""
+    """Keep proofs of a primary's position and observations of its targets.
+
+    :ivar proofs: proofs in ascending order of `as_of`.
+    """
 
     __slots__ = ("proofs", "targets")
 
@@ -110,14 +111,14 @@
         self.targets: dict[str, TargetObservations] = {}
 
     def target(self, target: str) -> TargetObservations:
-        """Return what is known of a target."""
-        found = self.targets.get(target)
-        if found is None:
-            found = self.targets[target] = TargetObservations()
-        return found
+        """Return the observations of a target, created on first use."""
+        observations = self.targets.get(target)
+        if observations is None:
+            observations = self.targets[target] = TargetObservations()
+        return observations
 
     def add_proof(self, proof: PositionProof | None) -> None:
-        """Keep a proof if it is the newest and far enough from the last one."""
+        """Keep a proof if it is `MIN_PROOF_INTERVAL_SECONDS` newer than the last."""
         if proof is None:
             return
         if (
@@ -128,11 +129,11 @@
         self.proofs.append(proof)
 
     def oldest_proof_since(self, since: float) -> PositionProof | None:
-        """Return the oldest proof that is not older than a moment.
+        """Return the oldest proof that is not older than `since`.
 
-        It demands the least of replicas.
+        The oldest proof has the lowest position, which most replicas hold.
 
-        :param since: by `Clock.elapsed`.
+        :param since: by `Clock.boottime`.
         """
         for proof in self.proofs:
             if proof.as_of >= since:
--- a/src/reedhook/request/session_command.py
+++ b/src/reedhook/request/session_command.py
@@ -1,4 +1,4 @@
-"""What a caller asks for with one statement of its session."""
+"""Commands that a caller sends in a session."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class SessionCommandKind(str, Enum):
-    """Name what a command does."""
+    """Enumerate the kinds of commands."""
 
     READ = "read"
     WRITE = "write"
@@ -24,8 +24,8 @@
 class SessionCommand(Record):
     """Carry one command.
 
-    :param text: what a target is sent, to the letter as the caller sent it.
-    :param name: of the session value or prepared statement it is about.
+    :param text: the text for the target, unchanged from the caller's.
+    :param name: the name of the session setting or prepared statement.
     :param writes: whether the statement to be prepared writes.
     """
 
--- a/src/reedhook/request/session_router.py
+++ b/src/reedhook/request/session_router.py
@@ -1,4 +1,4 @@
-"""Where the statements of sessions run: at the primary, or at a replica."""
+"""Routes session statements to the primary or to a replica."""
 
 from typing import Final
 
@@ -24,17 +24,15 @@
 from .verdict import Verdict
 
 RECORDS_TIMEOUT_SECONDS: Final = 0.25
-"""Seconds for another host to say who holds the leads."""
+"""Timeout of a request for another host's primary lease records."""
 
 MAX_PRIMARY_WAIT_SECONDS: Final = 0.5
-"""Seconds for which a statement looks for a primary; half of the shortest
-timeout of a statement, rounded, so that it can run afterwards."""
+"""Limit of the search for a primary. It must leave enough of the shortest
+statement timeout to run the statement afterwards."""
 
 PRIMARY_RETRY_SECONDS: Final = 0.06
-"""Seconds between two tries to find the primary."""
 
 RETRY_AFTER_MS: Final = 100
-"""When to come back if no primary is found, in milliseconds."""
 
 PRIMARY_MOVED_REASONS: Final = frozenset(
     {
@@ -44,11 +42,11 @@
         RefusalReason.NO_PRIMARY,
     }
 )
-"""Reasons for which the primary may be found at another host a little later."""
+"""Refusals after which another host may soon hold the primary lease."""
 
 
 class SessionRouter:
-    """Bring statements to targets by way of their homes."""
+    """Route statements to targets through their homes."""
 
     def __init__(
         self,
@@ -76,22 +74,22 @@
         session_position: Position | None,
         replica_allowed: bool,
     ) -> LocatedResult:
-        """Run a statement that belongs to no transaction yet.
+        """Run a statement that is not part of an open transaction.
 
         :param session_position: the position of the session's last commit.
-        :param replica_allowed: whether a replica may serve it.
-        :raises Refusal: with a verdict that holds.
+        :param replica_allowed: whether a replica may serve the statement.
+        :raises RefusalError: with a verdict that holds.
         """
         deadline = self.clock.monotonic() + statement.remaining
         if not replica_allowed or route.kind is RouteConsistency.PRIMARY:
             return await self.run_at_primary(statement, deadline)
-        tried = await self.replica_reader.run_read(
+        replica_result = await self.replica_reader.run_read(
             route, statement, session_position, deadline
         )
-        if tried.located_result is not None:
-            return tried.located_result
-        if tried.overloaded_replica is not None:
-            return await self.run_at_shortest_wait(statement, tried, deadline)
+        if replica_result.located_result is not None:
+            return replica_result.located_result
+        if replica_result.overloaded_replica is not None:
+            return await self.run_at_shortest_wait(statement, replica_result, deadline)
         statement.wait_limit_seconds = None
         return await self.run_at_primary(statement, deadline)
 
@@ -101,16 +99,14 @@
         replica_result: ReplicaReadResult,
         deadline: float,
     ) -> LocatedResult:
-        """Run a read at the primary if it has a slot free, else where it is soonest.
+        """Run a read at the primary if it has a free slot, else at the shortest queue.
 
-        All slots of a service are used so before any read waits for long. While
-        one replica of two was cut off, the other got 3.8 statements at a time for
-        its 3 slots, and the primary ran 0.8 with its own.
+        This uses the free slots of all targets before a read waits in a queue.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with a verdict that holds.
         """
         assert replica_result.overloaded_replica is not None
-        floor = statement.min_position
+        min_position = statement.min_position
         try:
             return await self.run_at_primary(statement, deadline)
         except RefusalError as refusal:
@@ -120,37 +116,38 @@
                 RefusalReason.TRANSACTION_LOST,
                 RefusalReason.RATE_LIMITED,
             ):
-                # Its first statement was sent, and would run on a second connection;
-                # or it may run nowhere now.
+                # A lost transaction may have sent its first statement, which would
+                # run again on a second connection. A rate limit covers all targets.
                 raise
-            soonest = refusal.reason is RefusalReason.OVERLOADED
-            soonest = (
-                soonest and retry_after_seconds(refusal) < replica_result.wait_seconds
+            primary_is_sooner = refusal.reason is RefusalReason.OVERLOADED
+            primary_is_sooner = (
+                primary_is_sooner
+                and retry_after_seconds(refusal) < replica_result.wait_seconds
             )
         statement.wait_limit_seconds = None
-        if not soonest:
-            statement.min_position = floor
-            again = await self.replica_reader.run_at_replica(
+        if not primary_is_sooner:
+            statement.min_position = min_position
+            retried = await self.replica_reader.run_at_replica(
                 replica_result.overloaded_replica, statement, deadline
             )
-            if again.located_result is not None:
-                return again.located_result
+            if retried.located_result is not None:
+                return retried.located_result
         return await self.run_at_primary(statement, deadline)
 
     async def run_at_primary(
         self, statement: SessionStatement, deadline: float
     ) -> LocatedResult:
-        """Run a statement at the primary, looking for it for a while.
+        """Run a statement at the primary, retrying while the primary may move.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with a verdict that holds.
         """
         statement.target = ""
         statement.min_position = None
-        give_up = self.clock.monotonic() + min(
+        give_up_at = self.clock.monotonic() + min(
             MAX_PRIMARY_WAIT_SECONDS, statement.remaining / 2
         )
-        busy = 0
-        refused_by_deputy = False
+        busy_retries = 0
+        refused_by_backup = False
         while True:
             record = self.lease_registry.get(statement.service)
             revision = 0 if record is None else record.revision
@@ -160,31 +157,34 @@
             try:
                 if record is None:
                     raise no_primary(statement.service)
-                host = self.forwarder.acting_holder(record, refused_by_deputy)
-                place = StatementLocation(host, "")
-                answer = await self.forwarder.run_at(place, statement)
+                host = self.forwarder.acting_holder(record, refused_by_backup)
+                location = StatementLocation(host, "")
+                result = await self.forwarder.run_at(location, statement)
             except RefusalError as refusal:
                 if record is not None and host != record.holder.ref:
-                    refused_by_deputy = True
+                    refused_by_backup = True
                     if refusal.reason is RefusalReason.WRONG_HOME:
                         continue
-                await self.wait_before_retry(statement, refusal, revision, give_up)
+                await self.wait_before_retry(statement, refusal, revision, give_up_at)
                 continue
-            fault = answer.reply.fault
+            fault = result.reply.fault
             if (
                 fault is StatementFault.BUSY
-                and busy < MAX_BUSY_RETRIES
+                and busy_retries < MAX_BUSY_RETRIES
                 and statement.kind is not SessionStatementKind.COMMIT
             ):
-                busy += 1
+                busy_retries += 1
                 await self.clock.sleep(BUSY_RETRY_SECONDS)
                 continue
-            if fault is StatementFault.READ_ONLY and self.clock.monotonic() < give_up:
-                self.forwarder.log_reroute(statement, answer.target, fault.value)
+            if (
+                fault is StatementFault.READ_ONLY
+                and self.clock.monotonic() < give_up_at
+            ):
+                self.forwarder.log_reroute(statement, result.target, fault.value)
                 await self.clock.sleep(PRIMARY_RETRY_SECONDS)
                 continue
-            self.record_proof(statement.service, answer)
-            return LocatedResult(answer, place)
+            self.record_proof(statement.service, result)
+            return LocatedResult(result, location)
 
     async def wait_before_retry(
         self,
@@ -193,18 +193,21 @@
         revision: int,
         give_up_at: float,
     ) -> None:
-        """Return once another try makes sense, or raise what is final."""
+        """Wait until another attempt may succeed.
+
+        :raises RefusalError: if `refusal` is final or `give_up_at` has passed.
+        """
         if (
             refusal.verdict is not Verdict.NOT_RUN
             or refusal.reason not in PRIMARY_MOVED_REASONS
         ):
             raise refusal
         record = self.lease_registry.get(statement.service)
-        same = record is not None and record.revision == revision
+        unchanged = record is not None and record.revision == revision
         if self.clock.monotonic() >= give_up_at:
             raise refusal
         if (
-            same
+            unchanged
             and record is not None
             and not self.forwarder.expects_failover(record.holder.ref)
         ):
@@ -217,15 +220,15 @@
             await self.clock.sleep(PRIMARY_RETRY_SECONDS)
 
     async def fetch_lease_records(self, service: str) -> None:
-        """Ask the present holder, or else somebody, who holds the leads."""
+        """Fetch lease records from the known holder or the next ranked host."""
         record = self.lease_registry.get(service)
         others = [
             ref
             for ref in self.directory.ranked(service, self.me.zone)
             if ref != self.me
         ]
-        asked = others[:1] if record is None else [record.holder.ref, *others[:1]]
-        for host in asked:
+        hosts = others[:1] if record is None else [record.holder.ref, *others[:1]]
+        for host in hosts:
             if host.host == self.me.host:
                 continue
             try:
@@ -240,12 +243,14 @@
                 )
 
     def record_proof(self, service: str, answer: SessionStatementResult) -> None:
-        """Take over what an answer of the primary tells."""
+        """Store the position proof of a result of the primary, if it has one."""
         self.replica_reader.observations(service).add_proof(answer.proof)
 
 
 def no_primary(service: str) -> RefusalError:
-    """Return the refusal of a statement whose service nobody leads."""
+    """Return the refusal of a statement whose service has no known primary."""
     return not_run(
-        RefusalReason.NO_PRIMARY, f"nobody leads the service {service}", RETRY_AFTER_MS
+        RefusalReason.NO_PRIMARY,
+        f"no primary of the service {service} is known",
+        RETRY_AFTER_MS,
     )
--- a/src/reedhook/request/session_statement.py
+++ b/src/reedhook/request/session_statement.py
@@ -1,4 +1,4 @@
-"""A statement on its way from the host of a session to the home of a target."""
+"""Session statements and their results, as sent between hosts."""
 
 from enum import Enum
 from typing import Final
@@ -10,15 +10,14 @@
 from .position import Position
 
 DEFAULT_PRIORITY: Final = 1
-"""Priority of a statement whose route states none."""
-
+"""Priority of a statement whose route specifies none."""
 
 DEFAULT_SOFT_DEADLINE_SECONDS: Final = 0.25
-"""Seconds in which an answer is expected where nothing is stated."""
+"""Soft deadline of a statement that specifies none."""
 
 
 class SessionStatementKind(str, Enum):
-    """Name what a statement does at the target."""
+    """Enumerate the kinds of session statements."""
 
     READ = "read"
     WRITE = "write"
@@ -26,7 +25,7 @@
 
 
 class TransactionMode(str, Enum):
-    """Name the transaction that a statement opens, if it is the first of one."""
+    """Enumerate the kinds of transactions that a statement may open."""
 
     NONE = ""
     READ = "read"
@@ -36,25 +35,22 @@
 class SessionStatement(Record):
     """Carry one statement of a session.
 
-    :param target: where it runs; empty for the primary, whichever that is.
-    :param session: names the session in all hosts.
-    :param settings: what is set or prepared in the session: its own statement
-        by kind and name.
-    :param transaction: names the transaction it belongs to; empty for none.
-    :param begin: the transaction that is opened first.
+    :param target: the target that runs it; empty for the current primary.
+    :param session: the id of the session, unique across hosts.
+    :param settings: the SET and PREPARE statements of the session, by kind and name.
+    :param transaction: the name of its transaction; empty for none.
+    :param begin: the transaction to open before the statement.
     :param min_position: the position that the target's log must hold.
     :param id: the caller's id of the statement.
     :param remaining: seconds to the deadline; a duration, since clocks differ.
-    :param soft_deadline_seconds: seconds until the caller expects the answer; less than
-        0 once that
-        is over.
-    :param database: the route that it came by; statements of one take about as long.
-    :param priority: of the route; 0 goes first.
-    :param wait_limit_seconds: seconds for which it waits for its turn at this target,
-        since
-        others may serve it, too; None if it waits for as long as it can.
+    :param soft_deadline_seconds: seconds until the caller expects the result; negative
+        afterwards.
+    :param database: the route of the statement, as a key for latency estimates.
+    :param priority: the priority of the route; 0 runs first.
+    :param wait_limit_seconds: maximum wait for a slot at this target, if another target
+        may serve the statement; None for no limit but the deadline.
     :param resent: whether it was sent before; it must not run a second time.
-    :param workspace: whose caller sent it; empty where callers need no key.
+    :param workspace: the workspace of the caller; empty on public routes.
     """
 
     __slots__ = (
@@ -121,25 +117,26 @@
 
     @property
     def starts_operation(self) -> bool:
-        """Say whether it is the first, or the only one, of a caller's operation."""
+        """Return whether it is the first or only statement of an operation."""
         return not self.transaction or self.begin is not TransactionMode.NONE
 
     def subtract_elapsed(self, seconds: float) -> None:
-        """Take note that time has passed."""
+        """Subtract elapsed time from the deadline and the soft deadline."""
         self.remaining -= seconds
         self.soft_deadline_seconds -= seconds
 
     def may_be_in_doubt(self) -> bool:
-        """Say whether it may take effect though its answer is missing.
+        """Return whether its effect is unknown if the result is lost.
 
-        A read has none, and a transaction whose commit was not sent is rolled back.
+        A read has no effect, and a transaction whose commit was not sent is rolled
+        back.
         """
         if self.kind is SessionStatementKind.READ:
             return False
         return self.kind is not SessionStatementKind.WRITE or not self.transaction
 
     def to_json(self) -> Json:
-        """Return the statement as it stands on the wire between hosts."""
+        """Return the statement in the wire format between hosts."""
         message: Json = {
             "service": self.service,
             "target": self.target,
@@ -171,7 +168,7 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "SessionStatement":
-        """Read a statement that another host sent."""
+        """Decode a statement sent by another host."""
         after = message.get("after")
         return cls(
             service=message["service"],
@@ -195,9 +192,9 @@
 
 
 class PositionProof(Record):
-    """State that a position covers all that was acknowledged before a moment.
+    """Prove that a position covers all writes acknowledged before a time.
 
-    :param as_of: that moment, on this host's clock `Clock.elapsed`.
+    :param as_of: that time, by this host's `Clock.boottime`.
     """
 
     __slots__ = ("position", "as_of")
@@ -207,15 +204,16 @@
         self.as_of = as_of
 
     def to_json(self, now: float) -> Json:
-        """Return the proof for the wire; the moment becomes an age."""
+        """Return the proof in its wire format, with the time as an age at `now`."""
         return {"position": self.position.to_json(), "age": round(now - self.as_of, 4)}
 
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json, requested_at: float) -> "PositionProof":
-        """Read a proof that another host sent.
+        """Decode a proof sent by another host.
 
-        :param requested_at: when it was asked for, which makes it older, not younger.
+        :param requested_at: when the proof was requested. Its age counts from there, so
+            that the proof is never dated too late.
         """
         return cls(
             Position.from_json(message["position"]), requested_at - message["age"]
@@ -223,10 +221,11 @@
 
 
 class SessionStatementResult(Record):
-    """Carry what a target answered, with what its home knows.
+    """Carry a target's reply with a position proof of its home.
 
-    :param target: the target that answered.
-    :param proof: of the primary's position, if the home leads the service.
+    :param target: the target that replied.
+    :param proof: a proof of the primary's position, if the home holds the primary
+        lease of the service.
     """
 
     __slots__ = ("target", "reply", "proof")
@@ -239,7 +238,7 @@
         self.proof = proof
 
     def to_json(self, now: float) -> Json:
-        """Return the answer as it stands on the wire between hosts."""
+        """Return the result in the wire format between hosts."""
         reply = self.reply
         position = reply.position
         message: Json = {
@@ -260,7 +259,10 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json, requested_at: float) -> "SessionStatementResult":
-        """Read an answer; `asked` is when the question was sent."""
+        """Decode a result.
+
+        :param requested_at: when the statement was sent, by `Clock.boottime`.
+        """
         position, proof = message["position"], message.get("proof")
         reply = SessionTargetReply(
             message["rows"],
--- a/src/reedhook/request/session_token.py
+++ b/src/reedhook/request/session_token.py
@@ -1,6 +1,6 @@
-"""Session tokens: what a session has seen, carried by the caller itself.
+"""Session tokens: the positions that a session has seen, carried by the caller.
 
-A token is opaque to the caller. Its bytes are a format number, the length of
+A token is opaque to the caller. Its bytes are a format version, the length of
 the payload, the payload, and a truncated HMAC-SHA256 over all of these.
 """
 
@@ -22,8 +22,8 @@
 MAC_BYTES: Final = 16
 TOKEN_PATTERN: Final = re.compile("[A-Za-z0-9_-]*")
 PADDING: Final = ("", "", "==", "=")
-# The last character of a text may hold bits beyond the last byte. Only the
-# text in which they are zero is taken, so that no altered bit goes unnoticed.
+# The last base64 character may have unused bits. Only texts in which these bits are
+# zero are valid, so that every altered bit is detected.
 BASE64URL_ALPHABET: Final = ascii_uppercase + ascii_lowercase + digits + "-_"
 VALID_LAST_CHARACTERS: Final = (
     BASE64URL_ALPHABET,
@@ -36,9 +36,9 @@
 
 
 class SessionToken(Record):
-    """Carry for each group the position that the session must not miss.
+    """Carry the positions that reads of a session must reflect.
 
-    :param workspace: the workspace whose session it is.
+    :param workspace: the workspace of the session.
     :param service: the service that the groups belong to.
     :param positions: the positions by group.
     """
@@ -53,29 +53,30 @@
         self.positions = positions or {}
 
     def covers(self, other: "SessionToken") -> bool:
-        """Say whether this token demands at least what `other` demands."""
+        """Return whether each position of `other` is covered by this token."""
         return all(
             group in self.positions and self.positions[group] >= position
             for group, position in other.positions.items()
         )
 
     def advanced(self, group: str, position: Position) -> "SessionToken":
-        """Return a token that also demands `position` of `group`.
+        """Return a token that also covers `position` of `group`.
 
-        :raises Refusal: if the token would name too many groups.
+        :raises RefusalError: if the token would contain too many groups.
         """
         known = self.positions.get(group)
         if known is not None and known >= position:
             return self
         positions = {**self.positions, group: position}
         if len(positions) > MAX_GROUPS:
-            raise invalid_token_refusal("the token names too many groups")
+            raise invalid_token_refusal("the token contains too many groups")
         return SessionToken(self.workspace, self.service, positions)
 
     def merged(self, other: "SessionToken") -> "SessionToken":
-        """Return a token that demands what either token demands.
+        """Return a token that covers the positions of both tokens.
 
-        :raises Refusal: if the scopes differ, or for too many groups.
+        :raises RefusalError: if the workspace or service differs, or the token would
+            contain too many groups.
         """
         if (self.workspace, self.service) != (other.workspace, other.service):
             raise invalid_token_refusal("tokens of different scopes cannot be merged")
@@ -86,17 +87,18 @@
 
 
 class TokenCodec:
-    """Write and read tokens with the secret that all hosts share.
+    """Encode and decode tokens with the secrets that all hosts share.
 
     :param secrets: the first one signs; all verify, so that the secret can be
-        replaced while tokens of the former one are in use.
+        rotated while tokens of the former one are in use.
+    :raises ValueError: if there is no secret.
     """
 
     __slots__ = ("keyed_macs",)
 
     def __init__(self, secrets: Sequence[bytes]) -> None:
         if not secrets:
-            raise ValueError("a token secret is needed")
+            raise ValueError("at least one token secret is required")
         self.keyed_macs = [hmac.new(secret, digestmod="sha256") for secret in secrets]
 
     def encode(self, token: SessionToken) -> str:
@@ -106,15 +108,15 @@
             for group, position in token.positions.items()
         }
         payload = orjson.dumps([token.workspace, token.service, positions])
-        head = bytes([FORMAT_VERSION]) + len(payload).to_bytes(2, "big")
-        signed = head + payload
+        header = bytes([FORMAT_VERSION]) + len(payload).to_bytes(2, "big")
+        signed = header + payload
         body = signed + token_mac(self.keyed_macs[0], signed)
         return encode_base64url(body)
 
     def decode(self, text: str, workspace: str, service: str) -> SessionToken:
-        """Read a token of `workspace` for `service`.
+        """Decode a token of `workspace` for `service`.
 
-        :raises Refusal: ``token_invalid``, with the cause as its detail.
+        :raises RefusalError: ``token_invalid``, with the cause as its detail.
         """
         signed = self.verified(decode_base64url(text))
         if text[-1] not in VALID_LAST_CHARACTERS[len(text) % 4]:
@@ -131,12 +133,15 @@
         )
 
     def verified(self, body: bytes) -> bytes:
-        """Return the signed part of `body` once its form and code hold."""
+        """Return the signed part of `body` after checking its format and MAC.
+
+        :raises RefusalError: ``token_invalid``.
+        """
         if not body:
             raise invalid_token_refusal("the token is empty")
         if body[0] > FORMAT_VERSION:
             raise invalid_token_refusal(
-                "the token is of a newer format than this host reads"
+                "the token has a newer format than this host supports"
             )
         if body[0] != FORMAT_VERSION:
             raise invalid_token_refusal("the token is malformed")
@@ -145,40 +150,44 @@
             raise invalid_token_refusal("the token is cut short")
         if len(body) > size:
             raise invalid_token_refusal("the token is malformed: it is too long")
-        signed, code = body[:-MAC_BYTES], body[-MAC_BYTES:]
+        signed, mac = body[:-MAC_BYTES], body[-MAC_BYTES:]
         for keyed in self.keyed_macs:
-            if hmac.compare_digest(token_mac(keyed, signed), code):
+            if hmac.compare_digest(token_mac(keyed, signed), mac):
                 return signed
         raise invalid_token_refusal("the token is forged or altered")
 
 
 def token_mac(keyed_mac: hmac.HMAC, signed: bytes) -> bytes:
-    """Return the truncated authentication code of `signed`.
+    """Return the truncated MAC of `signed`.
 
-    :param keyed_mac: holds the secret; a copy spares setting the key up again.
+    :param keyed_mac: an HMAC keyed with the secret; copying it avoids repeating the
+        key setup.
     """
-    code = keyed_mac.copy()
-    code.update(signed)
-    return code.digest()[:MAC_BYTES]
+    mac = keyed_mac.copy()
+    mac.update(signed)
+    return mac.digest()[:MAC_BYTES]
 
 
 def encode_base64url(body: bytes) -> str:
-    """Return the one text of `body`."""
+    """Return the unpadded base64url text of `body`."""
     return urlsafe_b64encode(body).rstrip(b"=").decode()
 
 
 def decode_base64url(text: str) -> bytes:
-    """Return the bytes of a token's text, which may be cut short."""
+    """Return the bytes of a token's text, which may be truncated.
+
+    :raises RefusalError: ``token_invalid`` if the text is not base64url.
+    """
     if len(text) > MAX_TEXT_CHARACTERS:
         raise invalid_token_refusal("the token is too long")
     if TOKEN_PATTERN.fullmatch(text) is None:
         raise invalid_token_refusal("the token is malformed: not base64url")
-    rest = len(text) % 4
-    if rest == 1:
+    remainder = len(text) % 4
+    if remainder == 1:
         text = text[:-1]
-    return urlsafe_b64decode(text + PADDING[rest])
+    return urlsafe_b64decode(text + PADDING[remainder])
 
 
 def invalid_token_refusal(detail: str) -> RefusalError:
-    """Return the refusal of a token; nothing was run."""
+    """Return the refusal of an invalid token."""
     return not_run(RefusalReason.TOKEN_INVALID, detail)
--- a/src/reedhook/request/slot_queue.py
+++ b/src/reedhook/request/slot_queue.py
@@ -1,8 +1,8 @@
-"""Fair, bounded queue in front of the slots of one target.
+"""Fair, bounded queue for the slots of one target.
 
-Classes share the slots by weight and callers of one class share equally, both
-by the measured time in slots (start-time fair queueing), so that a caller
-with long statements pays for their length.
+Start-time fair queueing on the time spent in slots: classes share it by weight,
+the callers of one class share it equally. A caller with long statements therefore
+gets fewer of them.
 """
 
 import asyncio
@@ -14,28 +14,28 @@
 from .refusal import RefusalError, RefusalReason, not_run
 
 CLASS_WEIGHTS: Final = (16.0, 4.0, 1.0)
-"""Shares of the classes; a priority beyond the last counts as the last."""
+"""Weights by class; a priority beyond the last class counts as the last class."""
 
 SMOOTHING_FACTOR: Final = 0.1
 """Weight of the newest sample in the mean service time."""
 
 RETRY_JITTER_FRACTION: Final = 0.25
-"""Share by which a hint to come back varies, so that callers spread out."""
 
 LONG_SERVICE_SECONDS: Final = 0.05
-"""Mean service in seconds from which the last class may not take all slots."""
+"""Mean service time from which the last class may not take all slots."""
 
 RECENT_ARRIVAL_SECONDS: Final = 60.0
-"""Seconds for which a more important arrival keeps one slot from them."""
+"""Time after an arrival in another class during which one slot is reserved."""
 
 
 class SlotQueue:
-    """Let at most `capacity` statements through at a time.
+    """Admit at most `capacity` statements at a time.
 
-    :param capacity: statements that hold a slot at a time.
-    :param limit: statements that may wait.
+    :param capacity: the number of slots.
+    :param limit: the maximum number of waiting statements.
     :ivar busy: slots in use.
-    :ivar queued: statements that wait.
+    :ivar queued: waiting statements.
+    :ivar virtual_time: the tag of the class that was served last.
     """
 
     __slots__ = (
@@ -68,8 +68,8 @@
     async def acquire(self, caller: str, priority: int, remaining: float) -> QueueEntry:
         """Wait for a slot for at most `remaining` seconds.
 
-        :raises Refusal: not run, if the statement would miss its deadline,
-            has missed it, or was pushed out of a full queue.
+        :raises RefusalError: not run, if the statement has missed or would miss its
+            deadline, or was dropped from a full queue.
         """
         entry = self.try_acquire(caller, priority, remaining)
         if entry is not None:
@@ -79,18 +79,18 @@
     def try_acquire(
         self, caller: str, priority: int, remaining: float
     ) -> QueueEntry | None:
-        """Return a slot if one is free and nobody waits, else None."""
-        share = self.priority_class(priority)
+        """Return a slot if one is free and no statement waits, else None."""
+        priority_class = self.priority_class(priority)
         now = self.clock.monotonic()
-        share.last_arrival_at = now
-        if self.queued or not self.admits(share, now):
+        priority_class.last_arrival_at = now
+        if self.queued or not self.admits(priority_class, now):
             return None
-        entry = QueueEntry(share.flow(caller), now + remaining)
+        entry = QueueEntry(priority_class.flow(caller), now + remaining)
         self.start(entry, now)
         return entry
 
     def release(self, entry: QueueEntry) -> None:
-        """Give the slot back and hand it to the next statement."""
+        """Release a slot and grant it to the next statement."""
         assert entry.started_at is not None
         now = self.clock.monotonic()
         self.record_service_time(entry, now - entry.started_at)
@@ -100,7 +100,7 @@
             self.dispatch(now)
 
     def abandon(self, entry: QueueEntry) -> None:
-        """Give back a slot that was granted and never used."""
+        """Release a slot that was granted but not used, without a charge."""
         flow = entry.flow
         flow.tag -= entry.charged_seconds
         flow.priority_class.tag -= entry.charged_seconds / flow.priority_class.weight
@@ -110,45 +110,53 @@
             self.dispatch(self.clock.monotonic())
 
     def refuse_waiting(self, refusal: RefusalError) -> None:
-        """Refuse all that wait."""
-        for share in self.priority_classes:
-            for flow in share.waiting_flows():
+        """Refuse all waiting statements."""
+        for priority_class in self.priority_classes:
+            for flow in priority_class.waiting_flows():
                 while flow.waiting:
                     self.drop(flow.waiting[-1], refusal)
 
     def expected_wait(self, caller: str, priority: int) -> float:
         """Return the expected wait of a new statement in seconds."""
-        share = self.priority_class(priority)
-        if not share.queued and self.admits(share, self.clock.monotonic()):
+        priority_class = self.priority_class(priority)
+        if not priority_class.queued and self.admits(
+            priority_class, self.clock.monotonic()
+        ):
             return 0.0
-        own = share.count_ahead(caller) * share.mean_service_seconds
-        work = self.mean_service_seconds + own
+        own_work = (
+            priority_class.count_ahead(caller) * priority_class.mean_service_seconds
+        )
+        work = self.mean_service_seconds + own_work
         for other in self.priority_classes:
-            if other is not share and other.queued:
-                turn = (own + share.mean_service_seconds) * other.weight / share.weight
-                work += min(other.queued * other.mean_service_seconds, turn)
+            if other is not priority_class and other.queued:
+                competing = (
+                    (own_work + priority_class.mean_service_seconds)
+                    * other.weight
+                    / priority_class.weight
+                )
+                work += min(other.queued * other.mean_service_seconds, competing)
         return work / self.capacity
 
     def retry_after_ms(self) -> int:
-        """Return when the waiting statements will have drained, with a spread."""
-        drain = (self.queued + 1) * self.mean_service_seconds / self.capacity
-        spread = self.random.uniform(
+        """Return the expected time until the queue is empty, with jitter."""
+        drain_seconds = (self.queued + 1) * self.mean_service_seconds / self.capacity
+        jitter = self.random.uniform(
             1.0 - RETRY_JITTER_FRACTION, 1.0 + RETRY_JITTER_FRACTION
         )
-        return max(int(drain * spread * 1000.0), 1)
+        return max(int(drain_seconds * jitter * 1000.0), 1)
 
     def priority_class(self, priority: int) -> PriorityClass:
-        """Return the share of a class; lower priorities run first."""
+        """Return the class of a priority; lower priorities run first."""
         return self.priority_classes[
             min(max(priority, 0), len(self.priority_classes) - 1)
         ]
 
     def admits(self, priority_class: PriorityClass, now: float) -> bool:
-        """Say whether a statement of the class may take a free slot.
+        """Return whether a statement of the class may take a free slot.
 
-        Long statements of the last class could hold every slot for a long
-        time, which no order of the queue can mend; one slot is kept from
-        them while more important work arrives.
+        Long statements of the last class could occupy every slot, which queue order
+        cannot prevent. One slot is therefore reserved while statements of other
+        classes arrive.
         """
         if self.busy >= self.capacity:
             return False
@@ -164,7 +172,10 @@
         )
 
     def check_deadline(self, caller: str, priority: int, remaining: float) -> None:
-        """Refuse a statement that would miss its deadline in the queue."""
+        """Check that a statement can meet its deadline.
+
+        :raises RefusalError: not run, if it would miss the deadline in the queue.
+        """
         if remaining <= 0.0:
             detail = "The deadline has passed."
             raise not_run(RefusalReason.DEADLINE, detail, self.retry_after_ms())
@@ -173,17 +184,20 @@
             + self.priority_class(priority).mean_service_seconds
         )
         if expected > remaining:
-            detail = "The expected wait exceeds the time left."
+            detail = "The expected wait exceeds the remaining time."
             raise not_run(RefusalReason.OVERLOADED, detail, self.retry_after_ms())
 
     async def wait_for_slot(
         self, caller: str, priority: int, remaining: float
     ) -> QueueEntry:
-        """Queue until a slot is granted; raises as `enter`."""
+        """Queue until a slot is granted.
+
+        :raises RefusalError: as `acquire`.
+        """
         self.check_deadline(caller, priority, remaining)
         loop = asyncio.get_running_loop()
-        share = self.priority_class(priority)
-        flow = share.flow(caller)
+        priority_class = self.priority_class(priority)
+        flow = priority_class.flow(caller)
         entry = QueueEntry(flow, self.clock.monotonic() + remaining)
         entry.granted = loop.create_future()
         entry.timer = loop.call_later(remaining, self.expire, entry)
@@ -200,15 +214,15 @@
         return entry
 
     def push(self, entry: QueueEntry) -> None:
-        """Append the entry; a full queue loses its least important one."""
+        """Append an entry; if the queue is full, drop the least important one."""
         flow = entry.flow
-        share = flow.priority_class
-        if not share.queued:
-            share.tag = max(share.tag, self.virtual_time)
+        priority_class = flow.priority_class
+        if not priority_class.queued:
+            priority_class.tag = max(priority_class.tag, self.virtual_time)
         if not flow.waiting:
-            flow.tag = max(flow.tag, share.virtual_time)
+            flow.tag = max(flow.tag, priority_class.virtual_time)
         flow.waiting.append(entry)
-        share.queued += 1
+        priority_class.queued += 1
         self.queued += 1
         if self.queued > self.limit:
             detail = "The queue is full."
@@ -222,12 +236,12 @@
         return flow.waiting[-1]
 
     def expire(self, entry: QueueEntry) -> None:
-        """Drop an entry whose deadline passes."""
+        """Drop an entry whose deadline has passed or would be missed."""
         detail = "The deadline passed in the queue."
         self.drop(entry, not_run(RefusalReason.DEADLINE, detail, self.retry_after_ms()))
 
     def handle_cancellation(self, entry: QueueEntry) -> None:
-        """Forget an entry whose caller is gone, or pass its slot on."""
+        """Remove a cancelled entry, or release its slot if one was granted."""
         if entry.started_at is not None:
             self.abandon(entry)
             return
@@ -235,19 +249,19 @@
             self.remove(entry)
 
     def drop(self, entry: QueueEntry, refusal: RefusalError) -> None:
-        """Take an entry out of the queue and refuse it now."""
+        """Remove an entry from the queue and refuse it."""
         self.remove(entry)
         if entry.granted is not None and not entry.granted.done():
             entry.granted.set_exception(refusal)
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take an entry out of the queue."""
+        """Remove an entry from the queue."""
         entry.flow.waiting.remove(entry)
         entry.flow.priority_class.queued -= 1
         self.queued -= 1
 
     def dispatch(self, now: float) -> None:
-        """Hand free slots to waiting statements."""
+        """Grant free slots to waiting statements."""
         while self.queued:
             entry = self.next_entry(now)
             if entry is None:
@@ -263,22 +277,21 @@
             entry.granted.set_result(None)
 
     def next_entry(self, now: float) -> QueueEntry | None:
-        """Return the entry whose turn it is, or None if no slot is for it."""
-        shares = [
+        """Return the next entry by fair order, or None if no class is admitted."""
+        admitted = [
             one for one in self.priority_classes if one.queued and self.admits(one, now)
         ]
-        if not shares:
+        if not admitted:
             return None
-        share = min(shares, key=lambda share: share.tag)
+        share = min(admitted, key=lambda share: share.tag)
         flow = min(share.waiting_flows(), key=lambda flow: flow.tag)
         return flow.waiting[0]
 
     def would_miss_deadline(self, entry: QueueEntry, now: float) -> bool:
-        """Say whether the slot serves another statement better.
+        """Return whether an entry is likely to miss its deadline in its slot.
 
-        A statement that is likely to miss its deadline would waste its slot.
-        The last one in the queue always runs, so that the measured service
-        time can never refuse everything.
+        The last entry in the queue always runs, so that an outdated mean service time
+        cannot refuse all statements.
         """
         return (
             self.queued > 1
@@ -286,31 +299,39 @@
         )
 
     def start(self, entry: QueueEntry, now: float) -> None:
-        """Take a slot and charge the expected time in advance."""
+        """Occupy a slot and charge the mean service time in advance."""
         flow = entry.flow
-        share = flow.priority_class
-        share.tag = self.virtual_time = max(share.tag, self.virtual_time)
-        flow.tag = share.virtual_time = max(flow.tag, share.virtual_time)
+        priority_class = flow.priority_class
+        priority_class.tag = self.virtual_time = max(
+            priority_class.tag, self.virtual_time
+        )
+        flow.tag = priority_class.virtual_time = max(
+            flow.tag, priority_class.virtual_time
+        )
         entry.started_at = now
-        entry.charged_seconds = share.mean_service_seconds
-        share.tag += share.mean_service_seconds / share.weight
-        flow.tag += share.mean_service_seconds
-        share.busy += 1
+        entry.charged_seconds = priority_class.mean_service_seconds
+        priority_class.tag += (
+            priority_class.mean_service_seconds / priority_class.weight
+        )
+        flow.tag += priority_class.mean_service_seconds
+        priority_class.busy += 1
         self.busy += 1
 
     def record_service_time(self, entry: QueueEntry, seconds: float) -> None:
-        """Charge the time that the statement took and learn from it."""
+        """Charge the difference to the actual service time and update the means."""
         flow = entry.flow
-        share = flow.priority_class
-        rest = seconds - entry.charged_seconds
-        flow.tag += rest
-        share.tag += rest / share.weight
-        share.mean_service_seconds = smoothed(share.mean_service_seconds, seconds)
+        priority_class = flow.priority_class
+        uncharged = seconds - entry.charged_seconds
+        flow.tag += uncharged
+        priority_class.tag += uncharged / priority_class.weight
+        priority_class.mean_service_seconds = smoothed(
+            priority_class.mean_service_seconds, seconds
+        )
         self.mean_service_seconds = smoothed(self.mean_service_seconds, seconds)
 
 
 def smoothed(mean: float, sample: float) -> float:
-    """Return the moving mean after `sample`."""
+    """Return the exponential moving average after `sample`."""
     if mean == 0.0:
         return sample
     return mean + SMOOTHING_FACTOR * (sample - mean)
--- a/src/reedhook/request/statement.py
+++ b/src/reedhook/request/statement.py
@@ -1,4 +1,4 @@
-"""A statement on its way to a target, and the answer on its way back."""
+"""Statements for targets and their results, as sent between hosts."""
 
 from enum import Enum
 from typing import Any, TypeAlias
@@ -11,7 +11,7 @@
 
 
 class Consistency(str, Enum):
-    """Name what a read demands."""
+    """Enumerate the consistency levels of reads."""
 
     FRESH = "fresh"
     SESSION = "session"
@@ -19,7 +19,7 @@
 
 
 class StatementKind(str, Enum):
-    """Name what a statement does at the target."""
+    """Enumerate the kinds of statements."""
 
     READ = "read"
     WRITE = "write"
@@ -32,15 +32,11 @@
 class Statement(Record):
     """Carry one statement from the entry host to the home of a target.
 
-    :param kind: what the statement does.
-    :param group: the database group.
-    :param caller: the name of the caller, for fair queues.
-    :param priority: the class of the work; lower runs first.
-    :param sql: the text of the statement.
-    :param params: its parameters.
-    :param consistency: what a read demands.
-    :param min_position: the position that a session read must not miss.
-    :param max_age: the age that a bounded read accepts, in seconds.
+    :param group: the name of the database group.
+    :param caller: the name of the caller, for fair queueing.
+    :param priority: the priority class; lower runs first.
+    :param min_position: the position that a read must reflect.
+    :param max_age: the maximum age that a bounded read accepts, in seconds.
     :param request_id: the id of a request that is not idempotent.
     :param transaction: the id of the interactive transaction it belongs to.
     :param remaining: the time left to the deadline, in seconds; a duration,
@@ -91,7 +87,7 @@
         self.remaining = remaining
 
     def to_json(self) -> Json:
-        """Return the statement as it stands on the wire between hosts."""
+        """Return the statement in the wire format between hosts."""
         return {
             "kind": self.kind.value,
             "group": self.group,
@@ -110,7 +106,7 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Any) -> "Statement":
-        """Read a statement sent by another host."""
+        """Decode a statement sent by another host."""
         covers = message["covers"]
         return cls(
             kind=StatementKind(message["kind"]),
@@ -129,17 +125,17 @@
 
 
 class StatementResult(Record):
-    """Carry what a target answered, with the proofs that go with it.
+    """Carry the result of a statement with its position and age.
 
     :param columns: names of the columns of a read.
     :param rows: rows of a read.
     :param rowcount: rows changed by a write.
-    :param target: the member that served.
-    :param role: ``primary`` or ``replica``, as the member said.
-    :param position: the position that the answer reflects.
+    :param target: the member that served the statement.
+    :param role: ``primary`` or ``replica``, as the member reported.
+    :param position: the position that the result reflects.
     :param age: proved upper bound of the age in seconds; None if unproved.
-    :param repeated: whether the answer is that of an earlier run of the
-        same request id.
+    :param repeated: whether the result is that of an earlier run of the same
+        request id.
     :param transaction: the id of the interactive transaction, if one is open.
     """
 
@@ -178,7 +174,7 @@
         self.transaction = transaction
 
     def to_json(self) -> Json:
-        """Return the answer as it stands on the wire between hosts."""
+        """Return the result in the wire format between hosts."""
         return {
             "columns": self.columns,
             "rows": self.rows,
@@ -193,7 +189,7 @@
 
     @classmethod
     def from_json(cls, message: Json) -> "StatementResult":
-        """Read an answer sent by another host."""
+        """Decode a result sent by another host."""
         return cls(
             columns=message["columns"],
             rows=message["rows"],
--- a/src/reedhook/request/statement_dispatcher.py
+++ b/src/reedhook/request/statement_dispatcher.py
@@ -1,4 +1,4 @@
-"""Bring a statement to the home of its target, over one hop at most."""
+"""Dispatches a statement to the home of its target, over at most one hop."""
 
 from collections.abc import Callable
 from typing import Final, TypeAlias
@@ -22,7 +22,7 @@
     {RefusalReason.WRONG_HOME, RefusalReason.HOST_UNREACHABLE}
 )
 NO_EFFECT_KINDS: Final = frozenset({StatementKind.READ, StatementKind.BEGIN})
-# What a begin is told whose request id has committed before.
+# Refusals of a begin whose request id was already committed.
 EARLIER_COMMIT_REASONS: Final = frozenset(
     {RefusalReason.NOT_DURABLE, RefusalReason.SUPERSEDED}
 )
@@ -34,7 +34,9 @@
     """Execute statements at the homes of their targets.
 
     :param local_executor: executes at targets whose home is this host.
-    :ivar on_host_lost: is told of a host that gave no answer.
+    :ivar view_read_at: monotonic time at which the members of a view were last read,
+        by group.
+    :ivar on_host_lost: called with a host that did not answer.
     """
 
     __slots__ = (
@@ -64,12 +66,12 @@
         self.on_host_lost: Callable[[HostRef], None] = lambda host: None
 
     async def execute(self, member: str, statement: Statement) -> HomeResponse:
-        """Execute at the home of `member`, or at the next in rank.
+        """Execute at the home of `member`, or at the next host in rank.
 
-        The next in rank is tried once, and only if the first ran nothing.
+        The next host is tried once, and only if the first has not run the statement.
         """
         home = self.home(member, statement.group)
-        began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         try:
             return await self.execute_at(home, member, statement)
         except RefusalError as refusal:
@@ -77,37 +79,40 @@
                 raise
             if refusal.reason not in NEXT_HOST_REASONS:
                 raise
-            other = self.next_host(home, member, statement.group)
-            statement.remaining -= self.clock.monotonic() - began
-            if other is None or statement.remaining <= 0:
+            next_host = self.next_host(home, member, statement.group)
+            statement.remaining -= self.clock.monotonic() - started_at
+            if next_host is None or statement.remaining <= 0:
                 raise
-        return await self.execute_at(other, member, statement)
+        return await self.execute_at(next_host, member, statement)
 
     async def execute_at(
         self, host: HostRef, member: str, statement: Statement
     ) -> HomeResponse:
-        """Execute at `host`, which this may be.
+        """Execute at `host`, which may be this host.
 
-        :raises Refusal: with a verdict that holds also if the hop breaks.
+        :raises RefusalError: with a correct verdict even if the connection fails.
         """
         if host.host == self.directory.me.host:
-            served = await self.local_executor.execute(member, statement)
-            served.host = host
-            return served
+            response = await self.local_executor.execute(member, statement)
+            response.host = host
+            return response
         return await self.forward(host, member, statement)
 
     async def forward(
         self, host: HostRef, member: str, statement: Statement
     ) -> HomeResponse:
-        """Send the statement to `host` and read its answer."""
+        """Send the statement to `host` and return its response.
+
+        :raises RefusalError: with a correct verdict even if the connection fails.
+        """
         body = {"member": member, "statement": statement.to_json()}
-        asked = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         try:
             message = await self.peers.call(
                 host, "statement", body, wait_limit_seconds(statement)
             )
-            news = self.should_read_view(statement.group)
-            return HomeResponse.from_json(message, asked, host, news)
+            include_members = self.should_read_view(statement.group)
+            return HomeResponse.from_json(message, requested_at, host, include_members)
         except RefusalError as refusal:
             if (
                 statement.kind in NO_EFFECT_KINDS
@@ -126,10 +131,9 @@
             ) from error
 
     def should_read_view(self, group: str) -> bool:
-        """Say whether to read the members of the next view of `group`.
+        """Return whether to decode the members in the next view of `group`.
 
-        Answers follow each other closely; reading the view of each was
-        measured at a third of the router's processor time.
+        Decoding them from every response takes too much CPU time.
         """
         now = self.clock.monotonic()
         if now - self.view_read_at.get(group, float("-inf")) < VIEW_INTERVAL_SECONDS:
@@ -140,7 +144,7 @@
     def home(self, member: str, group: str) -> HostRef:
         """Return the home of `member`.
 
-        :raises Refusal: if no host is live; nothing was run.
+        :raises RefusalError: not run, if no host is live.
         """
         hosts = self.ranked_hosts(member, group)
         if hosts:
@@ -152,14 +156,17 @@
         )
 
     def next_host(self, tried: HostRef, member: str, group: str) -> HostRef | None:
-        """Return the host to try after `tried`, by the directory as it is now."""
+        """Return the host to try after `tried`, by the current directory."""
         for host in self.ranked_hosts(member, group)[:2]:
             if host.host != tried.host:
                 return host
         return None
 
     def ranked_hosts(self, member: str, group: str) -> list[HostRef]:
-        """Return the live hosts for `member`, best first."""
+        """Return the live hosts for `member`, best first.
+
+        :raises RefusalError: not run, if the group or the member is unknown.
+        """
         catalog = self.catalog()
         found = catalog.groups.get(group) if catalog is not None else None
         if found is None:
@@ -176,24 +183,26 @@
 
 
 def wait_limit_seconds(statement: Statement) -> float:
-    """Return how long to wait for an answer over the hop, in seconds.
+    """Return how long to wait for a response of another host, in seconds.
 
-    A connection may have gone silent. What can be repeated safely is given
-    up while there is time left to repeat it on another connection.
+    A statement that is safe to retry gets only a part of the remaining time, so that
+    it can be retried on another connection if this one is half-open.
     """
-    left = statement.remaining + HOP_GRACE_SECONDS
+    remaining = statement.remaining + HOP_GRACE_SECONDS
     if statement.kind is StatementKind.READ or statement.request_id is not None:
-        return min(left, max(MIN_WAIT_LIMIT_SECONDS, WAIT_LIMIT_FRACTION * left))
-    return left
+        return min(
+            remaining, max(MIN_WAIT_LIMIT_SECONDS, WAIT_LIMIT_FRACTION * remaining)
+        )
+    return remaining
 
 
 def no_answer_refusal(
     host: HostRef, kind: StatementKind, detail: str, sent: bool
 ) -> RefusalError:
-    """Return the refusal for a hop that gave no answer.
+    """Return the refusal of a statement whose response was lost.
 
-    A read has no effect, and a transaction that was begun and never named to
-    the caller is rolled back, so that both can be called not run.
+    A read has no effect, and a transaction whose handle never reached the caller is
+    rolled back, so both count as not run.
     """
     text = f"the host {host.host} gave no answer: {detail}"
     if sent and kind not in NO_EFFECT_KINDS:
--- a/src/reedhook/request/statement_executor.py
+++ b/src/reedhook/request/statement_executor.py
@@ -1,4 +1,4 @@
-"""Interface by which a statement is executed at the home of a member."""
+"""Interface for executing a statement at the home of a member."""
 
 from abc import ABC, abstractmethod
 
@@ -10,11 +10,11 @@
 
 
 class HomeResponse(Record):
-    """Carry an answer with what the home says besides.
+    """Carry a statement's result with the state of the home.
 
     :param expected_wait: expected wait of the next statement at this home, in seconds.
-    :param view: what the home knows of the group.
-    :param host: the host that executed the statement; set by the sender.
+    :param view: the home's view of the group.
+    :param host: the host that executed the statement; set by the receiver.
     """
 
     __slots__ = ("result", "expected_wait", "view", "host")
@@ -32,7 +32,7 @@
         self.host = host
 
     def to_json(self, now: float) -> Json:
-        """Return the answer of the peer path ``statement``."""
+        """Return the JSON response of the peer path ``statement``."""
         return {
             "answer": self.result.to_json(),
             "wait": self.expected_wait,
@@ -47,9 +47,10 @@
         host: HostRef,
         include_members: bool = True,
     ) -> "HomeResponse":
-        """Read the answer of `host` to a statement sent at `asked`.
+        """Decode the response of `host`.
 
-        :param include_members: whether to read what the view says of the members.
+        :param requested_at: local monotonic time at which the statement was sent.
+        :param include_members: whether to decode the members in the view.
         """
         return cls(
             StatementResult.from_json(message["answer"]),
@@ -64,7 +65,7 @@
 
     @abstractmethod
     async def execute(self, member: str, statement: Statement) -> HomeResponse:
-        """Execute `statement` at `member` and prove what it demands.
+        """Execute `statement` at `member` with the consistency that it requires.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with a correct verdict.
         """
--- a/src/reedhook/request/statement_forwarder.py
+++ b/src/reedhook/request/statement_forwarder.py
@@ -1,4 +1,4 @@
-"""The hop of a statement from the host of its session to the home of a target."""
+"""Forwards statements from the host of a session to the home of a target."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,43 +23,38 @@
 )
 
 HOP_GRACE_SECONDS: Final = 0.05
-"""Seconds beyond the deadline for the answer of another host to arrive."""
+"""Time after the deadline in which another host's result may still arrive."""
 
 READ_WAIT_LIMIT_SECONDS: Final = 0.45
-"""Seconds after which a read that another host does not answer is sent
-elsewhere; the host itself gives a target 0.35 s."""
+"""Time after which a read without a result is retried elsewhere. It must exceed the
+read timeout that the other host applies to its target."""
 
 LIVENESS_PROBE_DELAY_SECONDS: Final = 0.1
-"""Seconds without an answer after which a host is asked whether it lives, if it has
-answered nothing else meanwhile. Machines that lost power refuse no connection, and
-what was sent to one waited 0.45 s to be sent elsewhere, a statement of a transaction
-its whole time; it is 0.2 s now, where callers expect the whole answer in 0.1 to 0.5 s.
-A call between hosts takes 3 ms, most statements 3 to 30 ms at their target."""
+"""Time without a result before an otherwise quiet host is probed. A machine that
+lost power refuses no connection, so calls to it would only time out."""
 
 LIVENESS_PROBE_TIMEOUT_SECONDS: Final = 0.1
-"""Seconds for the answer that it lives, which takes 3 ms; a host whose share of a
-processor is used up stands still for less."""
+"""Must exceed the pauses of a live host whose CPU quota is used up."""
 
 QUEUE_GRACE_SECONDS: Final = 0.1
-"""Seconds beyond the time in which its caller expects the answer for which a read
-waits at another host: it may wait there for its turn, and run as it is due."""
+"""Time beyond its soft deadline that a read may take at another host, since it may
+wait in the slot queue until the soft deadline and run then."""
 
 OUTCOME_QUERY_TIMEOUT_SECONDS: Final = 0.5
-"""Seconds for another host to say again what became of a write."""
+"""Timeout of a repeated call that retrieves the outcome of a write."""
 
 SILENT_HOST_RETRY_SECONDS: Final = 0.2
-"""Seconds between two statements that try a host which gave no answer."""
+"""Interval at which one statement tries an unresponsive host again."""
 
 FAILOVER_SECONDS: Final = 1.5
-"""Seconds in which another host takes over from one that is lost; later what
-depends on it is refused at once."""
+"""Time in which another host takes over from a lost host. Afterwards, statements
+that need the lost host are refused at once."""
 
 RETRY_AFTER_MS: Final = 100
-"""When to come back after a host gave no answer, in milliseconds."""
 
 
 class StatementLocation(Record):
-    """Say where a transaction runs.
+    """Identify the host and target that run a transaction.
 
     :param target: empty for the primary.
     """
@@ -72,7 +67,7 @@
 
 
 class LocatedResult(Record):
-    """Carry an answer with the place that gave it."""
+    """Carry a result with the location that produced it."""
 
     __slots__ = ("result", "location")
 
@@ -84,11 +79,13 @@
 
 
 class StatementForwarder:
-    """Have statements run at hosts, and know which of these gave no answer.
+    """Run statements at this host or at others, and track unresponsive hosts.
 
-    :param is_zone_isolated: says whether this host reaches no other availability zone.
-    :ivar lost_since: when hosts first gave no answer, by monotonic time.
-    :ivar on_host_lost: is told of a host that gave no answer.
+    :param is_zone_isolated: returns whether this host reaches no other availability
+        zone.
+    :ivar lost_since: monotonic time of the first lost answer, by unresponsive host.
+    :ivar last_attempt_at: monotonic time of the last retry, by unresponsive host.
+    :ivar on_host_lost: called with a host that did not answer.
     """
 
     def __init__(
@@ -114,41 +111,42 @@
     def acting_holder(
         self, record: PrimaryLeaseRecord, refused_by_backup: bool
     ) -> HostRef:
-        """Return the host that uses the primary: the holder, or its deputy.
+        """Return the host that uses the primary: the holder or its backup holder.
 
-        :param refused_by_backup: whether the deputy was asked for this
-            statement and does not act.
+        :param refused_by_backup: whether the backup holder has refused this statement.
         """
-        holder, deputy = record.holder.ref, record.backup_holder
-        if refused_by_backup or deputy is None or holder.host not in self.lost_since:
+        holder, backup = record.holder.ref, record.backup_holder
+        if refused_by_backup or backup is None or holder.host not in self.lost_since:
             return holder
-        return holder if deputy.ref.host in self.lost_since else deputy.ref
+        return holder if backup.ref.host in self.lost_since else backup.ref
 
     async def run_at(
         self, location: StatementLocation, statement: SessionStatement
     ) -> SessionStatementResult:
-        """Run a statement at a place.
+        """Run a statement at a location.
 
-        :raises Refusal: with a verdict that holds also if the hop breaks.
+        :raises RefusalError: with a correct verdict even if the connection fails.
         """
         if location.host.host == self.me.host:
             return await self.local_handler.execute(statement)
         self.check_host(location.host)
         self.rate_limits.check(location.host.host, statement)
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         sent_at = self.clock.monotonic()
         if statement.kind is SessionStatementKind.READ and not statement.transaction:
-            # The home gives it up before this host does: nobody would wait for it.
-            patience = max(
+            # The home must give up first, or it would run a read nobody waits for.
+            wait_limit = max(
                 READ_WAIT_LIMIT_SECONDS,
                 statement.soft_deadline_seconds + QUEUE_GRACE_SECONDS,
             )
-            statement.remaining = min(statement.remaining, patience - HOP_GRACE_SECONDS)
+            statement.remaining = min(
+                statement.remaining, wait_limit - HOP_GRACE_SECONDS
+            )
         timeout = statement.remaining + HOP_GRACE_SECONDS
         try:
             message = await self.call_host(location.host, statement, timeout)
             self.lost_since.pop(location.host.host, None)
-            return SessionStatementResult.from_json(message, asked)
+            return SessionStatementResult.from_json(message, requested_at)
         except RefusalError as refusal:
             self.rate_limits.record_refusal(location.host.host, statement, refusal)
             raise
@@ -164,12 +162,12 @@
     async def call_host(
         self, host: HostRef, statement: SessionStatement, timeout: float
     ) -> Json:
-        """Send a statement to a host; give it up once the host is found silent.
+        """Send a statement to a host; cancel the call if the host fails a probe.
 
-        What may be in doubt afterwards is waited for to its end.
+        A statement that may be in doubt without its result is not cancelled.
 
-        :raises PeerError: without an answer.
-        :raises Refusal: if the host refuses.
+        :raises PeerError: if the host does not answer.
+        :raises RefusalError: if the host refuses.
         """
         call = self.peers.call(host, WORK, statement.to_json(), timeout)
         if statement.may_be_in_doubt():
@@ -179,7 +177,7 @@
         try:
             await asyncio.wait({answer}, timeout=LIVENESS_PROBE_DELAY_SECONDS)
             if not answer.done() and not await self.is_alive(host, sent_at, answer):
-                raise PeerError(f"{host.host} is silent", sent=True)
+                raise PeerError(f"{host.host} is unresponsive", sent=True)
             return await answer
         finally:
             answer.cancel()
@@ -187,16 +185,17 @@
     async def is_alive(
         self, host: HostRef, since: float, pending_answer: "asyncio.Future[Json]"
     ) -> bool:
-        """Say whether a host answers, or has answered anything since then.
+        """Return whether a host answers a probe or has answered any call since.
 
-        :param pending_answer: an answer of it that would tell, too.
+        :param since: monotonic time from which answers count.
+        :param pending_answer: a call in progress whose completion proves it, too.
         """
         if self.peers.host_answered_since(host.host, since):
             return True
         try:
             await self.peers.call(host, ALIVE, {}, LIVENESS_PROBE_TIMEOUT_SECONDS)
         except (PeerError, RefusalError) as error:
-            # What was sent first may be answered all the same.
+            # The first call may have completed during the probe.
             if not pending_answer.done():
                 self.decisions.record(
                     "host_not_alive", host=host.host, error=str(error)
@@ -205,19 +204,18 @@
         return True
 
     def check_host(self, host: HostRef) -> None:
-        """Refuse at once what would wait for a host that is known to be silent.
+        """Refuse at once a statement for a host that is known to be unresponsive.
 
-        Now and then one statement tries it all the same, unless no host of its zone
-        can be reached: whether one can is found out without statements then. Sent
-        all the same, those of a zone cut off were refused after 0.44 s in the median,
-        and writes left in doubt, until the cut was over.
+        One statement in each `SILENT_HOST_RETRY_SECONDS` tries the host again. None
+        does while this host reaches no other zone: such statements would time out
+        or leave writes in doubt, and reachability is probed without them.
 
-        :raises Refusal: not run.
+        :raises RefusalError: not run.
         """
         if self.in_unreachable_zone(host):
             raise not_run(
                 RefusalReason.HOST_UNREACHABLE,
-                "no other zone can be reached",
+                "no other availability zone can be reached",
                 RETRY_AFTER_MS,
             )
         since = self.lost_since.get(host.host)
@@ -227,19 +225,20 @@
         if now - self.last_attempt_at.get(host.host, since) < SILENT_HOST_RETRY_SECONDS:
             raise not_run(
                 RefusalReason.HOST_UNREACHABLE,
-                f"the host {host.host} is silent",
+                f"the host {host.host} is unresponsive",
                 RETRY_AFTER_MS,
             )
         self.last_attempt_at[host.host] = now
 
     def in_unreachable_zone(self, host: HostRef) -> bool:
-        """Say whether a host is in another zone, none of which can be reached."""
+        """Return whether a host is in another zone while no other zone is reachable."""
         return host.zone != self.me.zone and self.is_zone_isolated()
 
     def expects_failover(self, host: HostRef) -> bool:
-        """Say whether a silent host is likely to be replaced soon.
+        """Return whether an unresponsive host is likely to be replaced soon.
 
-        One beyond a cut is replaced there, where this host learns nothing of it.
+        The replacement of a host on the other side of a network partition is not
+        visible here.
         """
         if self.in_unreachable_zone(host):
             return False
@@ -254,19 +253,20 @@
         sent: bool,
         sent_at: float,
     ) -> SessionStatementResult:
-        """Find out what became of a statement whose hop broke.
+        """Determine the outcome of a statement whose result was lost.
 
-        A read has no effect, and a transaction is rolled back unless its
-        commit was sent. What is in doubt is asked for once more.
+        A read has no effect, and a transaction is rolled back unless its commit was
+        sent. The outcome of a statement in doubt is queried once more.
 
-        A host that has answered others since lives: what was sent waits there for
-        a target. Taken for lost, all that it leads would be refused.
+        A host that has answered other calls since `sent_at` is alive, and the
+        statement waits there for its target. If it counted as lost, all statements
+        for its primary leases would be refused.
 
         :param sent_at: when the statement was sent, by `Clock.monotonic`.
-        :raises Refusal: unless the host still tells the outcome.
+        :raises RefusalError: unless the host returns the outcome.
         """
-        lives = self.peers.host_answered_since(location.host.host, sent_at)
-        if not lives:
+        host_alive = self.peers.host_answered_since(location.host.host, sent_at)
+        if not host_alive:
             self.on_host_lost(location.host)
             self.lost_since.setdefault(location.host.host, self.clock.monotonic())
         self.decisions.record(
@@ -274,7 +274,7 @@
             id=statement.id,
             host=location.host.host,
             sent=sent,
-            lives=lives,
+            lives=host_alive,
             error=detail,
         )
         text = f"the host {location.host.host} gave no answer"
@@ -287,19 +287,19 @@
         if not statement.may_be_in_doubt():
             raise not_run(RefusalReason.TRANSACTION_LOST, text, RETRY_AFTER_MS)
         statement.resent = True
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             message = await self.peers.call(
                 location.host, WORK, statement.to_json(), OUTCOME_QUERY_TIMEOUT_SECONDS
             )
-            return SessionStatementResult.from_json(message, asked)
+            return SessionStatementResult.from_json(message, requested_at)
         except (PeerError, WireError) as error:
             raise may_have_run(RefusalReason.HOST_UNREACHABLE, text) from error
 
     async def roll_back(
         self, service: str, location: StatementLocation, name: str
     ) -> None:
-        """Roll a transaction back; without an answer its home does so itself."""
+        """Roll back a transaction; if the call fails, its home does so on timeout."""
         if location.host.host == self.me.host:
             self.local_handler.roll_back(service, location.target, name)
             return
@@ -320,7 +320,7 @@
         cause: str,
         min_position: Position | None = None,
     ) -> None:
-        """Log that a statement goes elsewhere."""
+        """Record that a statement is rerouted away from `target`."""
         position = None if min_position is None else min_position.to_json()
         self.decisions.record(
             "rerouted", id=statement.id, target=target, cause=cause, floor=position
