--- a/src/reedhook/request/token_bucket.py
+++ b/src/reedhook/request/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets: the rate of each workspace, and budgets of retries and hedges."""
+"""Token buckets for workspace rate limits and for budgets of retries and hedges."""
 
 import math
 from typing import Final
@@ -10,11 +10,11 @@
 
 
 class TokenBucket:
-    """Admit `rate` units a second and bursts of up to `burst` units.
+    """Admit `rate` tokens per second and bursts of up to `burst` tokens.
 
     Times are monotonic, in seconds.
 
-    :param level: units that are there at first; `burst` if it is not given.
+    :param level: initial tokens; `burst` if None.
     """
 
     __slots__ = ("rate", "burst", "level", "filled_at")
@@ -28,43 +28,46 @@
         self.filled_at = now
 
     def try_acquire(self, now: float) -> bool:
-        """Take one unit; return whether there was one."""
+        """Take one token; return whether one was available."""
         return self.acquire_up_to(1, now) == 1
 
     def acquire_up_to(self, count: int, now: float) -> int:
-        """Take as many whole units as there are, `count` at most; return how many."""
+        """Take up to `count` whole tokens; return how many were taken."""
         self.refill(now)
         taken = min(count, max(0, math.floor(self.level)))
         self.level -= taken
         return taken
 
     def refill(self, now: float) -> None:
-        """Add what has come since the last time."""
+        """Add the tokens accrued since the last refill."""
         filled = self.level + (now - self.filled_at) * self.rate
         self.level = min(self.burst, filled)
         self.filled_at = now
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Go on at another rate and burst."""
+        """Change the rate and the burst; keep the current tokens."""
         self.refill(now)
         self.rate = rate
         self.burst = burst
         self.level = min(burst, self.level)
 
     def deduct(self, count: int) -> None:
-        """Take note of units taken elsewhere, or given back if less than 0."""
+        """Deduct tokens taken elsewhere; a negative `count` returns tokens.
+
+        A deduction does not lower the level below 0.
+        """
         self.level = min(self.burst, max(self.level - count, min(self.level, 0.0)))
 
     def seconds_until_available(self) -> float:
-        """Return in how many seconds the next unit is there."""
+        """Return the time until the next token is available, in seconds."""
         return max(0.0, 1.0 - self.level) / self.rate
 
 
 class RetryBudget:
-    """Bound extra work to a share of the ordinary work, plus a small burst.
+    """Limit extra requests to a fraction of ordinary requests plus a burst.
 
-    :param gain_per_request: units gained by each ordinary request.
-    :param burst: the most units that are kept.
+    :param gain_per_request: tokens gained by each ordinary request.
+    :param burst: the maximum number of tokens.
     """
 
     __slots__ = ("gain_per_request", "burst", "level")
@@ -75,11 +78,11 @@
         self.level = burst
 
     def record_request(self) -> None:
-        """Note one ordinary request."""
+        """Add the tokens of one ordinary request."""
         self.level = min(self.burst, self.level + self.gain_per_request)
 
     def try_spend(self) -> bool:
-        """Take the unit of one extra request; return whether there was one."""
+        """Take the token of one extra request; return whether one was available."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -87,7 +90,7 @@
 
 
 class LocalRateLimiter:
-    """Hold each workspace to its rate on this host."""
+    """Enforce the rate limit of each workspace on this host."""
 
     __slots__ = ("buckets",)
 
@@ -97,7 +100,7 @@
     def admit(self, workspace: Workspace, now: float) -> None:
         """Admit one request of `workspace`.
 
-        :raises Refusal: ``rate_limited``, with the time to come back.
+        :raises RefusalError: ``rate_limited``, with the time until a retry.
         """
         if workspace.rate is None:
             return
@@ -111,7 +114,7 @@
         retry_after_ms = int(bucket.seconds_until_available() * 1000) + 1
         raise not_run(
             RefusalReason.RATE_LIMITED,
-            f"the workspace {workspace.name} exceeds its rate of "
-            f"{workspace.rate:g} a second",
+            f"the workspace {workspace.name} exceeds its rate limit of "
+            f"{workspace.rate:g} requests per second",
             retry_after_ms,
         )
--- a/src/reedhook/request/transaction_handle.py
+++ b/src/reedhook/request/transaction_handle.py
@@ -1,4 +1,4 @@
-"""Handles of interactive transactions, which any host can read."""
+"""Signed handles of interactive transactions, which any host can decode."""
 
 import hmac
 from base64 import urlsafe_b64decode, urlsafe_b64encode
@@ -15,9 +15,9 @@
 
 
 class TransactionHandle(Record):
-    """Name a transaction and the host that holds its connection.
+    """Identify a transaction and the host that holds its connection.
 
-    :param workspace: the one that began it, and that alone can use the handle.
+    :param workspace: the workspace that began it; no other may use the handle.
     :param member: the target on which it runs.
     :param transaction: its id at the home.
     """
@@ -35,7 +35,7 @@
 
 
 class TransactionHandleCodec:
-    """Write and read handles with the secret that all hosts share.
+    """Encode and decode handles with the secrets that all hosts share.
 
     :param secrets: the first one signs; all verify.
     """
@@ -54,14 +54,15 @@
         return urlsafe_b64encode(body).rstrip(b"=").decode()
 
     def decode(self, text: str, workspace: str) -> TransactionHandle:
-        """Read a handle that `workspace` presents.
+        """Decode a handle that `workspace` presents.
 
-        :raises Refusal: ``unknown_transaction`` if it is not one of its own.
+        :raises RefusalError: ``unknown_transaction`` if the handle is malformed or
+            belongs to another workspace.
         """
         body = decode_base64url(text)
-        given, payload = body[:MAC_BYTES], body[MAC_BYTES:]
-        codes = [handle_mac(secret, workspace, payload) for secret in self.secrets]
-        if not any(hmac.compare_digest(one, given) for one in codes):
+        mac, payload = body[:MAC_BYTES], body[MAC_BYTES:]
+        valid_macs = [handle_mac(secret, workspace, payload) for secret in self.secrets]
+        if not any(hmac.compare_digest(one, mac) for one in valid_macs):
             raise unknown_transaction()
         group, member, host, transaction = orjson.loads(payload)
         return TransactionHandle(
@@ -70,7 +71,7 @@
 
 
 def handle_mac(secret: bytes, workspace: str, payload: bytes) -> bytes:
-    """Return the authentication code of a handle of `workspace`."""
+    """Return the truncated MAC of a handle of `workspace`."""
     owner = workspace.encode()
     size = len(owner).to_bytes(2, "big")
     signed = b"transaction" + size + owner + payload
@@ -78,16 +79,19 @@
 
 
 def decode_base64url(text: str) -> bytes:
-    """Return the bytes of a handle's text."""
+    """Return the bytes of a handle's text.
+
+    :raises RefusalError: ``unknown_transaction`` if the text is malformed.
+    """
     if len(text) > MAX_TEXT_CHARACTERS:
         raise unknown_transaction()
     try:
-        packed = text.encode("ascii")
-        return urlsafe_b64decode(packed + b"=" * (-len(packed) % 4))
+        encoded = text.encode("ascii")
+        return urlsafe_b64decode(encoded + b"=" * (-len(encoded) % 4))
     except ValueError as error:
         raise unknown_transaction() from error
 
 
 def unknown_transaction() -> RefusalError:
-    """Return the refusal of a handle that names no transaction of the workspace."""
+    """Return the refusal of a handle without a transaction of the workspace."""
     return not_run(RefusalReason.UNKNOWN_TRANSACTION, "the transaction is not known")
--- a/src/reedhook/request/verdict.py
+++ b/src/reedhook/request/verdict.py
@@ -1,10 +1,10 @@
-"""Whether a request may have run."""
+"""The verdict on whether a request has run."""
 
 from enum import Enum
 
 
 class Verdict(str, Enum):
-    """Say what is known about the effect of a request."""
+    """Enumerate what is known about the effect of a request."""
 
     DONE = "done"
     NOT_RUN = "not run"
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -185,8 +185,8 @@
         "bad_request",
         "future",
     ),
-    ("/v1/nowhere", {}, 400, "bad_request", "no POST on this path"),
-    ("/v1/health", {}, 400, "bad_request", "no POST on this path"),
+    ("/v1/nowhere", {}, 400, "bad_request", "POST is not supported on this path"),
+    ("/v1/health", {}, 400, "bad_request", "POST is not supported on this path"),
     ("/v1/transactions/AAAA/commit", {}, 404, "unknown_transaction", "not known"),
 ]
 
