--- a/src/reedhook/request/replica_reader.py
+++ b/src/reedhook/request/replica_reader.py
@@ -234,7 +234,7 @@
         return ReplicaReadResult(LocatedResult(result, location))
 
     def forget_target(self, entry: TargetAnnouncement) -> None:
-        """Drop the observations of a target whose data was replaced."""
+        """Drop the observations of a target that has restarted."""
         self.observations(entry.service).targets.pop(entry.target, None)
 
     def observations(self, service: str) -> ServiceObservations:
--- a/src/reedhook/request/session_router.py
+++ b/src/reedhook/request/session_router.py
@@ -78,7 +78,7 @@
 
         :param session_position: the position of the session's last commit.
         :param replica_allowed: whether a replica may serve the statement.
-        :raises RefusalError: with a verdict that holds.
+        :raises RefusalError: with a verdict that covers all attempts.
         """
         deadline = self.clock.monotonic() + statement.remaining
         if not replica_allowed or route.kind is RouteConsistency.PRIMARY:
@@ -103,7 +103,7 @@
 
         This uses the free slots of all targets before a read waits in a queue.
 
-        :raises RefusalError: with a verdict that holds.
+        :raises RefusalError: with a verdict that covers all attempts.
         """
         assert replica_result.overloaded_replica is not None
         min_position = statement.min_position
@@ -139,7 +139,7 @@
     ) -> LocatedResult:
         """Run a statement at the primary, retrying while the primary may move.
 
-        :raises RefusalError: with a verdict that holds.
+        :raises RefusalError: with a verdict that covers all attempts.
         """
         statement.target = ""
         statement.min_position = None
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP: answers, refusals, effects."""
+"""HTTP interface for callers: wrong responses, refusals or effects of requests."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -42,9 +42,9 @@
 
 
 class Bench:
-    """Hold an API whose three homes share one model of a group.
+    """Set up an API whose three homes share one model of a group.
 
-    :ivar caller: sends requests to the API while it is served.
+    :ivar caller: a client of the API while it is served.
     """
 
     caller: Caller
@@ -87,7 +87,7 @@
         )
 
     def server(self) -> RawTestServer:
-        """Return a server of the API, which is still to be started."""
+        """Return a server of the API that is not started."""
         handle = CallerEndpoint(self.api).handle
         return RawTestServer(handle, host="127.0.0.1", port=0)
 
@@ -109,7 +109,7 @@
 async def post(
     caller: Caller, path: str, body: Any, credential: str | None = CREDENTIAL
 ) -> tuple[int, dict[str, Any]]:
-    """Send a request and return the status with the decoded answer."""
+    """Send a request; return the status and the decoded response."""
     headers = {"Authorization": f"Bearer {credential}"} if credential else {}
     async with caller.post(path, json=body, headers=headers) as response:
         return response.status, await decoded(response)
@@ -122,24 +122,24 @@
 
 
 @using(serving)
-async def test_a_session_reads_what_it_wrote(bench: Bench) -> None:
+async def test_session_read_covers_its_own_write(bench: Bench) -> None:
     write = {
         "group": "g1",
         "sql": "insert into t values (?)",
         "params": [1],
         "request_id": bench.request_id(),
     }
-    status, wrote = await post(bench.caller, "/v1/write", write)
-    assert (status, wrote["verdict"]) == (200, "done")
-    assert wrote["role"] == "primary" and wrote["host"] == "h1"
-    read = {**READ, "token": wrote["token"]}
-    status, answer = await post(bench.caller, "/v1/read", read)
+    status, write_response = await post(bench.caller, "/v1/write", write)
+    assert (status, write_response["verdict"]) == (200, "done")
+    assert write_response["role"] == "primary" and write_response["host"] == "h1"
+    read = {**READ, "token": write_response["token"]}
+    status, read_response = await post(bench.caller, "/v1/read", read)
     assert status == 200
-    assert answer["position"] >= wrote["position"]
+    assert read_response["position"] >= write_response["position"]
 
 
 @using(serving)
-async def test_a_repeated_request_id_is_answered_as_the_first(bench: Bench) -> None:
+async def test_repeated_request_id_returns_first_result(bench: Bench) -> None:
     write = {"group": "g1", "sql": "pay", "request_id": bench.request_id()}
     _, first = await post(bench.caller, "/v1/write", write)
     _, second = await post(bench.caller, "/v1/write", write)
@@ -149,14 +149,14 @@
 
 
 @using(serving)
-async def test_request_ids_of_two_workspaces_never_meet(bench: Bench) -> None:
+async def test_request_ids_are_scoped_to_workspace(bench: Bench) -> None:
     write = {"group": "g1", "sql": "pay", "request_id": bench.request_id()}
     await post(bench.caller, "/v1/write", write)
     await post(bench.caller, "/v1/write", write, OTHER_CREDENTIAL)
     assert len(bench.model.log) == 2
 
 
-REFUSED: Final[list[tuple[str, Any, int, str, str]]] = [
+INVALID_REQUESTS: Final[list[tuple[str, Any, int, str, str]]] = [
     ("/v1/read", {**READ, "group": "d1"}, 403, "forbidden", "dispatch-core"),
     ("/v1/read", {**READ, "group": "g9"}, 404, "unknown_group", "g9"),
     ("/v1/read", {"sql": "x"}, 400, "bad_request", "service with key"),
@@ -191,13 +191,15 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "body", "status", "reason", "words"), REFUSED)
+@pytest.mark.parametrize(
+    ("path", "body", "status", "reason", "words"), INVALID_REQUESTS
+)
 @using(serving)
-async def test_wrong_input_gets_a_clear_refusal_and_no_effect(
+async def test_invalid_request_is_refused_without_effect(
     bench: Bench, path: str, body: Any, status: int, reason: str, words: str
 ) -> None:
-    got, refusal = await post(bench.caller, path, body)
-    assert (got, refusal["reason"]) == (status, reason)
+    response_status, refusal = await post(bench.caller, path, body)
+    assert (response_status, refusal["reason"]) == (status, reason)
     assert refusal["verdict"] == "not run"
     assert words in refusal["detail"]
     assert not bench.model.executed
@@ -205,7 +207,7 @@
 
 @pytest.mark.parametrize("credential", [None, "unknown", "x" * 2000])
 @using(serving)
-async def test_a_caller_without_a_known_credential_is_refused(
+async def test_missing_or_unknown_credential_is_refused(
     bench: Bench, credential: str | None
 ) -> None:
     status, refusal = await post(bench.caller, "/v1/read", READ, credential)
@@ -214,7 +216,7 @@
 
 
 @using(serving)
-async def test_a_body_beyond_the_bound_is_refused(bench: Bench) -> None:
+async def test_oversized_body_is_refused(bench: Bench) -> None:
     async def chunks() -> Any:
         for _ in range(40):
             yield b"x" * 65536
@@ -229,7 +231,7 @@
 
 
 @using(serving)
-async def test_a_workspace_beyond_its_rate_is_told_when_to_come_back(
+async def test_rate_limited_request_gets_retry_after(
     bench: Bench,
 ) -> None:
     for _ in range(2):
@@ -244,21 +246,21 @@
 
 
 @using(serving)
-async def test_a_transaction_belongs_to_the_workspace_that_began_it(
+async def test_transaction_handle_is_limited_to_its_workspace(
     bench: Bench,
 ) -> None:
     begin = {"group": "g1", "request_id": bench.request_id()}
-    status, begun = await post(bench.caller, "/v1/transactions", begin)
+    status, begin_response = await post(bench.caller, "/v1/transactions", begin)
     assert status == 200
-    path = f"/v1/transactions/{begun['transaction']}"
+    path = f"/v1/transactions/{begin_response['transaction']}"
     step = {"sql": "insert into t values (1)"}
     status, answer = await post(bench.caller, f"{path}/statements", step)
-    assert (status, answer["transaction"]) == (200, begun["transaction"])
+    assert (status, answer["transaction"]) == (200, begin_response["transaction"])
     executed = bench.model.executed.total()
     status, refusal = await post(bench.caller, f"{path}/commit", {}, OTHER_CREDENTIAL)
     assert (status, refusal["reason"]) == (404, "unknown_transaction")
-    altered = f"/v1/transactions/{begun['transaction'][:-2]}AA/commit"
-    status, refusal = await post(bench.caller, altered, {})
+    altered_path = f"/v1/transactions/{begin_response['transaction'][:-2]}AA/commit"
+    status, refusal = await post(bench.caller, altered_path, {})
     assert (status, refusal["reason"]) == (404, "unknown_transaction")
     assert bench.model.executed.total() == executed
     status, _ = await post(bench.caller, f"{path}/commit", [])
@@ -268,14 +270,14 @@
 
 
 @using(serving)
-async def test_a_commit_that_is_no_longer_known_may_have_run(bench: Bench) -> None:
+async def test_commit_of_unknown_transaction_may_have_run(bench: Bench) -> None:
     begin = {"group": "g1", "request_id": bench.request_id()}
-    _, begun = await post(bench.caller, "/v1/transactions", begin)
+    _, begin_response = await post(bench.caller, "/v1/transactions", begin)
     bench.model.refuse(
         StatementKind.COMMIT,
         not_run(RefusalReason.UNKNOWN_TRANSACTION, "not known here"),
     )
-    path = f"/v1/transactions/{begun['transaction']}/commit"
+    path = f"/v1/transactions/{begin_response['transaction']}/commit"
     status, refusal = await post(bench.caller, path, {})
     assert (status, refusal["verdict"]) == (404, "may have run")
 
@@ -284,7 +286,7 @@
     ("path", "verdict"), [("/v1/read", "not run"), ("/v1/write", "may have run")]
 )
 @using(serving)
-async def test_an_error_of_the_host_itself_is_a_typed_refusal(
+async def test_internal_error_becomes_typed_refusal(
     bench: Bench, path: str, verdict: str
 ) -> None:
     for member in bench.group.members:
@@ -322,7 +324,7 @@
 
 
 @using(serving)
-async def test_a_host_that_leaves_serves_on_until_the_balancer_knows(
+async def test_leaving_host_fails_health_check_but_serves_requests(
     bench: Bench,
 ) -> None:
     bench.api.leaving = True
@@ -336,15 +338,15 @@
 
 
 @using(serving)
-async def test_a_host_that_leaves_takes_no_new_work_and_ends_transactions(
+async def test_draining_host_serves_only_open_transactions(
     bench: Bench,
 ) -> None:
     begin = {"group": "g1", "request_id": bench.request_id()}
-    _, begun = await post(bench.caller, "/v1/transactions", begin)
+    _, begin_response = await post(bench.caller, "/v1/transactions", begin)
     bench.api.draining = True
     status, refusal = await post(bench.caller, "/v1/read", READ)
     assert (status, refusal["reason"]) == (503, "draining")
-    path = f"/v1/transactions/{begun['transaction']}/commit"
+    path = f"/v1/transactions/{begin_response['transaction']}/commit"
     status, _ = await post(bench.caller, path, {})
     assert status == 200
     async with bench.caller.get("/v1/health") as response:
@@ -353,24 +355,24 @@
 
 
 @using(serving)
-async def test_a_host_without_a_configuration_says_so(bench: Bench) -> None:
+async def test_host_without_configuration_refuses_requests(bench: Bench) -> None:
     bench.catalog = None
     status, refusal = await post(bench.caller, "/v1/read", READ)
     assert (status, refusal["reason"]) == (503, "no_configuration")
 
 
 @using(serving)
-async def test_a_key_always_finds_the_same_group(bench: Bench) -> None:
+async def test_key_selects_group_of_its_service(bench: Bench) -> None:
     body = {"service": "feedlog-db", "key": "farm 7", "sql": "select 1"}
-    status, answer = await post(bench.caller, "/v1/read", body)
-    assert status == 200 and answer["target"].startswith("g1-")
+    status, response = await post(bench.caller, "/v1/read", body)
+    assert status == 200 and response["target"].startswith("g1-")
     body["service"] = "dispatch-core"
     status, refusal = await post(bench.caller, "/v1/read", body)
     assert (status, refusal["reason"]) == (403, "forbidden")
 
 
 @using(serving)
-async def test_a_refusal_in_doubt_stays_in_doubt(bench: Bench) -> None:
+async def test_later_refusal_keeps_may_have_run_verdict(bench: Bench) -> None:
     lost = may_have_run(RefusalReason.TARGET_LOST, "no answer")
     refused = not_run(RefusalReason.OVERLOADED, "no slot", 100)
     bench.model.refuse(StatementKind.WRITE, lost)
@@ -384,7 +386,7 @@
 
 
 @using(serving)
-async def test_a_client_that_waits_to_send_its_body_is_told_to(bench: Bench) -> None:
+async def test_expect_continue_is_answered(bench: Bench) -> None:
     headers = {"Authorization": f"Bearer {CREDENTIAL}"}
     async with bench.caller.post(
         "/v1/read", json=READ, headers=headers, expect100=True
@@ -408,7 +410,7 @@
         ("POST", "/"),
     ],
 )
-def test_other_methods_and_paths_are_refused(method: str, path: str) -> None:
+def test_unsupported_method_or_path_is_refused(method: str, path: str) -> None:
     async def main() -> tuple[int, str]:
         async with serving() as bench:
             async with bench.caller.request(method, path) as response:
--- a/tests/test_api_fuzz.py
+++ b/tests/test_api_fuzz.py
@@ -1,4 +1,4 @@
-"""Each HTTP entry under arbitrary input: never a 500, no effect on refusal."""
+"""Fuzzing of each HTTP path: status 500, or effects of a refused request."""
 
 import asyncio
 from typing import Any, Final
@@ -72,7 +72,7 @@
 
 
 class Call:
-    """Carry one arbitrary request."""
+    """Describe one arbitrary request."""
 
     def __init__(
         self,
@@ -102,15 +102,15 @@
 
 
 async def send(bench: Bench, caller: Any, call: Call) -> None:
-    """Send a request and hold the answer against the effects in the model."""
-    before = len(bench.model.log)
+    """Send a request and check its response against the effects in the model."""
+    log_length = len(bench.model.log)
     async with caller.post(
         call.path, data=call.body, headers=call.headers, skip_auto_headers=["Accept"]
     ) as response:
         raw = await response.read()
         status = response.status
     answer = orjson.loads(raw)
-    effects = len(bench.model.log) - before
+    effects = len(bench.model.log) - log_length
     assert status != 500
     if status == 200:
         assert answer["verdict"] == Verdict.DONE.value
@@ -126,7 +126,7 @@
 
 @settings(max_examples=MAX_EXAMPLES)
 @given(st.lists(calls, min_size=1, max_size=8))
-def test_no_input_breaks_an_entry_or_has_an_effect_on_refusal(
+def test_arbitrary_requests_get_valid_response_and_no_effect_if_refused(
     sequence: list[Call],
 ) -> None:
     async def main() -> None:
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -1,4 +1,4 @@
-"""A hop that breaks tells of its host only if that host answers nobody."""
+"""Calls to other hosts: live hosts reported lost, or long waits for lost hosts."""
 
 import asyncio
 
@@ -24,12 +24,12 @@
 
 from .fakes_clock import LoopClock, in_virtual_time
 
-ME = HostRef("h1", "z1", "10.0.0.1:1")
-OTHER = HostRef("h2", "z2", "10.0.0.2:1")
+LOCAL_HOST = HostRef("h1", "z1", "10.0.0.1:1")
+REMOTE_HOST = HostRef("h2", "z2", "10.0.0.2:1")
 
 
-class SlowWork(PeerClient):
-    """Answer at once, but for work, which stays without an answer."""
+class SlowStatementPeers(PeerClient):
+    """Answer all calls but statements, which time out."""
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         await asyncio.sleep(0.003)
@@ -42,25 +42,27 @@
         pass
 
 
-class NoDesk(StatementServer):
-    """Stand in for a desk at which nothing runs."""
+class UnusedStatementServer(StatementServer):
+    """Stand in for a local statement server that the tests do not use."""
 
     def __init__(self) -> None:
         pass
 
 
-def hops_to(
-    peers: AnswerTrackingPeers, lost: list[str], cut_off: bool = False
+def make_forwarder(
+    peers: AnswerTrackingPeers, lost_hosts: list[str], cut_off: bool = False
 ) -> StatementForwarder:
-    """Return hops that note which hosts they held for lost."""
+    """Return a forwarder that adds the hosts it reports lost to `lost_hosts`."""
     clock = LoopClock()
     decisions = DecisionLog("h1", clock, output_fd=None)
-    hops = StatementForwarder(ME, NoDesk(), peers, lambda: cut_off, clock, decisions)
-    hops.on_host_lost = lambda host: lost.append(host.host)
-    return hops
+    forwarder = StatementForwarder(
+        LOCAL_HOST, UnusedStatementServer(), peers, lambda: cut_off, clock, decisions
+    )
+    forwarder.on_host_lost = lambda host: lost_hosts.append(host.host)
+    return forwarder
 
 
-def a_read() -> SessionStatement:
+def make_read() -> SessionStatement:
     """Return a read outside transactions."""
     return SessionStatement(
         "db",
@@ -77,29 +79,32 @@
     )
 
 
-async def refused(hops: StatementForwarder) -> RefusalError:
-    """Return how a read was refused."""
+async def run_refused_read(forwarder: StatementForwarder) -> RefusalError:
+    """Return the refusal of a read; fail if it succeeds."""
     with pytest.raises(RefusalError) as caught:
-        await hops.run_at(StatementLocation(OTHER, "t1"), a_read())
+        await forwarder.run_at(StatementLocation(REMOTE_HOST, "t1"), make_read())
     return caught.value
 
 
 @in_virtual_time
-async def test_a_host_that_answers_others_is_not_lost() -> None:
-    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
-    hops = hops_to(peers, lost)
-    waiting = asyncio.ensure_future(refused(hops))
+async def test_host_that_answers_other_calls_is_not_lost() -> None:
+    peers, lost_hosts = (
+        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
+        list[str](),
+    )
+    forwarder = make_forwarder(peers, lost_hosts)
+    waiting = asyncio.ensure_future(run_refused_read(forwarder))
     await asyncio.sleep(0.2)
-    await peers.call(OTHER, "alive", {}, 1.0)
+    await peers.call(REMOTE_HOST, "alive", {}, 1.0)
     refusal = await waiting
     assert refusal.verdict is Verdict.NOT_RUN
     assert refusal.reason is RefusalReason.HOST_UNREACHABLE
-    assert not lost and not hops.lost_since
-    hops.check_host(OTHER)
+    assert not lost_hosts and not forwarder.lost_since
+    forwarder.check_host(REMOTE_HOST)
 
 
-class Silent(SlowWork):
-    """Answer nothing from a moment on."""
+class UnresponsivePeers(SlowStatementPeers):
+    """Answer no call while `silent` is set."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -112,94 +117,105 @@
 
 
 @in_virtual_time
-async def test_a_host_that_answers_nobody_is_lost_and_soon() -> None:
-    calls = Silent()
-    peers, lost = AnswerTrackingPeers(calls, LoopClock()), list[str]()
-    hops = hops_to(peers, lost)
-    await peers.call(OTHER, "alive", {}, 1.0)
-    calls.silent = True
+async def test_unresponsive_host_is_reported_lost_quickly() -> None:
+    peer_client = UnresponsivePeers()
+    peers, lost_hosts = AnswerTrackingPeers(peer_client, LoopClock()), list[str]()
+    forwarder = make_forwarder(peers, lost_hosts)
+    await peers.call(REMOTE_HOST, "alive", {}, 1.0)
+    peer_client.silent = True
     await asyncio.sleep(0.2)
-    begun = asyncio.get_running_loop().time()
-    await refused(hops)
-    assert lost == ["h2"]
-    assert "h2" in hops.lost_since
-    # A caller expects the whole answer within 0.3 s, and it is sent elsewhere now.
-    assert asyncio.get_running_loop().time() - begun < 0.25
+    started_at = asyncio.get_running_loop().time()
+    await run_refused_read(forwarder)
+    assert lost_hosts == ["h2"]
+    assert "h2" in forwarder.lost_since
+    # The read must still reach another host before the soft deadline of 0.3 s.
+    assert asyncio.get_running_loop().time() - started_at < 0.25
 
 
 @pytest.mark.parametrize(
     "kind", [SessionStatementKind.READ, SessionStatementKind.WRITE]
 )
 @in_virtual_time
-async def test_a_transaction_at_a_silent_host_is_refused_soon(
+async def test_transaction_at_unresponsive_host_is_refused_quickly(
     kind: SessionStatementKind,
 ) -> None:
-    calls = Silent()
-    calls.silent = True
-    hops = hops_to(AnswerTrackingPeers(calls, LoopClock()), [])
-    work = a_read()
-    work.kind, work.transaction = kind, "t"
-    begun = asyncio.get_running_loop().time()
+    peer_client = UnresponsivePeers()
+    peer_client.silent = True
+    forwarder = make_forwarder(AnswerTrackingPeers(peer_client, LoopClock()), [])
+    statement = make_read()
+    statement.kind, statement.transaction = kind, "t"
+    started_at = asyncio.get_running_loop().time()
     with pytest.raises(RefusalError) as caught:
-        await hops.run_at(StatementLocation(OTHER, "t1"), work)
+        await forwarder.run_at(StatementLocation(REMOTE_HOST, "t1"), statement)
     assert caught.value.reason is RefusalReason.TRANSACTION_LOST
     assert caught.value.verdict is Verdict.NOT_RUN
-    assert asyncio.get_running_loop().time() - begun < 0.25
+    assert asyncio.get_running_loop().time() - started_at < 0.25
 
 
 @in_virtual_time
-async def test_a_write_in_doubt_is_waited_for_at_a_silent_host() -> None:
-    calls = Silent()
-    calls.silent = True
-    hops = hops_to(AnswerTrackingPeers(calls, LoopClock()), [])
-    work = a_read()
-    work.kind = SessionStatementKind.WRITE
-    begun = asyncio.get_running_loop().time()
+async def test_write_at_unresponsive_host_waits_until_deadline() -> None:
+    peer_client = UnresponsivePeers()
+    peer_client.silent = True
+    forwarder = make_forwarder(AnswerTrackingPeers(peer_client, LoopClock()), [])
+    statement = make_read()
+    statement.kind = SessionStatementKind.WRITE
+    started_at = asyncio.get_running_loop().time()
     with pytest.raises(RefusalError) as caught:
-        await hops.run_at(StatementLocation(OTHER, "t1"), work)
+        await forwarder.run_at(StatementLocation(REMOTE_HOST, "t1"), statement)
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
-    assert asyncio.get_running_loop().time() - begun > work.remaining
+    assert asyncio.get_running_loop().time() - started_at > statement.remaining
 
 
 @in_virtual_time
-async def test_a_host_that_says_it_lives_is_waited_for() -> None:
-    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
-    hops = hops_to(peers, lost)
-    begun = asyncio.get_running_loop().time()
-    refusal = await refused(hops)
+async def test_read_waits_for_host_that_answers_probe() -> None:
+    peers, lost_hosts = (
+        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
+        list[str](),
+    )
+    forwarder = make_forwarder(peers, lost_hosts)
+    started_at = asyncio.get_running_loop().time()
+    refusal = await run_refused_read(forwarder)
     assert refusal.reason is RefusalReason.HOST_UNREACHABLE
-    assert asyncio.get_running_loop().time() - begun > READ_WAIT_LIMIT_SECONDS - 0.01
-    assert not lost
+    assert (
+        asyncio.get_running_loop().time() - started_at > READ_WAIT_LIMIT_SECONDS - 0.01
+    )
+    assert not lost_hosts
 
 
 @pytest.mark.parametrize(
     "kind", [SessionStatementKind.READ, SessionStatementKind.WRITE]
 )
 @in_virtual_time
-async def test_nothing_is_sent_to_a_zone_that_is_known_to_be_out_of_reach(
+async def test_statement_for_unreachable_zone_is_refused_at_once(
     kind: SessionStatementKind,
 ) -> None:
-    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
-    hops = hops_to(peers, lost, cut_off=True)
-    work = a_read()
-    work.kind = kind
-    begun = asyncio.get_running_loop().time()
+    peers, lost_hosts = (
+        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
+        list[str](),
+    )
+    forwarder = make_forwarder(peers, lost_hosts, cut_off=True)
+    statement = make_read()
+    statement.kind = kind
+    started_at = asyncio.get_running_loop().time()
     with pytest.raises(RefusalError) as caught:
-        await hops.run_at(StatementLocation(OTHER, "t1"), work)
-    assert asyncio.get_running_loop().time() == begun
+        await forwarder.run_at(StatementLocation(REMOTE_HOST, "t1"), statement)
+    assert asyncio.get_running_loop().time() == started_at
     assert caught.value.verdict is Verdict.NOT_RUN
     assert caught.value.retry_after_ms is not None
-    assert not hops.expects_failover(OTHER)
-    assert lost == []
+    assert not forwarder.expects_failover(REMOTE_HOST)
+    assert lost_hosts == []
 
 
 @in_virtual_time
-async def test_hosts_of_the_own_zone_are_asked_during_a_cut() -> None:
-    peers, lost = AnswerTrackingPeers(SlowWork(), LoopClock()), list[str]()
-    hops = hops_to(peers, lost, cut_off=True)
-    near = HostRef("h3", ME.zone, "10.0.0.3:1")
-    begun = asyncio.get_running_loop().time()
+async def test_isolated_zone_still_uses_hosts_of_same_zone() -> None:
+    peers, lost_hosts = (
+        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
+        list[str](),
+    )
+    forwarder = make_forwarder(peers, lost_hosts, cut_off=True)
+    near = HostRef("h3", LOCAL_HOST.zone, "10.0.0.3:1")
+    started_at = asyncio.get_running_loop().time()
     with pytest.raises(RefusalError):
-        await hops.run_at(StatementLocation(near, "t1"), a_read())
-    assert asyncio.get_running_loop().time() > begun
-    assert hops.expects_failover(OTHER) is False
+        await forwarder.run_at(StatementLocation(near, "t1"), make_read())
+    assert asyncio.get_running_loop().time() > started_at
+    assert forwarder.expects_failover(REMOTE_HOST) is False
--- a/tests/test_position.py
+++ b/tests/test_position.py
@@ -1,4 +1,4 @@
-"""The ordering rule of log positions."""
+"""Order of log positions: covering that is not total or ignores terms."""
 
 from hypothesis import given, strategies as st
 
@@ -8,10 +8,10 @@
 
 
 @given(positions, positions)
-def test_a_later_term_covers_whatever_the_index(one: Position, other: Position) -> None:
-    if one.term > other.term:
-        assert one.covers(other)
-        assert not other.covers(one)
+def test_later_term_covers_any_index(first: Position, second: Position) -> None:
+    if first.term > second.term:
+        assert first.covers(second)
+        assert not second.covers(first)
 
 
 @given(positions, positions, positions)
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Fair sharing, bounds and early refusals of the queue before the slots."""
+"""Slot queue: unfair sharing, exceeded limits, late refusals or leaked slots."""
 
 import asyncio
 import random
@@ -15,11 +15,11 @@
 from .fakes_clock import LoopClock, in_virtual_time
 from .home_support import outcome_of, refusal_of, timed
 
-SOON = 0.001
+SHORT_SECONDS = 0.001
 
 
-def queue_of(capacity: int = 2, limit: int = 64) -> SlotQueue:
-    """Return a queue on the time of the running loop."""
+def make_queue(capacity: int = 2, limit: int = 64) -> SlotQueue:
+    """Return a queue that uses the time of the running loop."""
     return SlotQueue(capacity, limit, LoopClock(), random.Random(1))
 
 
@@ -35,22 +35,24 @@
     return waited
 
 
-async def keep_busy(
+async def send_continuously(
     queue: SlotQueue, caller: str, priority: int, service: float, used: Counter[str]
 ) -> None:
-    """Send one statement after the other for ever and count the time served."""
+    """Send statements one after another; add the service time to `used`, in ms."""
     while True:
         await serve(queue, caller, priority, service)
         used[caller] += round(service * 1000)
 
 
-async def contest(
+async def run_contending_loads(
     queue: SlotQueue, seconds: float, *loads: tuple[str, int, float, int]
 ) -> Counter[str]:
-    """Return the time served by caller when all keep the queue busy."""
-    used: Counter[str] = Counter()
+    """Return the service time of each caller, in ms, when all send continuously."""
+    used_ms: Counter[str] = Counter()
     tasks = [
-        asyncio.create_task(keep_busy(queue, caller, priority, service, used))
+        asyncio.create_task(
+            send_continuously(queue, caller, priority, service, used_ms)
+        )
         for caller, priority, service, clients in loads
         for _ in range(clients)
     ]
@@ -58,13 +60,13 @@
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    return used
+    return used_ms
 
 
 @in_virtual_time
 async def test_classes_share_the_slots_by_weight() -> None:
-    queue = queue_of()
-    used = await contest(
+    queue = make_queue()
+    used = await run_contending_loads(
         queue,
         20.0,
         ("gate", 0, 0.005, 4),
@@ -76,25 +78,30 @@
 
 
 @in_virtual_time
-async def test_callers_of_a_class_share_equally_whatever_their_number() -> None:
-    queue = queue_of()
-    used = await contest(queue, 10.0, ("many", 1, 0.005, 20), ("few", 1, 0.005, 4))
+async def test_callers_share_equally_regardless_of_concurrency() -> None:
+    queue = make_queue()
+    used = await run_contending_loads(
+        queue, 10.0, ("many", 1, 0.005, 20), ("few", 1, 0.005, 4)
+    )
     assert 0.9 < used["many"] / used["few"] < 1.1
 
 
 @in_virtual_time
-async def test_a_caller_pays_for_the_length_of_its_statements() -> None:
-    queue = queue_of()
-    used = await contest(queue, 30.0, ("long", 1, 0.1, 4), ("short", 1, 0.005, 4))
+async def test_callers_share_by_service_time() -> None:
+    queue = make_queue()
+    used = await run_contending_loads(
+        queue, 30.0, ("long", 1, 0.1, 4), ("short", 1, 0.005, 4)
+    )
     assert 0.9 < used["long"] / used["short"] < 1.1
 
 
 @in_virtual_time
-async def test_reports_do_not_hold_up_gate_tickets() -> None:
-    queue = queue_of()
+async def test_long_low_priority_statements_do_not_delay_high_priority() -> None:
+    queue = make_queue()
     used: Counter[str] = Counter()
     reports = [
-        asyncio.create_task(keep_busy(queue, "report", 2, 1.0, used)) for _ in range(8)
+        asyncio.create_task(send_continuously(queue, "report", 2, 1.0, used))
+        for _ in range(8)
     ]
     waits = []
     for _ in range(300):
@@ -107,39 +114,43 @@
 
 
 @in_virtual_time
-async def test_a_report_runs_even_under_endless_gate_tickets() -> None:
-    queue = queue_of()
-    used = await contest(queue, 30.0, ("gate", 0, 0.005, 8), ("report", 2, 0.1, 1))
+async def test_low_priority_is_not_starved() -> None:
+    queue = make_queue()
+    used = await run_contending_loads(
+        queue, 30.0, ("gate", 0, 0.005, 8), ("report", 2, 0.1, 1)
+    )
     assert used["report"] >= 1000
 
 
 @in_virtual_time
-async def test_a_full_queue_refuses_the_newest_of_the_least_important() -> None:
-    queue = queue_of(capacity=1, limit=3)
+async def test_full_queue_drops_newest_of_most_loaded_low_priority_caller() -> None:
+    queue = make_queue(capacity=1, limit=3)
     holder = await queue.acquire("gate", 0, 10.0)
-    names = [("few", 2), ("many", 2), ("many", 2), ("gate", 0)]
+    arrivals = [("few", 2), ("many", 2), ("many", 2), ("gate", 0)]
     waiting = []
-    for caller, priority in names:
+    for caller, priority in arrivals:
         waiting.append(
-            asyncio.create_task(outcome_of(serve(queue, caller, priority, SOON, 10.0)))
+            asyncio.create_task(
+                outcome_of(serve(queue, caller, priority, SHORT_SECONDS, 10.0))
+            )
         )
-        await asyncio.sleep(SOON)
-    refused = waiting[2]
-    assert refused.done()
-    refusal = refused.result()
+        await asyncio.sleep(SHORT_SECONDS)
+    dropped = waiting[2]
+    assert dropped.done()
+    refusal = dropped.result()
     assert isinstance(refusal, RefusalError)
     assert refusal.reason is RefusalReason.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
     assert refusal.retry_after_ms is not None
     queue.release(holder)
-    answers = await asyncio.gather(*waiting[:2], waiting[3])
-    assert not any(isinstance(one, RefusalError) for one in answers)
+    outcomes = await asyncio.gather(*waiting[:2], waiting[3])
+    assert not any(isinstance(one, RefusalError) for one in outcomes)
 
 
 @pytest.mark.parametrize("remaining", [0.25, 0.0])
 @in_virtual_time
-async def test_a_passed_deadline_is_answered_when_it_passes(remaining: float) -> None:
-    queue = queue_of(capacity=1)
+async def test_waiting_statement_is_refused_at_its_deadline(remaining: float) -> None:
+    queue = make_queue(capacity=1)
     holder = await queue.acquire("gate", 0, 10.0)
     refusal, seconds = await timed(refusal_of(queue.acquire("gate", 0, remaining)))
     assert seconds == remaining
@@ -150,11 +161,11 @@
 
 
 @in_virtual_time
-async def test_a_statement_that_would_be_late_is_refused_at_once() -> None:
-    queue = queue_of(capacity=1)
+async def test_statement_that_would_miss_deadline_is_refused_at_once() -> None:
+    queue = make_queue(capacity=1)
     await serve(queue, "gate", 0, 0.1)
     tasks = [asyncio.create_task(serve(queue, "gate", 0, 0.1, 10.0)) for _ in range(10)]
-    await asyncio.sleep(SOON)
+    await asyncio.sleep(SHORT_SECONDS)
     refusal, seconds = await timed(refusal_of(queue.acquire("gate", 0, 0.5)))
     assert seconds == 0.0
     assert refusal.reason is RefusalReason.OVERLOADED
@@ -165,13 +176,15 @@
 
 
 @in_virtual_time
-async def test_a_wrong_estimate_refuses_nothing_for_ever() -> None:
-    queue = queue_of(capacity=1)
+async def test_service_time_estimate_recovers_from_outlier() -> None:
+    queue = make_queue(capacity=1)
     await serve(queue, "gate", 0, 60.0)
     for _ in range(100):
-        await serve(queue, "gate", 0, SOON, 1.0)
-    refusals = [outcome_of(serve(queue, "gate", 0, SOON, 1.0)) for _ in range(20)]
-    outcomes = await asyncio.gather(*refusals)
+        await serve(queue, "gate", 0, SHORT_SECONDS, 1.0)
+    statements = [
+        outcome_of(serve(queue, "gate", 0, SHORT_SECONDS, 1.0)) for _ in range(20)
+    ]
+    outcomes = await asyncio.gather(*statements)
     assert not any(isinstance(one, RefusalError) for one in outcomes)
 
 
@@ -190,33 +203,35 @@
 
 @given(actions, st.integers(1, 3), st.integers(0, 8))
 @in_virtual_time
-async def test_slots_and_queue_stay_within_bounds_and_end_empty(
+async def test_slots_and_queue_respect_limits_and_drain(
     arrivals: list[tuple[float, str, int, float, float, float | None]],
     capacity: int,
     limit: int,
 ) -> None:
-    queue = queue_of(capacity, limit)
-    inside = 0
+    queue = make_queue(capacity, limit)
+    running = 0
 
-    async def one(caller: str, priority: int, service: float, left: float) -> None:
-        nonlocal inside
+    async def run_statement(
+        caller: str, priority: int, service: float, left: float
+    ) -> None:
+        nonlocal running
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         try:
             entry = await queue.acquire(caller, priority, left)
         except RefusalError as refusal:
             assert refusal.verdict is Verdict.NOT_RUN
-            assert loop.time() - began <= left + 1e-9
+            assert loop.time() - started_at <= left + 1e-9
             return
-        inside += 1
-        assert inside <= capacity
+        running += 1
+        assert running <= capacity
         try:
             await asyncio.sleep(service)
         finally:
-            inside -= 1
+            running -= 1
             queue.release(entry)
 
-    async def patient(work: Awaitable[None], patience: float | None) -> None:
+    async def run_with_timeout(work: Awaitable[None], patience: float | None) -> None:
         try:
             async with asyncio.timeout(patience):
                 await work
@@ -224,25 +239,25 @@
             return
 
     tasks = []
-    for pause, caller, priority, service, left, patience in arrivals:
-        await asyncio.sleep(pause)
+    for delay, caller, priority, service, left, patience in arrivals:
+        await asyncio.sleep(delay)
         assert queue.queued <= limit
-        work = one(caller, priority, service, left)
-        tasks.append(asyncio.create_task(patient(work, patience)))
+        work = run_statement(caller, priority, service, left)
+        tasks.append(asyncio.create_task(run_with_timeout(work, patience)))
     await asyncio.gather(*tasks)
     assert (queue.busy, queue.queued) == (0, 0)
     assert all(share.queued == 0 for share in queue.priority_classes)
 
 
 @in_virtual_time
-async def test_a_slot_granted_to_a_caller_that_is_gone_is_passed_on() -> None:
-    queue = queue_of(capacity=1)
+async def test_slot_granted_to_cancelled_caller_is_reused() -> None:
+    queue = make_queue(capacity=1)
     holder = await queue.acquire("gate", 0, 10.0)
-    gone = asyncio.create_task(serve(queue, "gate", 0, SOON))
-    await asyncio.sleep(SOON)
-    next_one = asyncio.create_task(serve(queue, "gate", 0, SOON))
-    await asyncio.sleep(SOON)
+    cancelled = asyncio.create_task(serve(queue, "gate", 0, SHORT_SECONDS))
+    await asyncio.sleep(SHORT_SECONDS)
+    following = asyncio.create_task(serve(queue, "gate", 0, SHORT_SECONDS))
+    await asyncio.sleep(SHORT_SECONDS)
     queue.release(holder)
-    gone.cancel()
-    await asyncio.wait_for(next_one, 0.1)
+    cancelled.cancel()
+    await asyncio.wait_for(following, 0.1)
     assert queue.busy == 0
--- a/tests/test_request_dispatch.py
+++ b/tests/test_request_dispatch.py
@@ -1,4 +1,4 @@
-"""The hop to a home, broken at every point, against what really ran."""
+"""Calls to a home that fail at any point: verdicts that contradict what ran."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,12 +24,12 @@
     make_group,
 )
 
-WRITE_AT: Final = "g1-z1"
-SETTLE: Final = 5.0
+TARGET: Final = "g1-z1"
+SETTLE_SECONDS: Final = 5.0
 
 
 class Hop:
-    """Hold an entry host that is no home, and the two homes of the target."""
+    """Set up an entry host that is not a home, and the two homes of the target."""
 
     def __init__(self) -> None:
         self.network = FakeNetwork()
@@ -45,7 +45,7 @@
         )
 
     def serve(self, host: str, handler: Callable[[Json], Json]) -> None:
-        """Let `host` answer statements by `handler`."""
+        """Replace the statement handler of `host`."""
 
         async def answer(body: Json) -> Json:
             return handler(body)
@@ -62,7 +62,7 @@
     raise not_run(RefusalReason.WRONG_HOME, "not the home")
 
 
-def nonsense(body: Json) -> Json:
+def malformed_response(body: Json) -> Json:
     return {"answer": 7}
 
 
@@ -74,7 +74,7 @@
     hop.network.cut("entry", "h1")
 
 
-def lose_answer(hop: Hop) -> None:
+def lose_response(hop: Hop) -> None:
     hop.network.cut("h1", "entry")
 
 
@@ -111,11 +111,11 @@
 
 
 def no_host(hop: Hop) -> None:
-    hop.directory.fixed[WRITE_AT] = []
+    hop.directory.fixed[TARGET] = []
 
 
-def answer_nonsense(hop: Hop) -> None:
-    hop.serve("h1", nonsense)
+def return_malformed_response(hop: Hop) -> None:
+    hop.serve("h1", malformed_response)
 
 
 def handler_fails(hop: Hop) -> None:
@@ -131,65 +131,65 @@
 
 
 DONE: Final = Verdict.DONE
-NOT: Final = Verdict.NOT_RUN
-MAY: Final = Verdict.MAY_HAVE_RUN
+NOT_RUN: Final = Verdict.NOT_RUN
+MAY_HAVE_RUN: Final = Verdict.MAY_HAVE_RUN
 
-POINTS: Final[list[tuple[Callable[[Hop], None], Verdict, int]]] = [
+FAULTS: Final[list[tuple[Callable[[Hop], None], Verdict, int]]] = [
     (nothing_broken, DONE, 1),
-    (no_host, NOT, 0),
+    (no_host, NOT_RUN, 0),
     (crash_home, DONE, 1),
-    (crash_both, NOT, 0),
-    (crash_then_wrong, NOT, 0),
+    (crash_both, NOT_RUN, 0),
+    (crash_then_wrong, NOT_RUN, 0),
     (home_moved, DONE, 1),
-    (no_home, NOT, 0),
-    (home_refuses, NOT, 0),
-    (lose_request, MAY, 0),
-    (lose_answer, MAY, 1),
-    (pause_home, MAY, 0),
-    (run_late, MAY, 1),
-    (answer_nonsense, MAY, 0),
-    (handler_fails, MAY, 0),
+    (no_home, NOT_RUN, 0),
+    (home_refuses, NOT_RUN, 0),
+    (lose_request, MAY_HAVE_RUN, 0),
+    (lose_response, MAY_HAVE_RUN, 1),
+    (pause_home, MAY_HAVE_RUN, 0),
+    (run_late, MAY_HAVE_RUN, 1),
+    (return_malformed_response, MAY_HAVE_RUN, 0),
+    (handler_fails, MAY_HAVE_RUN, 0),
 ]
 
 
 async def outcome(hop: Hop, statement: Statement) -> HomeResponse | RefusalError:
-    """Return the answer or the refusal of a statement sent over the hop."""
+    """Return the response or the refusal of a statement."""
     try:
-        return await hop.entry.dispatch.execute(WRITE_AT, statement)
+        return await hop.entry.dispatch.execute(TARGET, statement)
     except RefusalError as refusal:
         return refusal
 
 
-def make(kind: StatementKind) -> Statement:
-    """Return a statement with half a second to its deadline."""
+def make_statement(kind: StatementKind) -> Statement:
+    """Return a statement with a deadline of 0.5 s."""
     return Statement(kind, "g1", "gate", "pay", [], remaining=0.5)
 
 
-@pytest.mark.parametrize(("fault", "verdict", "ran"), POINTS)
+@pytest.mark.parametrize(("fault", "verdict", "ran"), FAULTS)
 @in_virtual_time
-async def test_the_verdict_on_a_write_holds_wherever_the_hop_breaks(
+async def test_write_verdict_is_correct_for_each_fault(
     fault: Callable[[Hop], None], verdict: Verdict, ran: int
 ) -> None:
     hop = Hop()
     fault(hop)
-    result = await outcome(hop, make(StatementKind.WRITE))
-    got = result.verdict if isinstance(result, RefusalError) else Verdict.DONE
-    assert got is verdict
-    await asyncio.sleep(SETTLE)
+    result = await outcome(hop, make_statement(StatementKind.WRITE))
+    actual = result.verdict if isinstance(result, RefusalError) else Verdict.DONE
+    assert actual is verdict
+    await asyncio.sleep(SETTLE_SECONDS)
     assert hop.model.ran["pay"] == ran
 
 
-@pytest.mark.parametrize(("fault", "verdict", "ran"), POINTS)
+@pytest.mark.parametrize(("fault", "verdict", "ran"), FAULTS)
 @in_virtual_time
-async def test_a_read_that_got_no_answer_has_no_effect(
+async def test_refused_read_has_no_effect(
     fault: Callable[[Hop], None], verdict: Verdict, ran: int
 ) -> None:
     hop = Hop()
     fault(hop)
-    result = await outcome(hop, make(StatementKind.READ))
+    result = await outcome(hop, make_statement(StatementKind.READ))
     if isinstance(result, RefusalError):
         assert result.verdict is Verdict.NOT_RUN
-    await asyncio.sleep(SETTLE)
+    await asyncio.sleep(SETTLE_SECONDS)
     assert not hop.model.ran
 
 
@@ -197,48 +197,50 @@
     "kind", [StatementKind.STEP, StatementKind.COMMIT, StatementKind.ROLLBACK]
 )
 @in_virtual_time
-async def test_a_statement_of_a_transaction_is_sent_once(kind: StatementKind) -> None:
+async def test_transaction_statement_is_sent_once(kind: StatementKind) -> None:
     hop = Hop()
-    lose_answer(hop)
-    statement = make(kind)
+    lose_response(hop)
+    statement = make_statement(kind)
     statement.transaction = "t1"
     with pytest.raises(RefusalError) as caught:
-        await hop.entry.dispatch.execute_at(hop.hosts[0], WRITE_AT, statement)
+        await hop.entry.dispatch.execute_at(hop.hosts[0], TARGET, statement)
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
     assert hop.network.calls["statement"] == 1
 
 
 @in_virtual_time
-async def test_a_target_whose_home_is_here_takes_no_hop() -> None:
+async def test_local_target_needs_no_peer_call() -> None:
     hop = Hop()
-    hop.directory.fixed[WRITE_AT] = [hop.directory.me]
-    served = await hop.entry.dispatch.execute(WRITE_AT, make(StatementKind.WRITE))
-    assert served.host == hop.directory.me
+    hop.directory.fixed[TARGET] = [hop.directory.me]
+    response = await hop.entry.dispatch.execute(
+        TARGET, make_statement(StatementKind.WRITE)
+    )
+    assert response.host == hop.directory.me
     assert hop.network.calls["statement"] == 0
 
 
 @in_virtual_time
-async def test_no_host_is_asked_a_third_time() -> None:
+async def test_at_most_two_hosts_are_tried() -> None:
     hop = Hop()
     no_home(hop)
-    refusal = await outcome(hop, make(StatementKind.WRITE))
+    refusal = await outcome(hop, make_statement(StatementKind.WRITE))
     assert isinstance(refusal, RefusalError)
     assert refusal.reason is RefusalReason.WRONG_HOME
     assert hop.network.calls["statement"] == 2
 
 
 @in_virtual_time
-async def test_the_home_knows_how_much_time_is_left() -> None:
+async def test_remaining_time_is_sent_to_home() -> None:
     hop = Hop()
     seen = []
 
-    def note(body: Json) -> Json:
+    def record_remaining(body: Json) -> Json:
         seen.append(body["statement"]["remaining"])
         raise not_run(RefusalReason.WRONG_HOME, "not the home")
 
-    hop.serve("h1", note)
-    hop.serve("h2", note)
-    await outcome(hop, make(StatementKind.WRITE))
+    hop.serve("h1", record_remaining)
+    hop.serve("h2", record_remaining)
+    await outcome(hop, make_statement(StatementKind.WRITE))
     assert seen[0] == 0.5
     assert seen[1] < seen[0]
 
@@ -248,16 +250,16 @@
     [(crash_home, ["h1"]), (lose_request, ["h1"]), (home_moved, [])],
 )
 @in_virtual_time
-async def test_a_host_without_an_answer_is_looked_at(
+async def test_unresponsive_host_is_reported_lost(
     fault: Callable[[Hop], None], lost: list[str]
 ) -> None:
     hop = Hop()
-    told: list[str] = []
-    hop.entry.dispatch.on_host_lost = lambda host: told.append(host.host)
+    reported: list[str] = []
+    hop.entry.dispatch.on_host_lost = lambda host: reported.append(host.host)
     fault(hop)
     statement = Statement(StatementKind.READ, "g1", "gate", "select 1", [], 1.0)
     try:
-        await hop.entry.dispatch.execute(WRITE_AT, statement)
+        await hop.entry.dispatch.execute(TARGET, statement)
     except RefusalError:
         pass
-    assert told == lost
+    assert reported == lost
--- a/tests/test_request_sessions.py
+++ b/tests/test_request_sessions.py
@@ -1,7 +1,7 @@
-"""Sessions that roam between hosts, whatever becomes of the group and the hops.
+"""Sessions over two hosts: reads that miss the session's position, wrong verdicts.
 
-Each example is a history: steps of sessions through two hosts, changes of
-primary, of lag, and of the network between them, in virtual time.
+Each example is a history of session steps, changes of primary and lag, and network
+cuts, in virtual time.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 SERVICE: Final = "feedlog-db"
 MEMBERS: Final = ("g1-z1", "g1-z2", "g1-z3")
 HOSTS: Final = ("h1", "h2", "h3")
-SETTLE: Final = 10.0
+SETTLE_SECONDS: Final = 10.0
 
 sessions = st.integers(0, 2)
 entries = st.integers(0, 1)
-steps = st.one_of(
+history_steps = st.one_of(
     st.tuples(st.just("write"), sessions, entries),
     st.tuples(st.just("read"), sessions, entries, st.none()),
     st.tuples(st.just("read"), sessions, entries, st.sampled_from([0.01, 0.5, 3.0])),
@@ -47,7 +47,7 @@
 
 
 class History:
-    """Run the steps of one example and hold each answer against the truth."""
+    """Run the steps of one example and check each response against the model."""
 
     def __init__(self, proves: bool) -> None:
         self.world = World(lag=0.05)
@@ -61,8 +61,8 @@
         self.issued = 0
 
     async def run(self, history: list[tuple[Any, ...]]) -> None:
-        """Run all steps, then compare verdicts with what really ran."""
-        acts: dict[str, Callable[..., None]] = {
+        """Run all steps, then check the verdicts against what ran."""
+        actions: dict[str, Callable[..., None]] = {
             "write": self.write,
             "again": self.again,
             "read": self.read,
@@ -75,59 +75,59 @@
             if name == "pass":
                 await asyncio.sleep(arguments[0])
             else:
-                acts[name](*arguments)
+                actions[name](*arguments)
                 await asyncio.sleep(0)
         await asyncio.gather(*self.calls)
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_SECONDS)
         self.check_truth()
         await self.world.close()
 
     def write(self, session: int, entry: int) -> None:
-        """Begin a write under a new request id."""
+        """Start a write with a new request id."""
         self.issued += 1
         self.last[session] = f"{self.issued}-id"
         self.again(session, entry)
 
     def again(self, session: int, entry: int) -> None:
-        """Send the last write of the session again, perhaps while it runs."""
+        """Repeat the last write of the session, possibly while it runs."""
         request_id = self.last[session]
         if request_id is not None:
             call = self.answered(session, entry, write(request_id))
             self.calls.append(asyncio.create_task(call))
 
     def read(self, session: int, entry: int, max_age: float | None) -> None:
-        """Begin a read."""
+        """Start a read."""
         call = self.answered(session, entry, read(max_age=max_age))
         self.calls.append(asyncio.create_task(call))
 
     async def answered(self, session: int, entry: int, statement: Statement) -> None:
-        """Run a statement with the token as it is now and check the answer."""
+        """Run a statement with the session's current token and check the response."""
         codec = self.codecs[entry]
         before = codec.decode(self.tokens[session], WORKSPACE, SERVICE)
         statement.min_position = before.positions.get("g1")
         try:
-            served = await self.world.run(statement, entry)
+            response = await self.world.run(statement, entry)
         except RefusalError as refusal:
             self.note(statement, refusal.verdict)
             return
         self.note(statement, Verdict.DONE)
-        self.check(statement, served)
-        now = codec.decode(self.tokens[session], WORKSPACE, SERVICE)
-        after = now.advanced("g1", served.result.position)
-        assert after.covers(before) and after.covers(now)
-        self.tokens[session] = codec.encode(after)
-
-    def check(self, statement: Statement, served: HomeResponse) -> None:
-        """Hold an answer against what it must cover."""
+        self.check(statement, response)
+        current = codec.decode(self.tokens[session], WORKSPACE, SERVICE)
+        advanced = current.advanced("g1", response.result.position)
+        assert advanced.covers(before) and advanced.covers(current)
+        self.tokens[session] = codec.encode(advanced)
+
+    def check(self, statement: Statement, response: HomeResponse) -> None:
+        """Check the position and the age of a response."""
         covers: Position | None = statement.min_position
         if covers is not None and statement.request_id is None:
-            assert served.result.position.covers(covers)
+            assert response.result.position.covers(covers)
         if statement.max_age is not None:
-            assert served.result.age is not None
-            assert served.result.age <= statement.max_age
+            assert response.result.age is not None
+            assert response.result.age <= statement.max_age
 
     def note(self, statement: Statement, verdict: Verdict) -> None:
-        """Keep the verdict on a write."""
+        """Record the verdict on a write."""
         if statement.request_id is not None:
             self.verdicts.setdefault(statement.request_id, []).append(verdict)
 
@@ -141,7 +141,7 @@
         self.world.network.cut(*(pair if outwards else pair[::-1]))
 
     def check_truth(self) -> None:
-        """Hold all verdicts on each request id against how often it ran."""
+        """Check the verdicts on each request id against how often it ran."""
         for request_id, verdicts in self.verdicts.items():
             ran = self.world.model.ran[request_id]
             assert ran <= 1
@@ -151,8 +151,8 @@
                 assert ran == 0
 
 
-@given(st.lists(steps, max_size=40), st.booleans())
-def test_no_session_misses_what_its_token_covers_and_no_verdict_lies(
+@given(st.lists(history_steps, max_size=40), st.booleans())
+def test_sessions_cover_their_tokens_and_verdicts_are_correct(
     history: list[tuple[Any, ...]], proves: bool
 ) -> None:
     run_virtual(History(proves).run(history))
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""Reads that no replica has a slot for."""
+"""Reads refused by overloaded replicas: waits at the longer queue, double runs."""
 
 import pytest
 
@@ -16,11 +16,11 @@
 
 from .fakes_clock import in_virtual_time
 
-CROWDED = TargetAnnouncement("m2", "db", "10.0.0.2:1", "z2", False, False)
+OVERLOADED_REPLICA = TargetAnnouncement("m2", "db", "10.0.0.2:1", "z2", False, False)
 
 
-class Crowded(ReplicaReader):
-    """Keep which reads came back to a crowded replica."""
+class RecordingReplicaReader(ReplicaReader):
+    """Record the replicas at which reads are run."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -33,11 +33,11 @@
         return ReplicaReadResult()
 
 
-class Refusing(SessionRouter):
-    """Find each read refused at the primary."""
+class RefusingRouter(SessionRouter):
+    """Refuse each statement at the primary."""
 
     def __init__(self, refusals: list[RefusalError]) -> None:
-        self.replica_reader = Crowded()
+        self.replica_reader = RecordingReplicaReader()
         self.refusals = refusals
 
     async def run_at_primary(
@@ -46,9 +46,9 @@
         raise self.refusals.pop(0)
 
 
-def read() -> SessionStatement:
-    """Return the first statement of a transaction that only reads."""
-    work = SessionStatement(
+def make_read() -> SessionStatement:
+    """Return the first statement of a read-only transaction."""
+    statement_to_run = SessionStatement(
         "db",
         "",
         "s",
@@ -61,12 +61,12 @@
         "READ a",
         0.8,
     )
-    work.wait_limit_seconds = 0.02
-    return work
+    statement_to_run.wait_limit_seconds = 0.02
+    return statement_to_run
 
 
 def overloaded(wait_ms: int) -> RefusalError:
-    """Return the refusal of a target whose slots are taken."""
+    """Return the refusal of a target without a free slot."""
     return not_run(RefusalReason.OVERLOADED, "no slot", wait_ms)
 
 
@@ -80,24 +80,24 @@
     ids=["replica sooner", "primary sooner", "no primary"],
 )
 @in_virtual_time
-async def test_a_read_waits_where_the_wait_is_least(
+async def test_read_waits_at_target_with_shortest_wait(
     first: RefusalError, asked: list[str]
 ) -> None:
-    steering = Refusing([first, overloaded(90)])
+    router = RefusingRouter([first, overloaded(90)])
     with pytest.raises(RefusalError):
-        await steering.run_at_shortest_wait(
-            read(), ReplicaReadResult(None, CROWDED, 0.08), 1.0
+        await router.run_at_shortest_wait(
+            make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
         )
-    assert steering.replica_reader.asked == asked  # type: ignore[attr-defined]
+    assert router.replica_reader.asked == asked  # type: ignore[attr-defined]
 
 
 @in_virtual_time
-async def test_what_was_sent_in_a_transaction_runs_nowhere_else() -> None:
-    """On a second connection it would run outside its transaction."""
-    steering = Refusing([transaction_lost_refusal()])
+async def test_lost_transaction_is_not_run_elsewhere() -> None:
+    """On another connection it would run outside its transaction."""
+    router = RefusingRouter([transaction_lost_refusal()])
     with pytest.raises(RefusalError) as caught:
-        await steering.run_at_shortest_wait(
-            read(), ReplicaReadResult(None, CROWDED, 0.08), 1.0
+        await router.run_at_shortest_wait(
+            make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
         )
     assert caught.value.reason is RefusalReason.TRANSACTION_LOST
-    assert steering.replica_reader.asked == []  # type: ignore[attr-defined]
+    assert router.replica_reader.asked == []  # type: ignore[attr-defined]
--- a/tests/test_token.py
+++ b/tests/test_token.py
@@ -1,4 +1,4 @@
-"""Session tokens: merging, and that nothing altered ever decodes."""
+"""Session tokens: lost positions in a merge, or altered tokens that decode."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -25,8 +25,10 @@
 )
 
 
-def refused(text: str, workspace: str = "gate", service: str = "feedlog-db") -> str:
-    """Return why `text` is refused; fail if it is not."""
+def decode_refused(
+    text: str, workspace: str = "gate", service: str = "feedlog-db"
+) -> str:
+    """Return the detail of the refusal of `text`; fail if it decodes."""
     with pytest.raises(RefusalError) as caught:
         CODEC.decode(text, workspace, service)
     assert caught.value.reason is RefusalReason.TOKEN_INVALID
@@ -35,12 +37,12 @@
 
 
 @given(tokens)
-def test_a_token_reads_back(token: SessionToken) -> None:
+def test_token_round_trips(token: SessionToken) -> None:
     assert CODEC.decode(CODEC.encode(token), "gate", "feedlog-db") == token
 
 
 @given(tokens, tokens)
-def test_merging_commutes_and_demands_both(a: SessionToken, b: SessionToken) -> None:
+def test_merge_is_commutative_and_covers_both(a: SessionToken, b: SessionToken) -> None:
     merged = a.merged(b)
     assert merged == b.merged(a)
     assert merged.covers(a) and merged.covers(b)
@@ -50,58 +52,60 @@
 
 
 @given(tokens, tokens, tokens)
-def test_merging_is_monotone(a: SessionToken, b: SessionToken, c: SessionToken) -> None:
+def test_merge_is_monotone(a: SessionToken, b: SessionToken, c: SessionToken) -> None:
     if a.covers(b):
         assert a.merged(c).covers(b.merged(c))
 
 
 @given(tokens, st.data())
-def test_a_flipped_bit_never_decodes(token: SessionToken, data: st.DataObject) -> None:
+def test_token_with_flipped_bit_is_refused(
+    token: SessionToken, data: st.DataObject
+) -> None:
     text = CODEC.encode(token)
-    at = data.draw(st.integers(0, len(text) - 1))
+    index = data.draw(st.integers(0, len(text) - 1))
     bit = data.draw(st.integers(0, 7))
-    altered = text[:at] + chr(ord(text[at]) ^ (1 << bit)) + text[at + 1 :]
-    refused(altered)
+    altered = text[:index] + chr(ord(text[index]) ^ (1 << bit)) + text[index + 1 :]
+    decode_refused(altered)
 
 
 @pytest.mark.parametrize("group", ["g", "g1", "g12"])
-def test_each_bit_of_a_token_counts(group: str) -> None:
+def test_each_flipped_bit_is_refused(group: str) -> None:
     text = CODEC.encode(SessionToken("gate", "feedlog-db", {group: Position(1, 2)}))
-    for at, character in enumerate(text):
+    for index, character in enumerate(text):
         for bit in range(8):
             altered = chr(ord(character) ^ (1 << bit))
-            refused(text[:at] + altered + text[at + 1 :])
+            decode_refused(text[:index] + altered + text[index + 1 :])
 
 
 @given(tokens, st.data())
-def test_a_token_cut_anywhere_never_decodes(
-    token: SessionToken, data: st.DataObject
-) -> None:
+def test_truncated_token_is_refused(token: SessionToken, data: st.DataObject) -> None:
     text = CODEC.encode(token)
-    refused(text[: data.draw(st.integers(0, len(text) - 1))])
+    decode_refused(text[: data.draw(st.integers(0, len(text) - 1))])
 
 
 @given(st.text(max_size=80))
-def test_no_text_breaks_the_reader(text: str) -> None:
-    refused(text)
+def test_arbitrary_text_is_refused(text: str) -> None:
+    decode_refused(text)
 
 
-def test_each_error_says_what_is_wrong() -> None:
+def test_refusal_detail_states_cause() -> None:
     text = CODEC.encode(SessionToken("gate", "feedlog-db", {"g1": Position(1, 2)}))
-    assert "cut short" in refused(text[:-4])
-    assert "another workspace" in refused(text, workspace="desk")
-    assert "another service" in refused(text, service="dispatch-core")
-    assert "not base64url" in refused("?" + text[1:])
-    assert "too long" in refused(text + text)
+    assert "cut short" in decode_refused(text[:-4])
+    assert "another workspace" in decode_refused(text, workspace="desk")
+    assert "another service" in decode_refused(text, service="dispatch-core")
+    assert "not base64url" in decode_refused("?" + text[1:])
+    assert "too long" in decode_refused(text + text)
     foreign = TokenCodec([b"another secret"])
-    assert "forged" in refused(foreign.encode(SessionToken("gate", "feedlog-db")))
+    assert "forged" in decode_refused(
+        foreign.encode(SessionToken("gate", "feedlog-db"))
+    )
     assert FORMAT_VERSION == 1
     newer = "Ag" + text[2:]
     assert decode_base64url(newer)[0] == 2
-    assert "newer format" in refused(newer)
+    assert "newer format" in decode_refused(newer)
 
 
-def test_a_token_of_the_former_secret_still_reads() -> None:
+def test_token_of_rotated_secret_is_accepted() -> None:
     token = SessionToken("gate", "feedlog-db", {"g1": Position(1, 2)})
     former = TokenCodec([b"old"]).encode(token)
     both = TokenCodec([b"new", b"old"])
@@ -110,9 +114,9 @@
         TokenCodec([b"new"]).decode(former, "gate", "feedlog-db")
 
 
-def test_a_token_does_not_grow_without_bound() -> None:
+def test_number_of_groups_in_token_is_limited() -> None:
     token = SessionToken("gate", "feedlog-db")
-    for at in range(MAX_GROUPS):
-        token = token.advanced(f"g{at}", Position(1, 1))
+    for index in range(MAX_GROUPS):
+        token = token.advanced(f"g{index}", Position(1, 1))
     with pytest.raises(RefusalError):
         token.advanced("one more", Position(1, 1))
