--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -221,7 +221,7 @@
         """
         if self.draining:
             raise not_run(
-                RefusalReason.DRAINING, "this host is leaving", DRAIN_RETRY_MS
+                RefusalReason.DRAINING, "this host is draining", DRAIN_RETRY_MS
             )
         catalog, workspace = self.admit_request(request)
         body = parse_body(schema, await read_body(request, self.max_body_bytes))
--- a/src/reedhook/request/replica_reader.py
+++ b/src/reedhook/request/replica_reader.py
@@ -205,8 +205,8 @@
             if refusal.verdict is not Verdict.NOT_RUN or statement.remaining <= 0.0:
                 raise
             if refusal.reason is RefusalReason.TRANSACTION_LOST:
-                # The first statement of the transaction was sent; another target
-                # would run it a second time. The caller must retry the transaction.
+                # The first statement of the transaction was sent and must not run on
+                # a second connection. The caller must retry the whole transaction.
                 raise
             if refusal.reason is RefusalReason.RATE_LIMITED:
                 # The rate limit covers all targets.
--- a/src/reedhook/request/replica_selector.py
+++ b/src/reedhook/request/replica_selector.py
@@ -135,12 +135,12 @@
         elapsed = now - self.recovered_at
         if elapsed >= SLOW_START_SECONDS and self.exclusion_seconds == 0.0:
             return True
-        share = (
+        admitted_fraction = (
             0.05
             if self.exclusion_seconds > 0.0
             else max(0.05, elapsed / SLOW_START_SECONDS)
         )
-        return rng.random() < share
+        return rng.random() < admitted_fraction
 
 
 class GroupObservations:
--- a/src/reedhook/request/router.py
+++ b/src/reedhook/request/router.py
@@ -294,16 +294,16 @@
         This is a primary other than `primary` of `term`, or the same one after a
         backoff and within the retry budget.
 
-        :raises RefusalError: if the time left is too short or no home answers.
+        :raises RefusalError: if the remaining time is too short or no home responds.
         """
         known = self.views.group(group.name)
         while (known.view.term, known.view.primary) == (term, primary):
-            left = attempts.deadline - self.clock.monotonic()
-            if left < 2 * MIN_REMAINING_SECONDS:
+            remaining = attempts.deadline - self.clock.monotonic()
+            if remaining < 2 * MIN_REMAINING_SECONDS:
                 raise self.timeout_refusal(group, attempts, NO_PRIMARY_RETRY_MS)
             if known.rounds_failed >= MAX_UNANSWERED_ROUNDS:
                 raise self.timeout_refusal(group, attempts, UNREACHABLE_RETRY_MS)
-            backoff = min(attempts.backoff_seconds, left - MIN_REMAINING_SECONDS)
+            backoff = min(attempts.backoff_seconds, remaining - MIN_REMAINING_SECONDS)
             await self.views.wait_for_primary_change(group, backoff)
             attempts.backoff_seconds = min(
                 2 * attempts.backoff_seconds, MAX_BACKOFF_SECONDS
@@ -414,7 +414,10 @@
 
 
 def updated_member_view(known: MemberView, response: HomeResponse) -> MemberView:
-    """Return a new view of a member that served; views of others stay unchanged."""
+    """Return the view of a member after a response.
+
+    This is a new object, since `known` may be shared.
+    """
     return MemberView(
         known.member,
         max(known.applied, response.result.position),
--- a/src/reedhook/request/session_router.py
+++ b/src/reedhook/request/session_router.py
@@ -116,8 +116,8 @@
                 RefusalReason.TRANSACTION_LOST,
                 RefusalReason.RATE_LIMITED,
             ):
-                # A lost transaction may have sent its first statement, which would
-                # run again on a second connection. A rate limit covers all targets.
+                # The first statement of a lost transaction was sent and must not run
+                # on a second connection. A rate limit covers all targets.
                 raise
             primary_is_sooner = refusal.reason is RefusalReason.OVERLOADED
             primary_is_sooner = (
--- a/src/reedhook/request/slot_queue.py
+++ b/src/reedhook/request/slot_queue.py
@@ -129,12 +129,12 @@
         work = self.mean_service_seconds + own_work
         for other in self.priority_classes:
             if other is not priority_class and other.queued:
-                competing = (
+                competing_work = (
                     (own_work + priority_class.mean_service_seconds)
                     * other.weight
                     / priority_class.weight
                 )
-                work += min(other.queued * other.mean_service_seconds, competing)
+                work += min(other.queued * other.mean_service_seconds, competing_work)
         return work / self.capacity
 
     def retry_after_ms(self) -> int:
@@ -231,8 +231,12 @@
 
     def least_important(self) -> QueueEntry:
         """Return the newest entry of the most loaded caller of the last class."""
-        share = next(share for share in reversed(self.priority_classes) if share.queued)
-        flow = max(share.waiting_flows(), key=lambda flow: len(flow.waiting))
+        last_class = next(
+            priority_class
+            for priority_class in reversed(self.priority_classes)
+            if priority_class.queued
+        )
+        flow = max(last_class.waiting_flows(), key=lambda flow: len(flow.waiting))
         return flow.waiting[-1]
 
     def expire(self, entry: QueueEntry) -> None:
@@ -279,12 +283,14 @@
     def next_entry(self, now: float) -> QueueEntry | None:
         """Return the next entry by fair order, or None if no class is admitted."""
         admitted = [
-            one for one in self.priority_classes if one.queued and self.admits(one, now)
+            priority_class
+            for priority_class in self.priority_classes
+            if priority_class.queued and self.admits(priority_class, now)
         ]
         if not admitted:
             return None
-        share = min(admitted, key=lambda share: share.tag)
-        flow = min(share.waiting_flows(), key=lambda flow: flow.tag)
+        next_class = min(admitted, key=lambda priority_class: priority_class.tag)
+        flow = min(next_class.waiting_flows(), key=lambda flow: flow.tag)
         return flow.waiting[0]
 
     def would_miss_deadline(self, entry: QueueEntry, now: float) -> bool:
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -28,7 +28,7 @@
 REMOTE_HOST = HostRef("h2", "z2", "10.0.0.2:1")
 
 
-class SlowStatementPeers(PeerClient):
+class SlowPeers(PeerClient):
     """Answer all calls but statements, which time out."""
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
@@ -88,10 +88,7 @@
 
 @in_virtual_time
 async def test_host_that_answers_other_calls_is_not_lost() -> None:
-    peers, lost_hosts = (
-        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
-        list[str](),
-    )
+    peers, lost_hosts = AnswerTrackingPeers(SlowPeers(), LoopClock()), list[str]()
     forwarder = make_forwarder(peers, lost_hosts)
     waiting = asyncio.ensure_future(run_refused_read(forwarder))
     await asyncio.sleep(0.2)
@@ -103,7 +100,7 @@
     forwarder.check_host(REMOTE_HOST)
 
 
-class UnresponsivePeers(SlowStatementPeers):
+class UnresponsivePeers(SlowPeers):
     """Answer no call while `silent` is set."""
 
     def __init__(self) -> None:
@@ -168,10 +165,7 @@
 
 @in_virtual_time
 async def test_read_waits_for_host_that_answers_probe() -> None:
-    peers, lost_hosts = (
-        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
-        list[str](),
-    )
+    peers, lost_hosts = AnswerTrackingPeers(SlowPeers(), LoopClock()), list[str]()
     forwarder = make_forwarder(peers, lost_hosts)
     started_at = asyncio.get_running_loop().time()
     refusal = await run_refused_read(forwarder)
@@ -189,10 +183,7 @@
 async def test_statement_for_unreachable_zone_is_refused_at_once(
     kind: SessionStatementKind,
 ) -> None:
-    peers, lost_hosts = (
-        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
-        list[str](),
-    )
+    peers, lost_hosts = AnswerTrackingPeers(SlowPeers(), LoopClock()), list[str]()
     forwarder = make_forwarder(peers, lost_hosts, cut_off=True)
     statement = make_read()
     statement.kind = kind
@@ -208,10 +199,7 @@
 
 @in_virtual_time
 async def test_isolated_zone_still_uses_hosts_of_same_zone() -> None:
-    peers, lost_hosts = (
-        AnswerTrackingPeers(SlowStatementPeers(), LoopClock()),
-        list[str](),
-    )
+    peers, lost_hosts = AnswerTrackingPeers(SlowPeers(), LoopClock()), list[str]()
     forwarder = make_forwarder(peers, lost_hosts, cut_off=True)
     near = HostRef("h3", LOCAL_HOST.zone, "10.0.0.3:1")
     started_at = asyncio.get_running_loop().time()
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -212,16 +212,16 @@
     running = 0
 
     async def run_statement(
-        caller: str, priority: int, service: float, left: float
+        caller: str, priority: int, service: float, remaining_seconds: float
     ) -> None:
         nonlocal running
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         try:
-            entry = await queue.acquire(caller, priority, left)
+            entry = await queue.acquire(caller, priority, remaining_seconds)
         except RefusalError as refusal:
             assert refusal.verdict is Verdict.NOT_RUN
-            assert loop.time() - started_at <= left + 1e-9
+            assert loop.time() - started_at <= remaining_seconds + 1e-9
             return
         running += 1
         assert running <= capacity
@@ -231,22 +231,31 @@
             running -= 1
             queue.release(entry)
 
-    async def run_with_timeout(work: Awaitable[None], patience: float | None) -> None:
+    async def run_with_timeout(
+        run_call: Awaitable[None], timeout_seconds: float | None
+    ) -> None:
         try:
-            async with asyncio.timeout(patience):
-                await work
+            async with asyncio.timeout(timeout_seconds):
+                await run_call
         except TimeoutError:
             return
 
     tasks = []
-    for delay, caller, priority, service, left, patience in arrivals:
+    for (
+        delay,
+        caller,
+        priority,
+        service,
+        remaining_seconds,
+        timeout_seconds,
+    ) in arrivals:
         await asyncio.sleep(delay)
         assert queue.queued <= limit
-        work = run_statement(caller, priority, service, left)
-        tasks.append(asyncio.create_task(run_with_timeout(work, patience)))
+        run_call = run_statement(caller, priority, service, remaining_seconds)
+        tasks.append(asyncio.create_task(run_with_timeout(run_call, timeout_seconds)))
     await asyncio.gather(*tasks)
     assert (queue.busy, queue.queued) == (0, 0)
-    assert all(share.queued == 0 for share in queue.priority_classes)
+    assert all(priority_class.queued == 0 for priority_class in queue.priority_classes)
 
 
 @in_virtual_time
--- a/tests/test_request_dispatch.py
+++ b/tests/test_request_dispatch.py
@@ -28,7 +28,7 @@
 SETTLE_SECONDS: Final = 5.0
 
 
-class Hop:
+class DispatchSetup:
     """Set up an entry host that is not a home, and the two homes of the target."""
 
     def __init__(self) -> None:
@@ -66,67 +66,69 @@
     return {"answer": 7}
 
 
-def fails(body: Json) -> Json:
+def failing_handler(body: Json) -> Json:
     raise ZeroDivisionError
 
 
-def lose_request(hop: Hop) -> None:
-    hop.network.cut("entry", "h1")
+def lose_request(setup: DispatchSetup) -> None:
+    setup.network.cut("entry", "h1")
 
 
-def lose_response(hop: Hop) -> None:
-    hop.network.cut("h1", "entry")
+def lose_response(setup: DispatchSetup) -> None:
+    setup.network.cut("h1", "entry")
 
 
-def pause_home(hop: Hop) -> None:
-    hop.network.pause("h1")
-    asyncio.get_running_loop().call_later(1.0, hop.network.resume, "h1")
+def pause_home(setup: DispatchSetup) -> None:
+    setup.network.pause("h1")
+    asyncio.get_running_loop().call_later(1.0, setup.network.resume, "h1")
 
 
-def run_late(hop: Hop) -> None:
-    hop.model.service_time = 1.0
+def run_late(setup: DispatchSetup) -> None:
+    setup.model.service_time = 1.0
 
 
-def crash_home(hop: Hop) -> None:
-    hop.network.crash("h1")
+def crash_home(setup: DispatchSetup) -> None:
+    setup.network.crash("h1")
 
 
-def crash_both(hop: Hop) -> None:
-    hop.network.crash("h1")
-    hop.network.crash("h2")
+def crash_both(setup: DispatchSetup) -> None:
+    setup.network.crash("h1")
+    setup.network.crash("h2")
 
 
-def crash_then_wrong(hop: Hop) -> None:
-    hop.network.crash("h1")
-    hop.serve("h2", wrong_home)
+def crash_then_wrong(setup: DispatchSetup) -> None:
+    setup.network.crash("h1")
+    setup.serve("h2", wrong_home)
 
 
-def home_moved(hop: Hop) -> None:
-    hop.serve("h1", wrong_home)
+def home_moved(setup: DispatchSetup) -> None:
+    setup.serve("h1", wrong_home)
 
 
-def no_home(hop: Hop) -> None:
-    hop.serve("h1", wrong_home)
-    hop.serve("h2", wrong_home)
+def no_home(setup: DispatchSetup) -> None:
+    setup.serve("h1", wrong_home)
+    setup.serve("h2", wrong_home)
 
 
-def no_host(hop: Hop) -> None:
-    hop.directory.fixed[TARGET] = []
+def no_host(setup: DispatchSetup) -> None:
+    setup.directory.fixed[TARGET] = []
 
 
-def return_malformed_response(hop: Hop) -> None:
-    hop.serve("h1", malformed_response)
+def return_malformed_response(setup: DispatchSetup) -> None:
+    setup.serve("h1", malformed_response)
 
 
-def handler_fails(hop: Hop) -> None:
-    hop.serve("h1", fails)
+def handler_fails(setup: DispatchSetup) -> None:
+    setup.serve("h1", failing_handler)
 
 
-def home_refuses(hop: Hop) -> None:
-    hop.model.refuse(StatementKind.WRITE, not_run(RefusalReason.OVERLOADED, "no slot"))
+def home_refuses(setup: DispatchSetup) -> None:
+    setup.model.refuse(
+        StatementKind.WRITE, not_run(RefusalReason.OVERLOADED, "no slot")
+    )
 
 
-def nothing_broken(hop: Hop) -> None:
+def nothing_broken(setup: DispatchSetup) -> None:
     pass
 
 
@@ -134,7 +136,7 @@
 NOT_RUN: Final = Verdict.NOT_RUN
 MAY_HAVE_RUN: Final = Verdict.MAY_HAVE_RUN
 
-FAULTS: Final[list[tuple[Callable[[Hop], None], Verdict, int]]] = [
+FAULTS: Final[list[tuple[Callable[[DispatchSetup], None], Verdict, int]]] = [
     (nothing_broken, DONE, 1),
     (no_host, NOT_RUN, 0),
     (crash_home, DONE, 1),
@@ -152,10 +154,12 @@
 ]
 
 
-async def outcome(hop: Hop, statement: Statement) -> HomeResponse | RefusalError:
+async def outcome(
+    setup: DispatchSetup, statement: Statement
+) -> HomeResponse | RefusalError:
     """Return the response or the refusal of a statement."""
     try:
-        return await hop.entry.dispatch.execute(TARGET, statement)
+        return await setup.entry.dispatch.execute(TARGET, statement)
     except RefusalError as refusal:
         return refusal
 
@@ -168,29 +172,29 @@
 @pytest.mark.parametrize(("fault", "verdict", "ran"), FAULTS)
 @in_virtual_time
 async def test_write_verdict_is_correct_for_each_fault(
-    fault: Callable[[Hop], None], verdict: Verdict, ran: int
+    fault: Callable[[DispatchSetup], None], verdict: Verdict, ran: int
 ) -> None:
-    hop = Hop()
-    fault(hop)
-    result = await outcome(hop, make_statement(StatementKind.WRITE))
+    setup = DispatchSetup()
+    fault(setup)
+    result = await outcome(setup, make_statement(StatementKind.WRITE))
     actual = result.verdict if isinstance(result, RefusalError) else Verdict.DONE
     assert actual is verdict
     await asyncio.sleep(SETTLE_SECONDS)
-    assert hop.model.ran["pay"] == ran
+    assert setup.model.ran["pay"] == ran
 
 
 @pytest.mark.parametrize(("fault", "verdict", "ran"), FAULTS)
 @in_virtual_time
 async def test_refused_read_has_no_effect(
-    fault: Callable[[Hop], None], verdict: Verdict, ran: int
+    fault: Callable[[DispatchSetup], None], verdict: Verdict, ran: int
 ) -> None:
-    hop = Hop()
-    fault(hop)
-    result = await outcome(hop, make_statement(StatementKind.READ))
+    setup = DispatchSetup()
+    fault(setup)
+    result = await outcome(setup, make_statement(StatementKind.READ))
     if isinstance(result, RefusalError):
         assert result.verdict is Verdict.NOT_RUN
     await asyncio.sleep(SETTLE_SECONDS)
-    assert not hop.model.ran
+    assert not setup.model.ran
 
 
 @pytest.mark.parametrize(
@@ -198,49 +202,49 @@
 )
 @in_virtual_time
 async def test_transaction_statement_is_sent_once(kind: StatementKind) -> None:
-    hop = Hop()
-    lose_response(hop)
+    setup = DispatchSetup()
+    lose_response(setup)
     statement = make_statement(kind)
     statement.transaction = "t1"
     with pytest.raises(RefusalError) as caught:
-        await hop.entry.dispatch.execute_at(hop.hosts[0], TARGET, statement)
+        await setup.entry.dispatch.execute_at(setup.hosts[0], TARGET, statement)
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
-    assert hop.network.calls["statement"] == 1
+    assert setup.network.calls["statement"] == 1
 
 
 @in_virtual_time
 async def test_local_target_needs_no_peer_call() -> None:
-    hop = Hop()
-    hop.directory.fixed[TARGET] = [hop.directory.me]
-    response = await hop.entry.dispatch.execute(
+    setup = DispatchSetup()
+    setup.directory.fixed[TARGET] = [setup.directory.me]
+    response = await setup.entry.dispatch.execute(
         TARGET, make_statement(StatementKind.WRITE)
     )
-    assert response.host == hop.directory.me
-    assert hop.network.calls["statement"] == 0
+    assert response.host == setup.directory.me
+    assert setup.network.calls["statement"] == 0
 
 
 @in_virtual_time
 async def test_at_most_two_hosts_are_tried() -> None:
-    hop = Hop()
-    no_home(hop)
-    refusal = await outcome(hop, make_statement(StatementKind.WRITE))
+    setup = DispatchSetup()
+    no_home(setup)
+    refusal = await outcome(setup, make_statement(StatementKind.WRITE))
     assert isinstance(refusal, RefusalError)
     assert refusal.reason is RefusalReason.WRONG_HOME
-    assert hop.network.calls["statement"] == 2
+    assert setup.network.calls["statement"] == 2
 
 
 @in_virtual_time
 async def test_remaining_time_is_sent_to_home() -> None:
-    hop = Hop()
+    setup = DispatchSetup()
     seen = []
 
     def record_remaining(body: Json) -> Json:
         seen.append(body["statement"]["remaining"])
         raise not_run(RefusalReason.WRONG_HOME, "not the home")
 
-    hop.serve("h1", record_remaining)
-    hop.serve("h2", record_remaining)
-    await outcome(hop, make_statement(StatementKind.WRITE))
+    setup.serve("h1", record_remaining)
+    setup.serve("h2", record_remaining)
+    await outcome(setup, make_statement(StatementKind.WRITE))
     assert seen[0] == 0.5
     assert seen[1] < seen[0]
 
@@ -251,15 +255,15 @@
 )
 @in_virtual_time
 async def test_unresponsive_host_is_reported_lost(
-    fault: Callable[[Hop], None], lost: list[str]
+    fault: Callable[[DispatchSetup], None], lost: list[str]
 ) -> None:
-    hop = Hop()
+    setup = DispatchSetup()
     reported: list[str] = []
-    hop.entry.dispatch.on_host_lost = lambda host: reported.append(host.host)
-    fault(hop)
+    setup.entry.dispatch.on_host_lost = lambda host: reported.append(host.host)
+    fault(setup)
     statement = Statement(StatementKind.READ, "g1", "gate", "select 1", [], 1.0)
     try:
-        await hop.entry.dispatch.execute(TARGET, statement)
+        await setup.entry.dispatch.execute(TARGET, statement)
     except RefusalError:
         pass
     assert reported == lost
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -23,12 +23,12 @@
     """Record the replicas at which reads are run."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.tried: list[str] = []
 
     async def run_at_replica(
         self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
     ) -> ReplicaReadResult:
-        self.asked.append(entry.target)
+        self.tried.append(entry.target)
         assert statement.wait_limit_seconds is None
         return ReplicaReadResult()
 
@@ -48,7 +48,7 @@
 
 def make_read() -> SessionStatement:
     """Return the first statement of a read-only transaction."""
-    statement_to_run = SessionStatement(
+    statement = SessionStatement(
         "db",
         "",
         "s",
@@ -61,8 +61,8 @@
         "READ a",
         0.8,
     )
-    statement_to_run.wait_limit_seconds = 0.02
-    return statement_to_run
+    statement.wait_limit_seconds = 0.02
+    return statement
 
 
 def overloaded(wait_ms: int) -> RefusalError:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "first, asked",
+    "first, tried",
     [
         (overloaded(90), ["m2"]),
         (overloaded(60), []),
@@ -81,14 +81,14 @@
 )
 @in_virtual_time
 async def test_read_waits_at_target_with_shortest_wait(
-    first: RefusalError, asked: list[str]
+    first: RefusalError, tried: list[str]
 ) -> None:
     router = RefusingRouter([first, overloaded(90)])
     with pytest.raises(RefusalError):
         await router.run_at_shortest_wait(
             make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
         )
-    assert router.replica_reader.asked == asked  # type: ignore[attr-defined]
+    assert router.replica_reader.tried == tried  # type: ignore[attr-defined]
 
 
 @in_virtual_time
@@ -100,4 +100,4 @@
             make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
         )
     assert caught.value.reason is RefusalReason.TRANSACTION_LOST
-    assert router.replica_reader.asked == []  # type: ignore[attr-defined]
+    assert router.replica_reader.tried == []  # type: ignore[attr-defined]
