--- a/src/reedhook/request/replica_selector.py
+++ b/src/reedhook/request/replica_selector.py
@@ -249,7 +249,7 @@
         If none is known to satisfy it, return the replica with the least lag among
         those that are expected to.
         """
-        known = []
+        satisfying = []
         expected = []
         views = context.view.members
         for member in context.group.members:
@@ -257,11 +257,11 @@
             if member_view is None or not self.accepts_reads(member_view, context):
                 continue
             if is_known_to_satisfy(member_view, context.statement, context.now):
-                known.append(member)
+                satisfying.append(member)
             elif is_expected_to_satisfy(member_view, context):
                 expected.append(member)
-        if known or not expected:
-            return known
+        if satisfying or not expected:
+            return satisfying
         return [
             min(
                 expected,
--- a/src/reedhook/request/statement_dispatcher.py
+++ b/src/reedhook/request/statement_dispatcher.py
@@ -168,14 +168,14 @@
         :raises RefusalError: not run, if the group or the member is unknown.
         """
         catalog = self.catalog()
-        found = catalog.groups.get(group) if catalog is not None else None
-        if found is None:
+        known_group = catalog.groups.get(group) if catalog is not None else None
+        if known_group is None:
             raise not_run(
                 RefusalReason.UNKNOWN_GROUP, f"the group {group} is not known"
             )
-        for one in found.members:
-            if one.member_id == member:
-                return self.directory.ranked(member, one.zone)
+        for group_member in known_group.members:
+            if group_member.member_id == member:
+                return self.directory.ranked(member, group_member.zone)
         raise not_run(
             RefusalReason.TARGET_LEAVING,
             f"the target {member} has left the group {group}",
