--- a/src/reedhook/process/groups/durability_tracker.py
+++ b/src/reedhook/process/groups/durability_tracker.py
@@ -1,4 +1,4 @@
-"""One wait, shared by all writes, for a majority of members to hold them."""
+"""Durable position of a group, and the writes that wait for it."""
 
 import asyncio
 import heapq
@@ -17,11 +17,11 @@
 def durable_position(
     states: Iterable[MemberState], term: int, majority: int
 ) -> Position | None:
-    """Return the last position of `term` that a majority holds for good.
+    """Return the last position of `term` that is durable on a majority.
 
     A member counts if it held an entry of `term` while it had promised no
-    higher term: any majority that promises a higher one then holds a member
-    whose answer shows the entry. This stays true of old states too.
+    higher term. Any majority that promises a higher term then includes a member
+    whose answer shows the entry. Old states may be used, as this stays true.
 
     :returns: None if no majority holds an entry of `term`.
     """
@@ -37,10 +37,12 @@
 
 
 class DurabilityTracker:
-    """Know what is durable at the current term and wake those who wait.
+    """Track the durable position of the current term and wake the waiters.
 
     :ivar term: the highest leader term known.
     :ivar watermark: the last position known to be durable.
+    :ivar waiters: heap of position, serial number and future.
+    :ivar prune_at: number of waiters from which abandoned ones are dropped.
     """
 
     __slots__ = ("term", "watermark", "waiters", "order", "prune_at")
@@ -53,19 +55,19 @@
         self.prune_at = WAITER_PRUNE_LIMIT
 
     def is_durable(self, position: Position) -> bool:
-        """Say whether `position` is known to be durable.
+        """Return whether `position` is known to be durable.
 
-        A mark of a later term says nothing of an earlier term's last entries,
-        which the later primary may lack.
+        A watermark of a later term proves nothing about the last entries of an
+        earlier term, which the later primary may lack.
         """
         return position.term == self.watermark.term and self.watermark.covers(position)
 
     def is_superseded(self, position: Position) -> bool:
-        """Say whether a later term leaves the fate of `position` unknown."""
+        """Return whether a later term began before `position` became durable."""
         return position.term < self.term and not self.is_durable(position)
 
     def advance(self, watermark: Position) -> bool:
-        """Take note that `mark` is durable; return whether that is news."""
+        """Record that `watermark` is durable; return whether it advanced."""
         if watermark <= self.watermark:
             return False
         self.watermark = watermark
@@ -76,7 +78,7 @@
         return True
 
     def enter_term(self, term: int) -> None:
-        """Take note of a leader term; waits of lower terms end at once."""
+        """Record a leader term; waits for positions of lower terms fail at once."""
         if term <= self.term:
             return
         self.term = term
@@ -84,19 +86,19 @@
             resolve_waiter(heapq.heappop(self.waiters)[2], False)
 
     def has_waiters(self) -> bool:
-        """Say whether anybody waits for a position to become durable."""
+        """Return whether any write waits for durability."""
         return any(not waiter.done() for _, _, waiter in self.waiters)
 
     def abandon_waits(self) -> None:
-        """End all waits, as nothing becomes durable for some time."""
+        """Fail all waits, because no majority is reachable."""
         waiters, self.waiters = self.waiters, []
         for _, _, waiter in waiters:
             resolve_waiter(waiter, False)
 
     async def wait(self, position: Position, timeout: float) -> bool:
-        """Return True once `position` is durable, False if given up before.
+        """Wait until `position` is durable.
 
-        It is given up once superseded, or when all waits are abandoned.
+        :returns: False once `position` is superseded or all waits are abandoned.
 
         :raises TimeoutError: after `timeout` seconds.
         """
@@ -110,15 +112,15 @@
             return await waiter
 
     def push(self, position: Position, waiter: DurabilityWaiter) -> None:
-        """Queue `waiter`, and drop those that gave up once they are many."""
+        """Queue `waiter`; drop the timed-out waiters once the queue is long."""
         if len(self.waiters) >= self.prune_at:
-            self.waiters = [one for one in self.waiters if not one[2].done()]
+            self.waiters = [entry for entry in self.waiters if not entry[2].done()]
             heapq.heapify(self.waiters)
             self.prune_at = max(WAITER_PRUNE_LIMIT, 2 * len(self.waiters))
         heapq.heappush(self.waiters, (position, next(self.order), waiter))
 
 
 def resolve_waiter(waiter: DurabilityWaiter, durable: bool) -> None:
-    """Answer `waiter` unless it has given up."""
+    """Set the result of `waiter` unless it has timed out."""
     if not waiter.done():
         waiter.set_result(durable)
--- a/src/reedhook/process/groups/group_manager.py
+++ b/src/reedhook/process/groups/group_manager.py
@@ -1,4 +1,4 @@
-"""Keep one database group: what is known of it, proofs, and its primary."""
+"""Coordinate one database group: its state, its proofs and its primary."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -48,12 +48,11 @@
 
 
 class GroupManager:
-    """Answer for one group on a host that is home of one of its members.
+    """Manage one group on a host that is home of at least one of its members.
 
     :param homes: returns the local homes of the group's members.
-    :param on_primary_change: is told of each change of primary made here.
-    :param on_host_lost: is told when a home seems dead and its target lives.
-    :ivar view: what this host knows of the group.
+    :param on_primary_change: called after each change of primary made by this host.
+    :param on_host_lost: called when a home seems dead but its target is alive.
     """
 
     def __init__(
@@ -136,11 +135,11 @@
 
     @property
     def view(self) -> GroupView:
-        """Return what this host knows of the group."""
+        """Return this host's view of the group."""
         return self.group_state.view
 
     async def start(self) -> None:
-        """Begin to follow the local members and to watch the primary."""
+        """Start monitoring the local members and the primary."""
         self.tasks = [
             asyncio.create_task(self.primary_monitor.run()),
             asyncio.create_task(self.monitor_isolation()),
@@ -149,13 +148,13 @@
         self.request_primary_check()
 
     def refresh(self) -> None:
-        """Take note that the set of local homes may have changed."""
+        """Update the monitored members after a possible change of local homes."""
         self.reporter.refresh()
         if self.group_state.durability.has_waiters():
             self.start_state_polling()
 
     async def retire(self) -> None:
-        """Close once the proofs in progress have ended; they have deadlines."""
+        """Close after the pending proofs have ended; each of them has a deadline."""
         for task in self.tasks:
             task.cancel()
         self.refresh()
@@ -163,7 +162,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Stop; the members are left as they are."""
+        """Cancel all tasks; the members keep their roles."""
         self.reporter.close()
         self.confirmation.close()
         self.sampler.close()
@@ -172,7 +171,7 @@
                 task.cancel()
 
     def request_primary_check(self) -> None:
-        """Have the guard look at the primary soon."""
+        """Ask the primary monitor to check the primary soon."""
         self.primary_monitor.request_check()
 
     def home(self, member: str | None) -> Home | None:
@@ -180,12 +179,12 @@
         return self.reporter.home(member)
 
     def known_leader(self) -> GroupLeader | None:
-        """Return the leader that is known."""
+        """Return the known leader, or None."""
         primary = self.group_state.primary
         return None if primary is None else GroupLeader(self.group_state.term, primary)
 
     def local_leader(self) -> GroupLeader | None:
-        """Return the leader if its home is here."""
+        """Return the known leader if its home is on this host."""
         if self.home(self.group_state.primary) is None:
             return None
         return self.known_leader()
@@ -193,34 +192,34 @@
     # Proofs for statements
 
     def record_write(self, member: str, position: Position) -> None:
-        """Learn from the answer to a write."""
+        """Record the position of a write that `member` executed."""
         self.group_state.record_write(member, position)
 
     async def wait_until_durable(
         self, position: Position, timeout: float, since: float | None = None
     ) -> None:
-        """Return once a majority holds `position` at its term.
+        """Wait until a majority holds `position` at its term.
 
-        What took long is confirmed besides: this host may have been paused
-        while another primary came up, and must not speak for the former one.
+        A write that took long also needs a confirmation of the leader: this host
+        may have been paused while another member was promoted.
 
         :param since: local monotonic time in seconds at which the write was
             sent to the target; now by default.
-        :raises Refusal: ``not_durable`` after `timeout` seconds or once no
-            majority is reached, or ``superseded`` once a later term leaves
-            its fate unknown; the write may have run.
+        :raises RefusalError: ``not_durable`` after `timeout` seconds or if no
+            majority is reachable, ``superseded`` if a later term began before
+            the write was known to be durable; the write may have run.
         """
-        begun = self.clock.monotonic() if since is None else since
+        started_at = self.clock.monotonic() if since is None else since
         try:
             async with self.pending_proofs, asyncio.timeout(timeout):
                 self.start_state_polling()
-                held = await self.group_state.durability.wait(position, timeout)
+                durable = await self.group_state.durability.wait(position, timeout)
                 if (
-                    held
-                    and self.clock.monotonic() - begun
+                    durable
+                    and self.clock.monotonic() - started_at
                     > CONFIRM_WRITES_SLOWER_THAN_SECONDS
                 ):
-                    held = await self.wait_until_leadership_confirmed(
+                    durable = await self.wait_until_leadership_confirmed(
                         self.request_confirmation(), position.term
                     )
         except TimeoutError:
@@ -230,19 +229,19 @@
                 "applied, not yet safe: no majority holds it in time",
                 RETRY_NOT_DURABLE_MS,
             ) from None
-        if not held:
+        if not durable:
             self.check_majority_reachable()
             self.metrics.increment("group.superseded")
             raise may_have_run(
                 RefusalReason.SUPERSEDED,
-                "the primary was superseded before the write was known to be safe",
+                "the primary was superseded before the write was known to be durable",
                 RETRY_AFTER_MS,
             )
 
     def start_state_polling(self) -> None:
-        """Ask the members while somebody waits and their reports go elsewhere.
+        """Poll the members while writes wait and reports go to another host.
 
-        A commit may end here after the primary's home has moved.
+        A transaction may commit here after the primary's home has moved.
         """
         if self.local_leader() is None and (
             self.state_polling is None or self.state_polling.done()
@@ -250,51 +249,52 @@
             self.state_polling = asyncio.create_task(self.poll_member_states())
 
     async def poll_member_states(self) -> None:
-        """Learn the members' states by rounds until nobody waits here for them."""
+        """Fetch the members' states in rounds while writes wait for durability."""
         while self.group_state.durability.has_waiters() and self.local_leader() is None:
             await self.confirmation.wait_for_round(self.confirmation.request_round())
             await self.clock.sleep(CONFIRM_RETRY_DELAY_SECONDS)
 
     def request_confirmation(self) -> int:
-        """Return the ticket of a confirmation that begins from now on."""
+        """Return the number of a confirmation round that starts after this call."""
         return self.confirmation.request_round()
 
     async def wait_until_confirmed(
         self, round_number: int, position: Position, timeout: float
     ) -> None:
-        """Return once the primary is proved to have led after the ticket.
+        """Wait until a round proves that the primary led after its start.
 
-        The position that the read saw must be durable too, lest a change of
-        primary take back what the read showed.
+        The position that the read saw must be durable too. Otherwise a change
+        of primary could revoke what the read returned.
 
-        :raises Refusal: ``unconfirmed``; a read has no effect.
+        :param round_number: a number from :meth:`request_confirmation`.
+        :raises RefusalError: ``unconfirmed``; a read has no effect.
         """
         try:
             async with self.pending_proofs, asyncio.timeout(timeout):
-                held = await self.wait_until_leadership_confirmed(
+                confirmed = await self.wait_until_leadership_confirmed(
                     round_number, position.term
                 )
-                held = held and await self.group_state.durability.wait(
+                confirmed = confirmed and await self.group_state.durability.wait(
                     position, timeout
                 )
         except TimeoutError:
-            held = False
-        if not held:
+            confirmed = False
+        if not confirmed:
             self.metrics.increment("group.unconfirmed")
             raise not_run(
                 RefusalReason.UNCONFIRMED,
-                "no majority confirms that the primary still leads",
+                "no majority confirmed that the primary still leads",
                 RETRY_AFTER_MS,
             )
 
     async def wait_until_leadership_confirmed(
         self, round_number: int, term: int
     ) -> bool:
-        """Prove that the primary of `term` led after the ticket was taken.
+        """Wait until a round proves that the primary of `term` still led.
 
-        A round that fails is followed by another one, which proves more.
+        Failed rounds are repeated; a later round proves at least as much.
 
-        :returns: False if a later term is known.
+        :returns: False if a later term is known or no majority is reachable.
         """
         await self.confirmation.wait_for_round(round_number)
         while not self.confirmation.is_confirmed(round_number, term):
@@ -305,13 +305,13 @@
         return True
 
     def age(self, applied: Position) -> float | None:
-        """Return the proved upper bound of the age of `applied`, in seconds."""
+        """Return a proved upper bound of the age of `applied` in seconds, or None."""
         return self.group_state.age(applied)
 
-    # Questions of other hosts
+    # Requests of other hosts
 
     async def on_report(self, report: ReplicaReport) -> ReplicaReportAnswer:
-        """Learn from a report and answer it."""
+        """Merge a replica's report and return the answer."""
         now = self.clock.monotonic()
         self.group_state.merge_state(report.state, now)
         self.last_report_at[report.state.member] = now
@@ -320,9 +320,10 @@
         return self.report_answer(report.state.member)
 
     def report_answer(self, member: str) -> ReplicaReportAnswer:
-        """Return what the home of `member` should know.
+        """Return the answer to a report of `member`.
 
-        What is known of the other members goes along once a second.
+        The states of the other members are included once per
+        `VIEW_INTERVAL_SECONDS`.
         """
         view = GroupView(self.group.name, self.view.term, self.view.primary)
         now = self.clock.monotonic()
@@ -342,18 +343,21 @@
         )
 
     def refresh_view(self) -> None:
-        """Bring the view of the local members up to date."""
+        """Merge the newest states of the local members into the view."""
         for home in self.homes():
             self.reporter.merge_local_state(home)
 
     async def on_confirm(self, member: str) -> MemberState:
-        """Ask the local target `member` for a state sent from now on.
+        """Fetch a state that the local target `member` sends after this call.
 
-        :raises Refusal: if it is not at home here or gives no answer.
+        :raises RefusalError: if its home is not on this host or the target does
+            not answer.
         """
         home = self.home(member)
         if home is None:
-            raise not_run(RefusalReason.WRONG_HOME, f"{member} is not at home here")
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"{member} has no home on this host"
+            )
         asked = self.clock.monotonic()
         try:
             state = await home.fetch_state(CONFIRM_TIMEOUT_SECONDS)
@@ -365,7 +369,7 @@
     def on_control(
         self, request: MemberControlRequest, state: MemberState, asked: float
     ) -> None:
-        """Learn from an order that another host gave to a local member."""
+        """Record the result of a control request of another host."""
         if (
             request.operation is ControlOperation.FOLLOW
             and state.leader_term == request.term
@@ -376,7 +380,7 @@
     # Confirmation
 
     async def request_state(self, member: str, timeout: float) -> MemberState | None:
-        """Ask `member` for a state sent from now on, at its home."""
+        """Fetch a state of `member` sent after this call; None without an answer."""
         try:
             if self.home(member) is not None:
                 return await self.on_confirm(member)
@@ -385,7 +389,7 @@
             return None
 
     async def ask_peer(self, member: str, timeout: float) -> MemberState | None:
-        """Send the question `confirm` to the home of `member`."""
+        """Call the peer path ``confirm`` at the home of `member`."""
         host = self.directory.home(member, self.reporter.zone(member))
         if host is None:
             return None
@@ -401,69 +405,70 @@
     # Change of primary
 
     async def monitor_isolation(self) -> None:
-        """Ask the other members when a local primary hears nothing of them.
+        """Query the other members when no majority reports to a local primary.
 
-        A primary that was cut off learns so that it has been superseded. If
-        none answers, those who wait for a proof get their answer at once.
+        This is how an isolated primary detects that it was superseded. If no
+        majority answers, pending waits for durability fail at once.
         """
         while True:
             await self.clock.sleep(ISOLATION_CHECK_INTERVAL_SECONDS)
-            lead = self.local_leader()
-            if lead is None or self.majority_reported_recently():
+            leader = self.local_leader()
+            if leader is None or self.majority_reported_recently():
                 self.isolation_detected = False
                 continue
             await self.confirmation.wait_for_round(self.confirmation.request_round())
             if self.confirmation.stalled:
-                # Answers may lie unread in this process: nothing is known yet.
+                # Answers may still be unread in this process.
                 continue
-            # Who was heard just now is not alone, also if a stall of this process
-            # makes the next reports late before the next look.
+            # Members that reported during the round prove that a majority is
+            # reachable, even if a stall of this process delays later reports.
             self.isolation_detected = (
-                self.local_leader() == lead and not self.majority_reported_recently()
+                self.local_leader() == leader and not self.majority_reported_recently()
             )
             if self.isolated:
                 self.group_state.durability.abandon_waits()
 
     @property
     def isolated(self) -> bool:
-        """Say whether a local primary was found to reach no majority."""
+        """Return whether a local primary was found to reach no majority."""
         return self.isolation_detected and not self.majority_reported_recently()
 
     def check_majority_reachable(self) -> None:
-        """Refuse a write while no majority can be reached.
+        """Refuse a write while no majority is reachable.
 
-        It is not sent to the target, but an earlier one of its request id may
-        have run there.
+        The write is not sent to the target, but an earlier attempt with the same
+        request id may have run there.
 
-        :raises Refusal: ``not_durable``; may have run.
+        :raises RefusalError: ``not_durable``; may have run.
         """
         if not self.isolated:
             return
         self.metrics.increment("group.not_durable")
         raise may_have_run(
             RefusalReason.NOT_DURABLE,
-            "the primary's home reaches no majority of the group",
+            "the home of the primary cannot reach a majority of the group",
             RETRY_ISOLATED_MS,
         )
 
     def majority_reported_recently(self) -> bool:
-        """Say whether enough members reported lately to make a majority.
+        """Return whether a majority reported within the last interval.
 
-        A new primary's home has yet to be found by the others.
+        True just after a change of leader, since the other members have yet to
+        find the new primary's home.
         """
         now = self.clock.monotonic()
         if now - self.leader_changed_at < MEMBER_SILENT_AFTER_SECONDS:
             return True
         local = {home.member.member_id for home in self.homes()}
-        heard = {
+        reported = {
             member
             for member, at in self.last_report_at.items()
             if now - at < MEMBER_SILENT_AFTER_SECONDS
         }
-        return len(local | heard) >= self.group.majority
+        return len(local | reported) >= self.group.majority
 
     async def hand_over(self, timeout: float) -> bool:
-        """Move the lead away from the present primary, with a short pause.
+        """Move leadership to another member with a short pause of writes.
 
         :returns: whether another member leads now.
         """
@@ -472,9 +477,11 @@
     async def wait_for_newer_leader(
         self, term: int, primary: str | None, hold: float
     ) -> None:
-        """Wait up to `hold` seconds for a leader that an asker does not know.
+        """Wait up to `hold` seconds for a leader that the requester does not know.
 
-        :param term: the term that the asker knows, with its primary if known.
+        :param term: the highest term that the requester knows.
+        :param primary: the primary of `term`, or None if the requester does not
+            know it.
         """
         try:
             async with asyncio.timeout(hold):
@@ -484,7 +491,7 @@
             return
 
     def knows_newer_leader(self, term: int, primary: str | None) -> bool:
-        """Say whether a leader is known here that is news to an asker."""
+        """Return whether this host knows a leader that the requester does not."""
         if self.group_state.primary is None:
             return False
         return self.group_state.term > term or (
@@ -492,7 +499,7 @@
         )
 
     def on_leader_change(self, term: int, primary: str) -> None:
-        """Act on a new leader."""
+        """Wake long polls and reset reporting after a change of leader."""
         self.leader_news.set()
         self.leader_news = asyncio.Event()
         self.leader_changed_at = self.clock.monotonic()
@@ -502,19 +509,19 @@
         )
 
     def on_watermark_advance(self, watermark: Position) -> None:
-        """Record when the first entry of a term is durable."""
+        """Record when the first entry of a new term becomes durable."""
         if watermark.term <= self.resumed:
             return
-        former, self.resumed = self.resumed, watermark.term
+        previous_term, self.resumed = self.resumed, watermark.term
         if self.local_leader() is None:
             return
-        since = self.clock.monotonic() - self.leader_changed_at
-        if former:
-            self.metrics.timing("primary.first_write", since)
+        elapsed = self.clock.monotonic() - self.leader_changed_at
+        if previous_term:
+            self.metrics.timing("primary.first_write", elapsed)
         self.timeline.record(
             EventKind.WRITES_RESUMED,
             self.group.name,
             term=watermark.term,
             primary=self.group_state.primary,
-            after_learned_ms=to_rounded_ms(since),
+            after_learned_ms=to_rounded_ms(elapsed),
         )
--- a/src/reedhook/process/groups/group_managers.py
+++ b/src/reedhook/process/groups/group_managers.py
@@ -1,4 +1,4 @@
-"""Keepers of the groups that this host is home of a member of."""
+"""Group managers of the groups with a home on this host."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,11 +17,12 @@
 
 
 class GroupManagers:
-    """Hold one keeper for each group of which a home is here.
+    """Run one group manager for each group with a home on this host.
 
-    :param make_manager: makes a keeper that is not started yet.
-    :param homes: returns the local homes of a group's members, with former
-        ones in which transactions still end; their commits need proof.
+    :param make_manager: creates a group manager without starting it.
+    :param homes: returns the local homes of a group's members, released ones
+        included, since the commits of their open transactions need proof.
+    :ivar retiring: managers without a local home that finish their proofs.
     """
 
     __slots__ = ("make_manager", "homes", "catalog", "managers", "retiring", "tasks")
@@ -37,29 +38,29 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def get(self, group: str) -> GroupManager | None:
-        """Return the keeper of `group`, or None if no home of it is here."""
+        """Return the manager of `group`, or None without a local home."""
         return self.managers.get(group)
 
     def apply_catalog(self, catalog: Catalog) -> None:
-        """Take note of the configuration now in force."""
+        """Apply a new configuration."""
         self.catalog = catalog
         self.reconcile()
 
     def reconcile(self) -> None:
-        """Start, refresh and close keepers to match the homes that are here."""
+        """Start, refresh and retire managers to match the local homes."""
         wanted = self.wanted()
-        for name, keeper in list(self.managers.items()):
-            if wanted.get(name) == keeper.group:
-                keeper.refresh()
+        for name, manager in list(self.managers.items()):
+            if wanted.get(name) == manager.group:
+                manager.refresh()
                 continue
             del self.managers[name]
-            self.retire(keeper)
+            self.retire(manager)
         for name, group in wanted.items():
             if name not in self.managers:
                 self.open(group)
 
     def wanted(self) -> dict[str, Group]:
-        """Return the groups of which a home is here."""
+        """Return the groups with a home on this host."""
         if self.catalog is None:
             return {}
         return {
@@ -69,15 +70,15 @@
         }
 
     def open(self, group: Group) -> None:
-        """Make and start the keeper of `group`."""
-        keeper = self.make_manager(group)
-        self.managers[group.name] = keeper
-        task = asyncio.create_task(keeper.start())
+        """Create and start the manager of `group`."""
+        manager = self.make_manager(group)
+        self.managers[group.name] = manager
+        task = asyncio.create_task(manager.start())
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
 
     def retire(self, manager: GroupManager) -> None:
-        """Close a keeper in the background, once its proofs have ended."""
+        """Close a manager in the background after its pending proofs."""
         self.retiring.add(manager)
         task = asyncio.create_task(manager.retire())
         self.tasks.add(task)
@@ -85,17 +86,17 @@
         task.add_done_callback(self.on_task_done)
 
     def on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Forget a task; log what it raised."""
+        """Remove a finished task and log its exception."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("A keeper failed: {!r}.", task.exception())
+            log.error("A group manager failed: {!r}.", task.exception())
 
     async def close(self) -> None:
-        """Close all keepers."""
-        held, self.managers = self.managers, {}
+        """Close all managers."""
+        managers, self.managers = self.managers, {}
         for task in self.tasks:
             task.cancel()
-        for keeper in [*held.values(), *self.retiring]:
-            await keeper.close()
+        for manager in [*managers.values(), *self.retiring]:
+            await manager.close()
         if self.tasks:
             await asyncio.wait(self.tasks)
--- a/src/reedhook/process/groups/group_promotion.py
+++ b/src/reedhook/process/groups/group_promotion.py
@@ -1,8 +1,8 @@
-"""Raise the term at a majority, promote its best member, let others follow.
+"""One promotion attempt: raise the term at a majority, promote, notify followers.
 
-The members are the acceptors, so any number of coordinators may run at once
-and each may stop or be paused between any two steps. An attempt has a term
-and an owner of its own, and promotes one member only.
+The members act as acceptors, so any number of coordinators may run at once, and
+each may stop or be paused between any two steps. An attempt has a term and an
+owner of its own and promotes only one member.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 
 
 class GroupPromotionError(Exception):
-    """Say that an attempt ended without a primary that it knows of.
+    """Promotion attempt that ended without a known new primary.
 
-    :param step: the step that failed.
-    :param promised: the highest term seen; a later attempt must exceed it.
+    :param step: the failed step, ``raise`` or ``promote``.
+    :param promised: the highest promised term seen; the next attempt must exceed it.
     """
 
     def __init__(self, step: str, detail: str, promised: int) -> None:
@@ -39,10 +39,10 @@
 
 
 class GroupPromotionResult(Record):
-    """Carry the outcome of an attempt.
+    """Outcome of a successful attempt.
 
     :param agreement_seconds: seconds until a majority had promised the term.
-    :param promotion_seconds: seconds that the promotion itself took.
+    :param promotion_seconds: seconds of the promotion after the agreement.
     """
 
     __slots__ = ("term", "primary", "agreement_seconds", "promotion_seconds")
@@ -61,13 +61,14 @@
 
 
 class GroupPromotion:
-    """Carry out one attempt.
+    """Carry out one promotion attempt.
 
     :param term: higher than any term that the coordinator knows of.
-    :param owner: names this attempt and no other.
-    :param preferred: the member chosen among equals; None for any.
-    :param avoided: members passed over if a majority is left without them.
-    :param on_raised: called with the term and those who promised it.
+    :param owner: unique identifier of this attempt.
+    :param preferred: the member chosen among equal candidates; None for any.
+    :param avoided: members not chosen if a majority promised without them.
+    :param on_raised: called with the term and the members that promised it.
+    :ivar promised: the highest promised term seen.
     """
 
     def __init__(
@@ -94,36 +95,39 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> GroupPromotionResult:
-        """Run the attempt up to the promotion; followers are told meanwhile.
+        """Run the attempt; followers are notified in the background.
 
-        :raises PromotionFailed: if no majority or no member answered.
+        :raises GroupPromotionError: if no majority promised the term or the chosen
+            member was not promoted.
         """
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         await self.raise_term()
-        agreed = self.clock.monotonic()
+        agreed_at = self.clock.monotonic()
         if self.on_raised is not None:
             self.on_raised(self.term, sorted(self.promises))
         chosen = self.choose()
         await self.promote(chosen)
-        promoted = self.clock.monotonic()
+        promoted_at = self.clock.monotonic()
         self.notify_followers(chosen)
         return GroupPromotionResult(
-            self.term, chosen, agreed - begun, promoted - agreed
+            self.term, chosen, agreed_at - started_at, promoted_at - agreed_at
         )
 
     async def raise_term(self) -> None:
-        """Ask all members for a promise; return once a majority has given it.
+        """Request promises of all members and wait for a majority.
 
-        The members still missing get a moment more, since one of them may
-        lag less; safety does not depend on it. Nobody waits for members that
-        are to be passed over.
+        Remaining members get `RAISE_GRACE_SECONDS` more, since one of them may
+        lag less; safety does not depend on it. Avoided members are not waited
+        for.
+
+        :raises GroupPromotionError: if no majority promised the term.
         """
-        asking = {
-            one.member_id: self.spawn(self.request_promise(one.member_id))
-            for one in self.group.members
+        requests = {
+            member.member_id: self.spawn(self.request_promise(member.member_id))
+            for member in self.group.members
         }
         expected = {
-            task for member, task in asking.items() if member not in self.avoided
+            task for member, task in requests.items() if member not in self.avoided
         }
         waiting = expected
         while waiting and not self.agreed():
@@ -136,29 +140,29 @@
             self.fail_raise()
 
     def agreed(self) -> bool:
-        """Say whether a majority has promised."""
+        """Return whether a majority promised the term."""
         return len(self.promises) >= self.group.majority
 
     def fail_raise(self) -> NoReturn:
-        """Say how far short of a majority the attempt fell."""
+        """Raise the error of an attempt without a majority."""
         detail = f"{len(self.promises)} of {len(self.group.members)} members promised"
         raise GroupPromotionError("raise", detail, self.promised)
 
     async def request_promise(self, member: str) -> None:
-        """Ask one member for its promise, and for its state if it declines."""
-        order = MemberControlRequest(
+        """Request the promise of one member, and its promised term if it declines."""
+        request = MemberControlRequest(
             member, ControlOperation.RAISE, self.term, self.owner
         )
         try:
             self.promises[member] = await self.controller.control(
-                order, STEP_TIMEOUT_SECONDS
+                request, STEP_TIMEOUT_SECONDS
             )
         except RefusalError as refusal:
             if refusal.reason is RefusalReason.CONFLICT:
                 await self.fetch_promised_term(member)
 
     async def fetch_promised_term(self, member: str) -> None:
-        """Learn which higher term `member` has promised."""
+        """Fetch the term that `member` has promised."""
         try:
             state = await self.controller.control(
                 MemberControlRequest(member, ControlOperation.STATE),
@@ -169,7 +173,7 @@
         self.promised = max(self.promised, state.promised)
 
     def choose(self) -> str:
-        """Return the member with the highest held position of a majority."""
+        """Return the member with the highest held position among the promises."""
         candidates = [
             state
             for state in self.promises.values()
@@ -189,15 +193,18 @@
         return best.member
 
     async def promote(self, chosen: str) -> None:
-        """Promote `chosen`; the order is repeated if its answer was lost."""
-        order = MemberControlRequest(
+        """Promote `chosen`; the request is repeated if its answer was lost.
+
+        :raises GroupPromotionError: if the member refused or did not answer.
+        """
+        request = MemberControlRequest(
             chosen, ControlOperation.PROMOTE, self.term, self.owner
         )
-        for left in reversed(range(MAX_PROMOTE_ATTEMPTS)):
+        for attempts_left in reversed(range(MAX_PROMOTE_ATTEMPTS)):
             try:
-                state = await self.controller.control(order, STEP_TIMEOUT_SECONDS)
+                state = await self.controller.control(request, STEP_TIMEOUT_SECONDS)
             except RefusalError as refusal:
-                if left and refusal.reason is not RefusalReason.CONFLICT:
+                if attempts_left and refusal.reason is not RefusalReason.CONFLICT:
                     continue
                 await self.fetch_promised_term(chosen)
                 raise GroupPromotionError(
@@ -209,24 +216,24 @@
             raise GroupPromotionError("promote", "it was superseded", self.promised)
 
     def notify_followers(self, chosen: str) -> None:
-        """Tell the other members whom to follow, each in a task of its own."""
+        """Request the other members to follow `chosen`, each in its own task."""
         for member in self.group.members:
             if member.member_id != chosen:
                 self.spawn(self.notify_follower(member.member_id, chosen))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        """Run `work` in a task that is kept until it ends."""
+        """Run `work` in a task and keep a reference until it ends."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def notify_follower(self, member: str, chosen: str) -> None:
-        """Tell one member; its home repeats the order if this one is lost."""
-        order = MemberControlRequest(
+        """Request one member to follow; its home repeats a lost request."""
+        request = MemberControlRequest(
             member, ControlOperation.FOLLOW, self.term, primary=chosen
         )
         try:
-            await self.controller.control(order, STEP_TIMEOUT_SECONDS)
+            await self.controller.control(request, STEP_TIMEOUT_SECONDS)
         except RefusalError:
             return
--- a/src/reedhook/process/groups/group_promotion_coordinator.py
+++ b/src/reedhook/process/groups/group_promotion_coordinator.py
@@ -1,4 +1,8 @@
-"""When and by whom a change of primary is tried, and how often."""
+"""Coordination of changes of primary: order of hosts, survey, backoff.
+
+Several hosts may try at once. Each attempt has a term and an owner of its own,
+see :mod:`.group_promotion`.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -37,7 +41,7 @@
 
 
 class PrimaryChange(Record):
-    """Name the primary that a change of primary brought."""
+    """Leader of a group after a change of primary."""
 
     __slots__ = ("group", "term", "primary")
 
@@ -51,7 +55,7 @@
 
 
 class MemberSurvey(Record):
-    """Carry the states that the members gave just now."""
+    """States of the members that answered a survey."""
 
     __slots__ = ("states",)
 
@@ -60,11 +64,11 @@
 
     @property
     def promised(self) -> int:
-        """Return the highest promise among the answers."""
+        """Return the highest promised term among the answers."""
         return max((state.promised for state in self.states.values()), default=0)
 
     def is_unfenced_primary(self, member: str | None) -> bool:
-        """Say whether `member` answered as a primary that nobody has fenced."""
+        """Return whether `member` answered as a primary that is not fenced."""
         state = self.states.get(member or "")
         return (
             state is not None
@@ -76,8 +80,13 @@
 class GroupPromotionCoordinator:
     """Carry out changes of primary for one group, one at a time.
 
+    :ivar failed_attempts: attempts since the last successful one.
+    :ivar own_term: the term of the last attempt of this host.
+    :ivar last_failure: cause, step and detail of the last recorded failure.
     :ivar majority_unreachable: whether the last survey reached no majority of the
         members.
+    :ivar notifying_promotions: the last successful promotion, kept while it
+        notifies the followers.
     """
 
     def __init__(
@@ -111,9 +120,9 @@
     async def change_primary(
         self, cause: PromotionCause, suspicion_seconds: float
     ) -> bool:
-        """Try once to bring about a new primary.
+        """Try once to promote a new primary, unless another host does.
 
-        :param suspicion_seconds: seconds from the first sign to the decision.
+        :param suspicion_seconds: seconds from the first sign of the failure to now.
         :returns: whether a leader of a new term is known.
         """
         term = self.group_state.term
@@ -130,8 +139,8 @@
         ) or await self.wait_for_other_coordinator(term):
             return True
         if healed:
-            # What was found of the primary is from before the cut healed. To ask
-            # anew takes 0.1 s; a promotion that nobody needs stops writes for 0.2.
+            # The evidence against the primary predates the end of the partition.
+            # Checking again is cheaper than a needless change of primary.
             return False
         if self.majority_unreachable:
             self.failed_attempts += 1
@@ -143,16 +152,16 @@
         return await self.attempt_promotion(cause, former, suspicion_seconds)
 
     def reaches_majority(self, survey: MemberSurvey) -> bool:
-        """Say whether most members have answered."""
+        """Return whether a majority of the members answered."""
         return len(survey.states) >= self.group_state.group.majority
 
     def rank(self, cause: PromotionCause, former: str | None) -> int:
         """Return how many other hosts should try before this one.
 
-        The order must be the same on all hosts, and what they know of held
-        positions differs just after a write. So it is by name, and each term
-        begins at another member. The home of a lost target knows first, and
-        needs no delay.
+        The order must be the same on all hosts. It is by member name, rotated
+        by term, and not by held position, on which hosts disagree just after a
+        write. The home of a lost target detects the loss first and tries
+        without delay.
         """
         local = {home.member.member_id for home in self.homes()}
         if cause is PromotionCause.PLANNED or (
@@ -160,22 +169,24 @@
         ):
             return 0
         ranked = self.ranked(former)
-        places = [place for place, member in enumerate(ranked) if member in local]
-        first = places[0] if places else len(ranked)
-        return first + 1 if cause is PromotionCause.TARGET_LOST else first
+        local_ranks = [rank for rank, member in enumerate(ranked) if member in local]
+        own_rank = local_ranks[0] if local_ranks else len(ranked)
+        return own_rank + 1 if cause is PromotionCause.TARGET_LOST else own_rank
 
     def ranked(self, former: str | None) -> list[str]:
-        """Return the members but `former` in the order of this term."""
-        members = sorted(one.member_id for one in self.group_state.group.members)
-        turn = self.group_state.term % len(members)
-        return [one for one in members[turn:] + members[:turn] if one != former]
+        """Return the members except `former` in the order of the current term."""
+        members = sorted(member.member_id for member in self.group_state.group.members)
+        offset = self.group_state.term % len(members)
+        return [
+            member for member in members[offset:] + members[:offset] if member != former
+        ]
 
     async def wait_for_other_coordinator(self, term: int) -> bool:
-        """Wait a little if somebody else has begun; return whether it ended."""
+        """Wait for an attempt of another host; return whether a later term is known."""
         waited = 0.0
-        own = max(term, self.own_term)
+        own_highest_term = max(term, self.own_term)
         while (
-            self.group_state.highest_promised_term > own
+            self.group_state.highest_promised_term > own_highest_term
             and waited < OTHER_COORDINATOR_WAIT_SECONDS
         ):
             if self.group_state.term > term:
@@ -185,34 +196,36 @@
         return self.group_state.term > term
 
     async def survey(self, absent: frozenset[str], grace: float = 0.0) -> MemberSurvey:
-        """Ask all members for their states before anybody is fenced.
+        """Query the states of all members before any of them is fenced.
 
-        A host that reaches no majority must not raise the terms of a few.
+        A host that reaches no majority must not raise the term of a minority.
 
-        :param absent: members whose answer is not waited for.
-        :param grace: seconds that they get all the same once the others are in.
+        :param absent: members that are queried but not waited for.
+        :param grace: seconds to wait for `absent` once the others have answered.
         """
         states: dict[str, MemberState] = {}
-        members = [one.member_id for one in self.group_state.group.members]
-        asking = {
+        members = [member.member_id for member in self.group_state.group.members]
+        requests = {
             member: asyncio.create_task(self.request_state(member, states))
             for member in members
         }
-        for task in asking.values():
+        for task in requests.values():
             self.asking.add(task)
             task.add_done_callback(self.asking.discard)
-        await asyncio.wait([asking[one] for one in members if one not in absent])
-        late = [asking[one] for one in absent if not asking[one].done()]
+        await asyncio.wait(
+            [requests[member] for member in members if member not in absent]
+        )
+        late = [requests[member] for member in absent if not requests[member].done()]
         if late and grace:
             await asyncio.wait(late, timeout=grace)
         return MemberSurvey(dict(states))
 
     async def request_state(self, member: str, states: dict[str, MemberState]) -> None:
-        """Ask one member and learn from its answer."""
+        """Query the state of one member and record the answer."""
         asked = self.clock.monotonic()
-        order = MemberControlRequest(member, ControlOperation.STATE)
+        request = MemberControlRequest(member, ControlOperation.STATE)
         try:
-            state = await self.controller.control(order, STEP_TIMEOUT_SECONDS)
+            state = await self.controller.control(request, STEP_TIMEOUT_SECONDS)
         except RefusalError:
             return
         states[member] = state
@@ -221,7 +234,7 @@
     def change_unnecessary(
         self, term: int, former: str | None, survey: MemberSurvey, cause: PromotionCause
     ) -> bool:
-        """Say whether the survey shows that no change is needed."""
+        """Return whether the survey shows that no change is needed."""
         if self.group_state.term > term and self.group_state.primary is not None:
             return True
         if cause in (PromotionCause.PLANNED, PromotionCause.HOMELESS):
@@ -232,7 +245,7 @@
     async def attempt_promotion(
         self, cause: PromotionCause, former: str | None, suspicion_seconds: float
     ) -> bool:
-        """Raise, promote, tell the others; return whether it went well."""
+        """Run one promotion; return whether a leader of its term is known."""
         promotion = self.promotion(cause, former)
         self.own_term = promotion.term
         self.failed_attempts += 1
@@ -253,7 +266,7 @@
         return True
 
     def promotion(self, cause: PromotionCause, former: str | None) -> GroupPromotion:
-        """Make an attempt with a term and an owner of its own."""
+        """Create an attempt with a new term and a unique owner."""
         term = self.next_term()
         nonce = self.random.getrandbits(NONCE_BITS)
         owner = f"{self.directory.me.host}.{nonce:x}"
@@ -271,21 +284,23 @@
     def next_term(self) -> int:
         """Return the term of the next attempt.
 
-        After a failure, coordinators take terms of different remainders, so
-        that of two at once the higher term wins all members and only the
-        other fails.
+        After a failure, each host picks terms with its own remainder modulo the
+        number of members. Concurrent attempts then have different terms, and
+        the highest one wins.
         """
         lowest = max(self.group_state.highest_promised_term, self.group_state.term) + 1
         if self.failed_attempts == 0:
             return lowest
-        members = sorted(one.member_id for one in self.group_state.group.members)
+        members = sorted(member.member_id for member in self.group_state.group.members)
         local = {home.member.member_id for home in self.homes()}
-        places = [place for place, one in enumerate(members) if one in local]
-        own = places[0] if places else 0
-        return lowest + (own - lowest) % len(members)
+        local_indexes = [
+            index for index, member in enumerate(members) if member in local
+        ]
+        own_index = local_indexes[0] if local_indexes else 0
+        return lowest + (own_index - lowest) % len(members)
 
     def raised(self, term: int, members: list[str]) -> None:
-        """Record that a majority has promised."""
+        """Record that a majority promised the term."""
         self.timeline.record(
             EventKind.TERM_RAISED,
             self.group_state.group.name,
@@ -300,7 +315,7 @@
         promoted: GroupPromotionResult,
         suspicion_seconds: float,
     ) -> None:
-        """Make the outcome known on this host."""
+        """Record the new primary and notify the rest of this host."""
         group = self.group_state.group.name
         self.timeline.record(
             EventKind.PRIMARY_PROMOTED,
@@ -317,14 +332,16 @@
         self.metrics.timing("primary.suspicion", suspicion_seconds)
         self.metrics.timing("primary.agreement", promoted.agreement_seconds)
         self.metrics.timing("primary.promotion", promoted.promotion_seconds)
-        log.notice(f"{group}: {promoted.primary} leads in term {promoted.term}")
+        log.notice(
+            f"{group}: promoted {promoted.primary} to primary in term {promoted.term}"
+        )
         self.group_state.record_leader(promoted.term, promoted.primary)
         self.on_primary_change(PrimaryChange(group, promoted.term, promoted.primary))
 
     def record_failure(
         self, cause: PromotionCause, step: str, detail: str, term: int | None = None
     ) -> None:
-        """Count an attempt that came to nothing; record it once while it repeats."""
+        """Count a failed attempt; record it unless it repeats the last failure."""
         self.metrics.increment("primary.attempt_failed")
         failure = (cause, step, detail)
         if failure == self.last_failure:
@@ -340,7 +357,7 @@
         )
 
     async def back_off(self) -> None:
-        """Wait longer after each failure, with jitter, lest two keep clashing."""
+        """Sleep for an exponential backoff with jitter."""
         limit = min(
             INITIAL_BACKOFF_SECONDS * 2.0**self.failed_attempts, MAX_BACKOFF_SECONDS
         )
@@ -348,12 +365,12 @@
 
 
 def members_to_avoid(cause: PromotionCause, former: str | None) -> frozenset[str]:
-    """Return the members that the cause speaks against."""
+    """Return the members to avoid when choosing a new primary for `cause`."""
     if former is None or cause in (PromotionCause.FENCED, PromotionCause.LEADERLESS):
         return frozenset()
     return frozenset({former})
 
 
 def to_rounded_ms(seconds: float) -> float:
-    """Return `seconds` in milliseconds, rounded for people."""
+    """Return `seconds` in milliseconds, rounded for display."""
     return round(seconds * 1000, 2)
--- a/src/reedhook/process/groups/group_routes.py
+++ b/src/reedhook/process/groups/group_routes.py
@@ -1,4 +1,4 @@
-"""Peer paths that concern database groups."""
+"""Handlers of the peer paths for database groups."""
 
 from collections.abc import Callable
 from typing import Final
@@ -30,12 +30,12 @@
 
 
 class GroupRoutes:
-    """Hand the questions of other hosts to the right keeper or home.
+    """Dispatch requests of other hosts to the group manager or home concerned.
 
     :param catalog: returns the configuration in force, or None.
-    :param find_home: gives the local home of a member, or None.
-    :param find_manager: gives the keeper of a group, or None.
-    :param factory: opens a connection to a target that has no home here.
+    :param find_home: returns the local home of a member, or None.
+    :param find_manager: returns the group manager of a group, or None.
+    :param factory: opens connections to targets without a home on this host.
     """
 
     def __init__(
@@ -66,51 +66,51 @@
         routes.add("view", self.view)
 
     async def statement(self, body: Json) -> Json:
-        """Execute a statement at a member whose home is here."""
+        """Execute a statement at a member whose home is on this host."""
         statement = Statement.from_json(body.get("statement"))
-        served = await self.execution.execute(string_field(body, "member"), statement)
-        return served.to_json(self.clock.monotonic())
+        response = await self.execution.execute(string_field(body, "member"), statement)
+        return response.to_json(self.clock.monotonic())
 
     async def report(self, body: Json) -> Json:
-        """Take the report of a replica's home."""
+        """Handle the report of a replica's home."""
         report = ReplicaReport.from_json(body)
         answer = await self.require_manager(report.group).on_report(report)
         return answer.to_json(self.clock.monotonic())
 
     async def confirm(self, body: Json) -> Json:
-        """Give the state that a local target has from now on."""
-        keeper = self.require_manager(string_field(body, "group"))
-        state = await keeper.on_confirm(string_field(body, "member"))
+        """Return a state that a local target sends after this request."""
+        manager = self.require_manager(string_field(body, "group"))
+        state = await manager.on_confirm(string_field(body, "member"))
         return {
             "state": state.to_json(),
-            "view": keeper.view.to_json(self.clock.monotonic()),
+            "view": manager.view.to_json(self.clock.monotonic()),
         }
 
     async def view(self, body: Json) -> Json:
-        """Give what is known of a group here, held open for a newer leader."""
-        question = GroupViewRequest.from_json(body)
-        keeper = self.require_manager(question.group)
-        if question.long_poll_seconds > 0.0:
-            hold = min(question.long_poll_seconds, MAX_HOLD_SECONDS)
-            await keeper.wait_for_newer_leader(question.term, question.primary, hold)
-        keeper.refresh_view()
-        return {"view": keeper.view.to_json(self.clock.monotonic())}
+        """Return the view of a group, with a long poll for a newer leader."""
+        request = GroupViewRequest.from_json(body)
+        manager = self.require_manager(request.group)
+        if request.long_poll_seconds > 0.0:
+            hold = min(request.long_poll_seconds, MAX_HOLD_SECONDS)
+            await manager.wait_for_newer_leader(request.term, request.primary, hold)
+        manager.refresh_view()
+        return {"view": manager.view.to_json(self.clock.monotonic())}
 
     async def control(self, body: Json) -> Json:
-        """Carry out a step of a change of primary at a member of this zone."""
-        order = MemberControlRequest.from_json(body)
+        """Carry out a control request at a member."""
+        request = MemberControlRequest.from_json(body)
         asked = self.clock.monotonic()
-        group, member = self.find(order.member)
-        state = await self.execute_control(order, member)
-        keeper = self.find_manager(group.name)
-        if keeper is not None:
-            keeper.on_control(order, state, asked)
+        group, member = self.find(request.member)
+        state = await self.execute_control(request, member)
+        manager = self.find_manager(group.name)
+        if manager is not None:
+            manager.on_control(request, state, asked)
         return {"state": state.to_json()}
 
     async def execute_control(
         self, request: MemberControlRequest, member: Member
     ) -> MemberState:
-        """Use the local home, or as a standby a connection of its own."""
+        """Use the local home, or a new connection if this host is a standby."""
         home = self.find_home(request.member)
         if home is not None:
             return await control_at_home(home, request, CONTROL_TIMEOUT_SECONDS)
@@ -120,30 +120,31 @@
         )
 
     async def probe(self, body: Json) -> Json:
-        """Say whether a target answers, from as near as this host can look."""
+        """Return whether a target answers, probed or relayed by this host."""
         group, member = self.find(string_field(body, "member"))
         home = self.find_home(member.member_id)
         if home is not None:
             return {"alive": await is_target_alive(home), "home": True}
         if self.is_standby(member):
             return {"alive": await self.probe_unowned_target(member), "home": False}
-        keeper = self.find_manager(group.name)
-        if keeper is None or not body.get("relay"):
+        manager = self.find_manager(group.name)
+        if manager is None or not body.get("relay"):
             raise not_run(
-                RefusalReason.WRONG_HOME, f"{member.member_id} is not near here"
+                RefusalReason.WRONG_HOME,
+                f"this host is no standby of {member.member_id}",
             )
-        evidence = await keeper.prober.probe_for_peer(member.member_id)
+        liveness = await manager.prober.probe_for_peer(member.member_id)
         return {
-            "alive": evidence is not PrimaryLiveness.LOST,
-            "home": evidence is PrimaryLiveness.ALIVE,
+            "alive": liveness is not PrimaryLiveness.LOST,
+            "home": liveness is PrimaryLiveness.ALIVE,
         }
 
     async def probe_unowned_target(self, member: Member) -> bool:
-        """Say whether a target without a home here answers on a new connection."""
-        order = MemberControlRequest(member.member_id, ControlOperation.STATE)
+        """Return whether a target without a home here answers on a new connection."""
+        request = MemberControlRequest(member.member_id, ControlOperation.STATE)
         try:
             await control_at_target(
-                self.factory, member, order, LOCAL_PROBE_TIMEOUT_SECONDS
+                self.factory, member, request, LOCAL_PROBE_TIMEOUT_SECONDS
             )
         except RefusalError:
             return False
@@ -152,45 +153,49 @@
     def find(self, member: str) -> tuple[Group, Member]:
         """Return the group and description of a member.
 
-        :raises Refusal: if the configuration in force does not name it.
+        :raises RefusalError: if the current configuration does not contain it.
         """
         catalog = self.catalog()
         found = catalog.member(member) if catalog is not None else None
         if found is None:
-            raise not_run(RefusalReason.WRONG_HOME, f"no member {member} is known here")
+            raise not_run(
+                RefusalReason.WRONG_HOME, f"member {member} is not in the configuration"
+            )
         return found
 
     def require_manager(self, group: str) -> GroupManager:
-        """Return the keeper of `group`.
+        """Return the group manager of `group`.
 
-        :raises Refusal: if no member of it is at home here.
+        :raises RefusalError: if no member of it has its home on this host.
         """
-        keeper = self.find_manager(group)
-        if keeper is None:
+        manager = self.find_manager(group)
+        if manager is None:
             raise not_run(
-                RefusalReason.WRONG_HOME, f"no member of {group} is at home here"
+                RefusalReason.WRONG_HOME,
+                f"no member of {group} has a home on this host",
             )
-        return keeper
+        return manager
 
     def is_standby(self, member: Member) -> bool:
-        """Say whether this host is among the first that serve a target."""
-        me = self.directory.me.host
+        """Return whether this host is among the first in rank for a target."""
+        own_host = self.directory.me.host
         ranked = self.directory.ranked(member.member_id, member.zone)
-        return me in [host.host for host in ranked[:MAX_PROBED_HOSTS]]
+        return own_host in [host.host for host in ranked[:MAX_PROBED_HOSTS]]
 
     def check_standby(self, member: Member) -> None:
-        """Refuse what only a host near the target may do."""
+        """Refuse a request that only a standby host of the target may carry out."""
         if not self.is_standby(member):
             raise not_run(
-                RefusalReason.WRONG_HOME, f"{member.member_id} is not near here"
+                RefusalReason.WRONG_HOME,
+                f"this host is no standby of {member.member_id}",
             )
 
 
 async def is_target_alive(home: Home) -> bool:
-    """Say whether the target of a local home answers.
+    """Return whether the target of a local home answers.
 
-    A target that is only slow still counts, until its home has tried a new
-    connection in vain.
+    A slow target counts as alive until its home has failed to open a new
+    connection.
     """
     try:
         await home.fetch_state(LOCAL_PROBE_TIMEOUT_SECONDS)
--- a/src/reedhook/process/groups/group_state.py
+++ b/src/reedhook/process/groups/group_state.py
@@ -1,4 +1,4 @@
-"""What a host knows of one group: leader, states of members, proofs."""
+"""State of one group as known to a host: leader, members and proofs."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -16,14 +16,14 @@
 
 
 class GroupState:
-    """Learn from everything that says something of the group.
+    """Merge all information about a group that reaches this host.
 
-    :ivar view: what is passed on to other hosts.
+    :ivar view: the part that is sent to other hosts.
     :ivar states: the newest state of each member seen on this host.
     :ivar highest_promised_term: the highest term that any member is known to have
         promised.
-    :ivar on_leader: called when a new leader becomes known.
-    :ivar on_durable: called when the durable position grows.
+    :ivar on_leader: callbacks for a new leader.
+    :ivar on_durable: callbacks for an advance of the durable position.
     """
 
     def __init__(self, group: Group, clock: Clock) -> None:
@@ -44,17 +44,17 @@
 
     @property
     def primary(self) -> str | None:
-        """Return the member that leads in that term, or None if unknown."""
+        """Return the member that leads in `term`, or None if unknown."""
         return self.view.primary
 
     def record_leader(self, term: int, primary: str | None) -> None:
-        """Take note of a leader term, and of who leads if that is known."""
+        """Record a leader term, and its primary if known."""
         if not self.view.record_primary(term, primary):
             return
         self.leader_changed()
 
     def leader_changed(self) -> None:
-        """Act on a new leader of the view."""
+        """Update the state and call the callbacks after a change of leader."""
         self.highest_promised_term = max(self.highest_promised_term, self.view.term)
         self.durability.enter_term(self.view.term)
         if self.view.primary is None:
@@ -63,7 +63,7 @@
             callback(self.view.term, self.view.primary)
 
     def merge(self, other: GroupView) -> None:
-        """Take over what another host knows better."""
+        """Merge the view of another host; newer information wins."""
         if self.view.merge(other):
             self.leader_changed()
 
@@ -74,10 +74,12 @@
         wait: float = 0.0,
         leaving: bool = False,
     ) -> None:
-        """Learn from the state of a member; an older one changes nothing.
+        """Merge the state of a member; an older state is ignored.
 
-        :param asked: local monotonic time in seconds at which the question
-            was sent that the state answers.
+        :param asked: local monotonic time in seconds at which the state was
+            requested.
+        :param wait: expected wait of a new statement at the member's home, in seconds.
+        :param leaving: whether the target is leaving and accepts no new work.
         """
         self.highest_promised_term = max(self.highest_promised_term, state.promised)
         if state.role is Role.PRIMARY:
@@ -102,7 +104,7 @@
         )
 
     def record_write(self, member: str, position: Position) -> None:
-        """Learn from a write's answer what its primary holds.
+        """Record that `member` holds a write that it executed as primary.
 
         The primary had promised no higher term when it wrote the entry.
         """
@@ -124,19 +126,19 @@
         self.update_watermark()
 
     def update_watermark(self) -> None:
-        """Work out again what is durable at the current term."""
-        mark = durable_position(
+        """Recompute the durable position of the current term."""
+        watermark = durable_position(
             self.states.values(), self.view.term, self.group.majority
         )
-        if mark is not None and self.durability.advance(mark):
+        if watermark is not None and self.durability.advance(watermark):
             for callback in self.on_durable:
-                callback(mark)
+                callback(watermark)
 
     def age(self, applied: Position) -> float | None:
-        """Return the proved upper bound of the age of `applied`, in seconds."""
+        """Return a proved upper bound of the age of `applied` in seconds, or None."""
         return self.samples.age(applied, self.clock.monotonic())
 
 
 def state_order_key(state: MemberState) -> tuple[int, int, Position]:
-    """Order the states of one member; each part only ever grows in this order."""
+    """Return the sort key of a member's states; it never decreases over time."""
     return state.promised, state.leader_term, state.held
--- a/src/reedhook/process/groups/leader_confirmation.py
+++ b/src/reedhook/process/groups/leader_confirmation.py
@@ -1,4 +1,4 @@
-"""Proof that a primary still led, one round shared by all that wait."""
+"""Confirmation that a primary still led, in rounds shared by all waiters."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,12 +14,12 @@
 ]
 
 STALL_MARGIN_SECONDS: Final = 0.02
-"""Seconds beyond the timeout after which a round tells of a stall of this process:
-each question ends at its timeout, a busy loop is late by some milliseconds."""
+"""A round that exceeds the timeout by more shows a stall of this process; must exceed
+the usual delay of a busy event loop."""
 
 
 class GroupLeader(Record):
-    """Name the leader that a round is to confirm."""
+    """Leader that a round has to confirm."""
 
     __slots__ = ("term", "primary")
 
@@ -29,18 +29,20 @@
 
 
 class LeaderConfirmation:
-    """Run confirmation rounds, one at a time, while somebody wants one.
-
-    A caller takes a ticket and later waits for the round of that number,
-    which begins after the ticket was taken. Everybody who came during a
-    round shares the next one.
-
-    :param request_state: asks a member for a state sent after the call; gives None if
-        no answer came within the timeout, in seconds.
-    :param current_leader: tells the leader to confirm; None if there is none here.
-    :param on_confirmed: is called with the sample of each successful round.
-    :ivar stalled: whether this process stood still during the last round, so that
-        a missing answer proves nothing.
+    """Run confirmation rounds, one at a time, on request.
+
+    :meth:`request_round` returns the number of a round that starts after the
+    call. All requests made during a round share the next one.
+
+    :param request_state: fetches a state that a member sends after the call; returns
+        None without an answer within the timeout, in seconds.
+    :param current_leader: returns the leader to confirm, or None if unknown.
+    :param on_confirmed: called with the sample of each successful round.
+    :param timeout: seconds to wait for each member.
+    :ivar begun: the number of the last round that started.
+    :ivar ended: the number of the last round that ended.
+    :ivar stalled: whether this process stalled during the last round, so that
+        missing answers prove nothing.
     """
 
     def __init__(
@@ -71,18 +73,18 @@
         self.state_requests: set[asyncio.Task[MemberState | None]] = set()
 
     def request_round(self) -> int:
-        """Take the ticket of a round that begins after this call."""
+        """Return the number of a round that starts after this call."""
         self.requested_round = self.begun + 1
         if self.running is None or self.running.done():
             self.running = asyncio.create_task(self.run())
         return self.requested_round
 
     def is_confirmed(self, round_number: int, term: int) -> bool:
-        """Say whether a round of `ticket` or later confirmed `term`."""
+        """Return whether round `round_number` or a later one confirmed `term`."""
         return self.confirmed_round >= round_number and self.confirmed_term == term
 
     async def wait_for_round(self, round_number: int) -> None:
-        """Return once the round of `ticket` has ended, well or not."""
+        """Wait until round `round_number` has ended, successfully or not."""
         if self.ended >= round_number:
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -90,7 +92,7 @@
         await waiter
 
     async def run(self) -> None:
-        """Run rounds until no ticket is left."""
+        """Run rounds until all requested ones have run."""
         while self.requested_round > self.begun:
             self.begun += 1
             try:
@@ -100,56 +102,56 @@
                 self.wake()
 
     def wake(self) -> None:
-        """Answer those whose round has ended."""
+        """Wake the waiters whose round has ended."""
         waiting = self.waiters
         self.waiters = []
-        for ticket, waiter in waiting:
-            if ticket > self.ended:
-                self.waiters.append((ticket, waiter))
+        for round_number, waiter in waiting:
+            if round_number > self.ended:
+                self.waiters.append((round_number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
 
     async def run_round(self) -> None:
-        """Ask all members; succeed once a majority with the primary agrees."""
-        lead = self.current_leader()
-        if lead is None:
+        """Query all members; succeed once a majority with the primary agrees."""
+        expected = self.current_leader()
+        if expected is None:
             return
         asked = self.clock.monotonic()
-        questions = [self.start_state_request(member) for member in self.members]
+        requests = [self.start_state_request(member) for member in self.members]
         agreed = 0
-        leader: MemberState | None = None
-        for answer in asyncio.as_completed(questions):
-            state = await answer
-            if state is None or state.promised > lead.term:
+        leader_state: MemberState | None = None
+        for request in asyncio.as_completed(requests):
+            state = await request
+            if state is None or state.promised > expected.term:
                 continue
             agreed += 1
-            if is_leader_state(state, lead):
-                leader = state
-            if leader is not None and agreed >= self.majority:
+            if is_leader_state(state, expected):
+                leader_state = state
+            if leader_state is not None and agreed >= self.majority:
                 self.confirmed_round = self.begun
-                self.confirmed_term = lead.term
-                self.on_confirmed(PrimarySample(leader.held, asked))
+                self.confirmed_term = expected.term
+                self.on_confirmed(PrimarySample(leader_state.held, asked))
                 break
         self.stalled = (
             self.clock.monotonic() - asked > self.timeout + STALL_MARGIN_SECONDS
         )
 
     def start_state_request(self, member: str) -> "asyncio.Task[MemberState | None]":
-        """Ask `member` in a task that may outlive the round."""
+        """Query `member` in a task that may outlive the round."""
         task = asyncio.create_task(self.request_state(member, self.timeout))
         self.state_requests.add(task)
         task.add_done_callback(self.state_requests.discard)
         return task
 
     def close(self) -> None:
-        """Stop rounds and questions."""
+        """Cancel running rounds and requests."""
         for task in [self.running, *self.state_requests]:
             if task is not None:
                 task.cancel()
 
 
 def is_leader_state(state: MemberState, leader: GroupLeader) -> bool:
-    """Say whether `state` is that of the primary that `lead` names."""
+    """Return whether `state` shows `leader` as primary of its term."""
     return (
         state.member == leader.primary
         and state.role is Role.PRIMARY
--- a/src/reedhook/process/groups/local_homes.py
+++ b/src/reedhook/process/groups/local_homes.py
@@ -1,4 +1,4 @@
-"""The homes at this host: taken and released as hosts and configuration change."""
+"""Homes on this host, opened and closed as hosts and configuration change."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Iterator
@@ -24,13 +24,13 @@
 TAKEOVER_PATH: Final = "takeover"
 TAKEOVER_TIMEOUT_SECONDS: Final = 1.0
 TAKEOVER_WAIT_SECONDS: Final = 0.5
-# How long targets are kept for a host that said it would leave and did not.
+# Limits how long targets stay here if the leaving host does not leave.
 TAKEOVER_VALIDITY_SECONDS: Final = 5.0
-# Hosts whose view is a little older still find the former home meanwhile.
+# Hosts with an older view still use the former home during this delay.
 RELEASE_DELAY_SECONDS: Final = 0.2
 RECONCILE_INTERVAL_SECONDS: Final = 5.0
 MIN_RECONCILE_PAUSE_SECONDS: Final = 0.002
-# After a pass that took long, the next one waits many times as long.
+# Multiple of the duration of a reconciliation to pause before the next one.
 RECONCILE_PAUSE_FACTOR: Final = 10.0
 GROWTH_AFTER_SECONDS: Final = 10.0
 
@@ -38,10 +38,10 @@
 
 
 class HeldHome:
-    """Hold a home with what it was made from.
+    """An open home and the configuration that it was made from.
 
-    :ivar since: monotonic time in seconds at which it was taken.
-    :ivar release_at: monotonic time at which it is to be released, or None.
+    :ivar since: monotonic time in seconds at which the home was opened.
+    :ivar release_at: monotonic time in seconds of its scheduled release, or None.
     """
 
     __slots__ = ("home", "group", "member", "connection_limit", "since", "release_at")
@@ -62,21 +62,25 @@
         self.release_at: float | None = None
 
     def fits(self, group: Group, member: Member) -> bool:
-        """Return whether a configuration leaves this home as it is."""
+        """Return whether the home can stay as it is with this configuration."""
         same = self.member == member and self.group.slots == group.slots
         return same and self.group.connections == group.connections
 
     def adopt(self, group: Group) -> None:
-        """Take over a description that differs in other members only."""
+        """Update a group that differs only in other members."""
         if group != self.group:
             self.group = self.home.group = group
 
 
 class LocalHomes:
-    """Keep a home for each target whose home this host is.
-
-    :param make_home: makes a home from group, member and share.
-    :param joined: set once this host knows the others.
+    """Manage a home for each target that rendezvous hashing assigns to this host.
+
+    :param make_home: creates a home from a group, a member and a connection limit.
+    :param joined: set once this host has joined the other hosts.
+    :ivar held: open homes by member.
+    :ivar closing: released homes that still have work in progress, by member.
+    :ivar closed: the last closed home of each member.
+    :ivar takeover_requests: leaving host and end of validity, by member.
     """
 
     def __init__(
@@ -113,7 +117,7 @@
         directory.subscribe(self.change_event.set)
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the handler of takeover requests."""
         routes.add(TAKEOVER_PATH, self.handle_takeover)
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -121,7 +125,7 @@
         self.callbacks.append(callback)
 
     def apply(self, catalog: Catalog) -> None:
-        """Put a configuration in force; homes that it leaves alone stay."""
+        """Apply a configuration; homes that it does not change stay open."""
         self.catalog = catalog
         self.configured = {member.member_id for _, member in targets(catalog)}
         self.limits = catalog.limits
@@ -130,32 +134,34 @@
         self.change_event.set()
 
     def get(self, member: str) -> Home | None:
-        """Return the home of `member` if it is here and takes new work."""
+        """Return the home of `member` that accepts new work here, or None."""
         held = self.held.get(member)
         return None if held is None else held.home
 
     def of_group(self, group: str) -> list[Home]:
-        """Return the homes here of the members of `group`."""
+        """Return the open homes of the members of `group`."""
         return [held.home for held in self.held.values() if held.group.name == group]
 
     def closing_of(self, member: str) -> list[Home]:
-        """Return former homes of `member` in which transactions may still end."""
+        """Return the released homes of `member` that may have open transactions."""
         return list(self.closing.get(member, ()))
 
     def open_and_closing_homes(self, group: str) -> list[Home]:
-        """Return the homes of `group` here, with former ones that still close."""
+        """Return the homes of `group` on this host, released ones included."""
         closing = [home for homes in self.closing.values() for home in homes]
-        former = [home for home in closing if home.group.name == group]
-        return self.of_group(group) + former
+        closing_of_group = [home for home in closing if home.group.name == group]
+        return self.of_group(group) + closing_of_group
 
     def find_transaction_home(self, member: str, statement: Statement) -> Home:
-        """Return the home that holds a statement's transaction, former ones too.
+        """Return the home that holds the transaction of a statement.
+
+        Released homes are searched too.
 
-        :raises Refusal: if it is not open here; the last home that closed
-            still tells why it ended a transaction.
+        :raises RefusalError: if the transaction is not open here;
+            ``transaction_lost`` if the last closed home ended it.
         """
-        former = [*self.closing_of(member), self.closed.get(member)]
-        homes = [home for home in (self.get(member), *former) if home is not None]
+        released = [*self.closing_of(member), self.closed.get(member)]
+        homes = [home for home in (self.get(member), *released) if home is not None]
         for home in homes:
             if home.has_transaction(statement.transaction or ""):
                 return home
@@ -164,39 +170,43 @@
             if refusal.reason is RefusalReason.TRANSACTION_LOST:
                 raise refusal
         raise not_run(
-            RefusalReason.UNKNOWN_TRANSACTION, "no such transaction is open here"
+            RefusalReason.UNKNOWN_TRANSACTION,
+            "the transaction is not open on this host",
         )
 
     async def run(self) -> None:
-        """Follow hosts and configuration until cancelled.
+        """Reconcile after each change, until cancelled.
 
-        A host that knows no other yet would take homes that are not its own.
+        Waits until this host has joined: without knowing the others it would
+        open homes that belong to them.
         """
         await self.joined.wait()
         while True:
             await self.wait_for_change()
             self.change_event.clear()
-            started = self.clock.monotonic()
+            started_at = self.clock.monotonic()
             await self.reconcile()
-            cost = self.clock.monotonic() - started
+            duration = self.clock.monotonic() - started_at
             self.reconciled_event.set()
             await self.clock.sleep(
-                max(MIN_RECONCILE_PAUSE_SECONDS, RECONCILE_PAUSE_FACTOR * cost)
+                max(MIN_RECONCILE_PAUSE_SECONDS, RECONCILE_PAUSE_FACTOR * duration)
             )
 
     async def wait_for_change(self) -> None:
-        """Wait for a change, or for the next home that is due."""
+        """Wait for a change, the next scheduled release or the interval."""
         now = self.clock.monotonic()
-        due = [one.release_at for one in self.held.values() if one.release_at]
-        wait = min([now + RECONCILE_INTERVAL_SECONDS, *due]) - now
+        release_times = [
+            held.release_at for held in self.held.values() if held.release_at
+        ]
+        timeout = min([now + RECONCILE_INTERVAL_SECONDS, *release_times]) - now
         try:
-            async with asyncio.timeout(max(wait, 0.0)):
+            async with asyncio.timeout(max(timeout, 0.0)):
                 await self.change_event.wait()
         except TimeoutError:
             return
 
     async def reconcile(self) -> None:
-        """Take and release homes until they match hosts and configuration."""
+        """Open and release homes to match hosts and configuration."""
         if self.catalog is None or self.draining:
             return
         now = self.clock.monotonic()
@@ -207,38 +217,38 @@
                 changed |= self.release_after_delay(name, held, now)
             else:
                 held.release_at = None
-        kept = await asyncio.gather(
+        opened = await asyncio.gather(
             *(self.ensure_home(group, member, now) for group, member in wanted.values())
         )
-        if changed or any(kept):
+        if changed or any(opened):
             self.notify()
 
     def wanted(self) -> Iterator[tuple[Group, Member]]:
-        """Iterate over the targets whose home is here by the view of this host."""
-        served: dict[str, bool] = {}
+        """Iterate over the targets whose home is here in this host's view."""
+        zone_has_hosts: dict[str, bool] = {}
         for group, member in targets(self.catalog):
             zone = member.zone
             if self.takeover_requested(member.member_id):
                 yield group, member
                 continue
-            if zone not in served:
-                served[zone] = self.directory.has_live_host(zone)
+            if zone not in zone_has_hosts:
+                zone_has_hosts[zone] = self.directory.has_live_host(zone)
             if zone != self.me.zone and (
-                served[zone] or not self.has_connection_share(group, zone)
+                zone_has_hosts[zone] or not self.has_connection_share(group, zone)
             ):
                 continue
-            home = self.directory.home(member.member_id, zone)
-            if home == self.me:
+            home_host = self.directory.home(member.member_id, zone)
+            if home_host == self.me:
                 yield group, member
             else:
-                self.former[member.member_id] = home
+                self.former[member.member_id] = home_host
 
     def has_connection_share(self, group: Group, zone: str) -> bool:
         """Return whether a host outside `zone` may connect to a target there.
 
-        It ranks after the zone's known hosts, of which a large zone has too
-        many to leave anything. Ranking all hosts for each target of a lost
-        region would hold the loop up for long, and for nothing.
+        Such a host ranks after all known hosts of the zone, so the quota of a
+        large zone leaves it nothing. This check avoids ranking all hosts for
+        each target of a lost region, which would block the event loop.
         """
         return (
             connection_quota(group.connections, self.directory.known_host_count(zone))
@@ -246,48 +256,58 @@
         )
 
     def takeover_requested(self, member: str) -> bool:
-        """Return whether a host that is about to leave passed `member` on."""
-        promise = self.takeover_requests.get(member)
-        if promise is None:
+        """Return whether a leaving host has requested a takeover of `member`."""
+        request = self.takeover_requests.get(member)
+        if request is None:
             return False
-        leaver, until = promise
-        if self.membership.table.live(leaver) and self.clock.monotonic() < until:
+        leaving_host, valid_until = request
+        if (
+            self.membership.table.live(leaving_host)
+            and self.clock.monotonic() < valid_until
+        ):
             return True
         del self.takeover_requests[member]
         return False
 
     async def ensure_home(self, group: Group, member: Member, now: float) -> bool:
-        """Make the home of a target unless it is there as it should be."""
+        """Open or reopen the home of a target; return whether one was opened."""
         held = self.held.get(member.member_id)
-        size = self.connection_share(group, member)
+        connection_limit = self.connection_share(group, member)
         if held is None:
             return await self.open_home(
-                group, member, size, self.takeover_cause(member.member_id)
+                group, member, connection_limit, self.takeover_cause(member.member_id)
             )
-        grown = size > held.connection_limit and now - held.since > GROWTH_AFTER_SECONDS
-        if held.fits(group, member) and not (grown or size < held.connection_limit):
+        grown = (
+            connection_limit > held.connection_limit
+            and now - held.since > GROWTH_AFTER_SECONDS
+        )
+        if held.fits(group, member) and not (
+            grown or connection_limit < held.connection_limit
+        ):
             held.adopt(group)
             return False
         cause = "share" if held.fits(group, member) else "configuration"
         self.release(member.member_id, cause)
-        return await self.open_home(group, member, size, cause)
+        return await self.open_home(group, member, connection_limit, cause)
 
     def connection_share(self, group: Group, member: Member) -> int:
-        """Return the connections that this host may open to a target."""
+        """Return the number of connections this host may open to a target."""
         rank = self.directory.rank_of(member.member_id, member.zone, self.me.host)
         return 0 if rank is None else connection_quota(group.connections, rank)
 
     async def open_home(
         self, group: Group, member: Member, size: int, cause: str
     ) -> bool:
-        """Make and start a home; return whether it is there now."""
+        """Create and start a home; return whether it is open."""
         if size == 0:
             return False
         home = self.make_home(group, member, size)
         try:
             await home.start()
         except Exception:
-            log.exception("The home of {} did not start.", member.member_id)
+            log.exception(
+                "The home of {} failed to start; retrying later.", member.member_id
+            )
             return False
         now = self.clock.monotonic()
         self.held[member.member_id] = HeldHome(home, group, member, size, now)
@@ -297,20 +317,20 @@
         return True
 
     def takeover_cause(self, member: str) -> str:
-        """Say why this host takes over `member`."""
-        former = self.former.pop(member, None)
+        """Return the cause for the timeline of a home that is opened."""
+        former_host = self.former.pop(member, None)
         if member in self.takeover_requests:
             return f"{self.takeover_requests[member][0]} is leaving"
-        if former is None:
+        if former_host is None:
             return "start"
-        record = self.membership.table.get(former.host)
+        record = self.membership.table.get(former_host.host)
         state = MembershipState.GONE if record is None else record.state
         if state <= MembershipState.SUSPECTED:
-            return f"preferred to {former.host}"
-        return f"{former.host} is {state.name.lower()}"
+            return f"preferred to {former_host.host}"
+        return f"{former_host.host} is {state.name.lower()}"
 
     def release_after_delay(self, member: str, held: HeldHome, now: float) -> bool:
-        """Release a home that is another host's, once that had time to start."""
+        """Release a home of another host after a delay; return whether it did."""
         if member not in self.configured:
             self.release(member, "configuration")
             return True
@@ -318,12 +338,12 @@
             held.release_at = now + RELEASE_DELAY_SECONDS
         if now < held.release_at:
             return False
-        former = self.former.get(member)
-        self.release(member, "home moved", to=former.host if former else None)
+        new_host = self.former.get(member)
+        self.release(member, "home moved", to=new_host.host if new_host else None)
         return True
 
     def release(self, member: str, cause: str, to: str | None = None) -> None:
-        """Let a home take no new work and close once its work has ended."""
+        """Remove a home from service and close it in the background."""
         held = self.held.pop(member)
         self.timeline.record(EventKind.HOME_RELEASED, member, cause=cause, to=to)
         self.closing.setdefault(member, []).append(held.home)
@@ -332,11 +352,11 @@
         task.add_done_callback(self.closers.discard)
 
     async def close_home(self, member: str, home: Home) -> None:
-        """Close a home after its grace period."""
+        """Close a home, with a grace period for work in progress."""
         try:
             await home.close(float(self.limits.drain_s))
         except Exception:
-            log.exception("The home of {} did not close.", member)
+            log.exception("The home of {} failed to close.", member)
         finally:
             self.closed[member] = home
             self.closing[member].remove(home)
@@ -345,26 +365,30 @@
             self.notify()
 
     def notify(self) -> None:
-        """Tell that the set of homes has changed."""
+        """Call the callbacks for a change of the set of homes."""
         for callback in self.callbacks:
             callback()
 
     async def handle_takeover(self, body: Json) -> Json:
-        """Take homes over from a host that is about to leave.
+        """Open the homes that a leaving host hands over.
+
+        The host stays live for others until these homes are open.
 
-        The host is still live for others; it leaves once these homes are here.
+        :raises WireError: if the request is malformed.
         """
-        leaver, members = body.get("host"), body.get("members")
-        if not isinstance(leaver, str) or not isinstance(members, list):
-            raise WireError("a host that leaves and its targets are expected")
-        until = self.clock.monotonic() + TAKEOVER_VALIDITY_SECONDS
-        known = self.configured.intersection(map(str, members))
-        self.takeover_requests.update(dict.fromkeys(known, (leaver, until)))
-        await self.wait_for_homes(known)
-        return {"taken": [one for one in members if one in self.held]}
+        leaving_host, members = body.get("host"), body.get("members")
+        if not isinstance(leaving_host, str) or not isinstance(members, list):
+            raise WireError("a takeover request needs a host and a list of members")
+        valid_until = self.clock.monotonic() + TAKEOVER_VALIDITY_SECONDS
+        configured = self.configured.intersection(map(str, members))
+        self.takeover_requests.update(
+            dict.fromkeys(configured, (leaving_host, valid_until))
+        )
+        await self.wait_for_homes(configured)
+        return {"taken": [member for member in members if member in self.held]}
 
     async def wait_for_homes(self, members: set[str]) -> None:
-        """Wait a little until the homes of `members` are here."""
+        """Wait up to `TAKEOVER_WAIT_SECONDS` until the homes are open."""
         try:
             async with asyncio.timeout(TAKEOVER_WAIT_SECONDS):
                 while not members <= self.held.keys():
@@ -375,10 +399,10 @@
             return
 
     async def drain(self) -> None:
-        """Hand all homes over, then let work in progress end.
+        """Hand over all homes, leave, then wait for work in progress.
 
-        The next in rank is told first, so that it is ready before any host
-        looks for it.
+        The successors open the homes first, so that they are ready before other
+        hosts route to them.
         """
         self.draining = True
         await asyncio.gather(
@@ -395,16 +419,16 @@
         await asyncio.gather(*self.closers)
 
     def successors(self) -> dict[HostRef, list[str]]:
-        """Return which targets go to which host when this one leaves."""
-        found: dict[HostRef, list[str]] = {}
+        """Return the targets that each host takes over when this one leaves."""
+        members_by_host: dict[HostRef, list[str]] = {}
         for name, held in self.held.items():
             ref = self.directory.successor(name, held.member.zone)
             if ref is not None:
-                found.setdefault(ref, []).append(name)
-        return found
+                members_by_host.setdefault(ref, []).append(name)
+        return members_by_host
 
     async def request_takeover(self, ref: HostRef, members: list[str]) -> None:
-        """Ask `ref` to take targets over; without an answer it learns it later."""
+        """Ask `ref` to take over targets; if it fails, `ref` opens them later."""
         body: Json = {
             "host": self.me.host,
             "members": members,
@@ -412,10 +436,10 @@
         try:
             await self.peers.call(ref, TAKEOVER_PATH, body, TAKEOVER_TIMEOUT_SECONDS)
         except (PeerError, RefusalError) as error:
-            log.info("{} did not take over: {}", ref.host, error)
+            log.info("host {} did not confirm a takeover: {}", ref.host, error)
 
     async def close(self) -> None:
-        """Close all homes at once."""
+        """Close all homes without a grace period."""
         homes = [held.home for held in self.held.values()]
         self.held.clear()
         await asyncio.gather(*(home.close(0.0) for home in homes))
@@ -425,7 +449,7 @@
 
 
 def targets(catalog: Catalog | None) -> Iterable[tuple[Group, Member]]:
-    """Iterate over all targets of a configuration with their groups."""
+    """Iterate over the groups and members of a configuration."""
     if catalog is None:
         return
     for group in catalog.groups.values():
--- a/src/reedhook/process/groups/local_statement_executor.py
+++ b/src/reedhook/process/groups/local_statement_executor.py
@@ -1,4 +1,4 @@
-"""Run a statement at the home of its target and prove what it demands."""
+"""Run a statement at the local home of its target and prove its consistency."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,9 +29,10 @@
 
 
 class StatementExecution:
-    """Carry one statement through its execution.
+    """Execution of one statement.
 
-    :param started_at: local monotonic time in seconds at which it arrived.
+    :ivar started_at: local monotonic time in seconds at which the statement arrived;
+        after :meth:`run`, at which it was sent to the target.
     """
 
     __slots__ = ("home", "manager", "statement", "clock", "started_at")
@@ -51,7 +52,7 @@
         return self.home.member.member_id
 
     def elapsed(self) -> float:
-        """Return seconds since the statement arrived."""
+        """Return the seconds since `started_at`."""
         return self.clock.monotonic() - self.started_at
 
     def remaining(self) -> float:
@@ -59,20 +60,19 @@
         return max(0.0, self.statement.remaining - self.elapsed())
 
     async def run(self) -> TargetResult:
-        """Run the statement at the target with the time that is left."""
+        """Run the statement at the target with the remaining time."""
         self.statement.remaining = self.remaining()
         self.started_at = self.clock.monotonic()
         return await self.home.run(self.statement)
 
 
 class LocalStatementExecutor(StatementExecutor):
-    """Execute statements at members whose home is here.
+    """Execute statements at members whose home is on this host.
 
-    :param find_home: gives the local home of a member, or None.
-    :param find_transaction_home: gives the home that holds the transaction of a
-        statement, or
-        refuses it; it may be a former one, where the transaction may still end.
-    :param find_manager: gives the keeper of a group, or None.
+    :param find_home: returns the local home of a member, or None.
+    :param find_transaction_home: returns the home that holds the transaction of a
+        statement, or refuses it; released homes with open transactions count.
+    :param find_manager: returns the group manager of a group, or None.
     :param host: this host.
     """
 
@@ -92,29 +92,29 @@
 
     async def execute(self, member: str, statement: Statement) -> HomeResponse:
         home = self.home_for_statement(member, statement)
-        keeper = self.find_manager(statement.group)
-        if home is None or keeper is None:
+        manager = self.find_manager(statement.group)
+        if home is None or manager is None:
             raise not_run(
                 RefusalReason.WRONG_HOME,
-                f"{member} is not at home here",
+                f"{member} has no home on this host",
                 RETRY_AFTER_MS,
             )
-        work = StatementExecution(home, keeper, statement, self.clock)
-        answer = await self.answer(work)
-        keeper.reporter.merge_local_state(home)
-        return HomeResponse(answer, home.load().wait, keeper.view, self.host)
+        work = StatementExecution(home, manager, statement, self.clock)
+        result = await self.answer(work)
+        manager.reporter.merge_local_state(home)
+        return HomeResponse(result, home.load().wait, manager.view, self.host)
 
     def home_for_statement(self, member: str, statement: Statement) -> Home | None:
-        """Return the home here that is to run a statement, or None.
+        """Return the local home that has to run a statement, or None.
 
-        :raises Refusal: if it belongs to a transaction that is not open here.
+        :raises RefusalError: if it belongs to a transaction that is not open here.
         """
         if statement.kind in OPEN_TRANSACTION_KINDS:
             return self.find_transaction_home(member, statement)
         return self.find_home(member)
 
     async def answer(self, work: StatementExecution) -> StatementResult:
-        """Execute by kind."""
+        """Execute a statement by its kind."""
         kind = work.statement.kind
         if kind is StatementKind.READ:
             return await read(work)
@@ -128,7 +128,7 @@
 
 
 async def read(work: StatementExecution) -> StatementResult:
-    """Execute a read with the consistency that it demands."""
+    """Execute a read at its consistency level."""
     if work.statement.consistency is Consistency.FRESH:
         return await fresh_read(work)
     if work.statement.consistency is Consistency.MAX_AGE:
@@ -137,40 +137,42 @@
 
 
 async def fresh_read(work: StatementExecution) -> StatementResult:
-    """Read at the primary and prove that it led after the question came.
+    """Read at the primary and prove that it led after the request arrived.
 
-    The confirmation runs beside the read: it shows that nothing was
-    acknowledged elsewhere before it, hence before the question came.
+    The confirmation runs concurrently with the read. It proves that no other
+    primary had acknowledged a write before the request arrived.
     """
     await check_is_primary(work)
     asked = work.clock.monotonic()
-    ticket = work.manager.request_confirmation()
+    round_number = work.manager.request_confirmation()
     result = await work.run()
     if result.role is not Role.PRIMARY or result.position.term != result.term:
         raise not_run(
             RefusalReason.UNCONFIRMED, "the member does not lead now", RETRY_AFTER_MS
         )
-    await work.manager.wait_until_confirmed(ticket, result.position, work.remaining())
+    await work.manager.wait_until_confirmed(
+        round_number, result.position, work.remaining()
+    )
     return reply(work, result, work.clock.monotonic() - asked)
 
 
 async def session_read(work: StatementExecution) -> StatementResult:
-    """Read once the member has applied the position that must be covered."""
-    covers = work.statement.min_position
-    if covers is not None:
-        await wait_until_covered(work, covers)
+    """Read once the member has applied the session's position."""
+    min_position = work.statement.min_position
+    if min_position is not None:
+        await wait_until_covered(work, min_position)
     result = await work.run()
-    if covers is not None and not result.position.covers(covers):
+    if min_position is not None and not result.position.covers(min_position):
         raise not_covered(work)
     await check_durable(work, result)
     return reply(work, result, work.manager.age(result.position))
 
 
 async def bounded_read(work: StatementExecution) -> StatementResult:
-    """Read where the age is proved, and prove it again for the answer."""
+    """Read once the age is proved, and prove it again for the result."""
     bound = work.statement.max_age
     if bound is None:
-        raise not_run(RefusalReason.BAD_REQUEST, "a bounded read needs an age")
+        raise not_run(RefusalReason.BAD_REQUEST, "a bounded read needs a maximum age")
     await wait_for_age_proof(work, bound)
     result = await work.run()
     await check_durable(work, result)
@@ -181,7 +183,7 @@
 
 
 async def write(work: StatementExecution) -> StatementResult:
-    """Write at the primary and answer once a majority holds the entry."""
+    """Write at the primary and return once a majority holds the entry."""
     await check_is_primary(work)
     work.manager.check_majority_reachable()
     result = await work.run()
@@ -193,9 +195,9 @@
 
 
 async def begin(work: StatementExecution) -> StatementResult:
-    """Open a transaction, or answer for one that committed under the same id.
+    """Open a transaction, or repeat the result of a committed one with its id.
 
-    The latter acknowledges the commit, which has to be durable like any other.
+    A repeated result acknowledges the commit, which has to be durable.
     """
     await check_is_primary(work)
     result = await work.run()
@@ -208,18 +210,18 @@
 
 
 async def commit(work: StatementExecution) -> StatementResult:
-    """Commit and answer once the transaction's entry is durable.
+    """Commit and return once the transaction's entry is durable.
 
-    A transaction that wrote nothing has no entry of its own; a confirmation
-    shows instead that its reads were those of a primary that still led.
+    A read-only transaction has no entry of its own. A confirmation proves that
+    its reads came from a primary that still led.
     """
-    ticket = work.manager.request_confirmation()
+    round_number = work.manager.request_confirmation()
     result = await work.run()
-    known = work.manager.group_state.durability.is_durable(result.position)
+    already_durable = work.manager.group_state.durability.is_durable(result.position)
     work.manager.record_write(work.member, result.position)
-    if known:
+    if already_durable:
         await work.manager.wait_until_confirmed(
-            ticket, result.position, work.remaining()
+            round_number, result.position, work.remaining()
         )
     else:
         await work.manager.wait_until_durable(
@@ -229,20 +231,21 @@
 
 
 async def check_is_primary(work: StatementExecution) -> None:
-    """Hold work for the primary back during a hand-over, refuse it elsewhere.
+    """Delay work for the primary during a handover, and refuse it at a replica.
 
-    :raises Refusal: if the member is known not to lead.
+    :raises RefusalError: ``no_primary`` if another member is known to lead, or
+        ``deadline`` if the handover takes too long.
     """
-    gate = work.manager.planned_handover.writes_allowed
-    if not gate.is_set():
-        await wait_for_handover(work, gate)
+    writes_allowed = work.manager.planned_handover.writes_allowed
+    if not writes_allowed.is_set():
+        await wait_for_handover(work, writes_allowed)
     primary = work.manager.group_state.primary
     if primary is not None and primary != work.member:
         raise not_run(RefusalReason.NO_PRIMARY, f"{primary} leads now", RETRY_AFTER_MS)
 
 
 async def wait_for_handover(work: StatementExecution, gate: asyncio.Event) -> None:
-    """Wait until the hand-over has ended."""
+    """Wait until the handover has ended."""
     try:
         async with asyncio.timeout(work.remaining()):
             await gate.wait()
@@ -255,42 +258,43 @@
 async def wait_until_covered(work: StatementExecution, covers: Position) -> None:
     """Wait a short time until the member is known to have applied `covers`.
 
-    A member whose state is unknown may cover it; its answer will tell.
+    If the state of the member is unknown, the read is tried and its result is
+    checked.
 
-    :raises Refusal: ``not_covered`` if it stays behind.
+    :raises RefusalError: ``not_covered`` if the member still lags.
     """
-    until = work.clock.monotonic() + min(
+    deadline = work.clock.monotonic() + min(
         MAX_COVER_WAIT_SECONDS, COVER_WAIT_FRACTION * work.remaining()
     )
     while True:
         state = work.home.state
         if state is None or state.role is Role.PRIMARY or state.applied >= covers:
             return
-        left = until - work.clock.monotonic()
-        if left <= 0.0:
+        seconds_left = deadline - work.clock.monotonic()
+        if seconds_left <= 0.0:
             raise not_covered(work)
-        await work.home.wait_for_state_change(state.revision, left)
+        await work.home.wait_for_state_change(state.revision, seconds_left)
 
 
 async def wait_for_age_proof(work: StatementExecution, bound: float) -> None:
     """Wait a short time until the member's age is proved to be within `bound`.
 
-    :raises Refusal: ``age_unproved`` if it cannot be proved.
+    :raises RefusalError: ``age_unproved`` if it is not proved in time.
     """
-    keeper = work.manager
-    keeper.reporter.record_wanted_age(bound)
-    until = work.clock.monotonic() + min(
+    manager = work.manager
+    manager.reporter.record_wanted_age(bound)
+    deadline = work.clock.monotonic() + min(
         MAX_PROOF_WAIT_SECONDS, PROOF_WAIT_FRACTION * work.remaining()
     )
     while not is_age_proved(work, bound):
-        left = until - work.clock.monotonic()
-        if left <= 0.0:
+        seconds_left = deadline - work.clock.monotonic()
+        if seconds_left <= 0.0:
             raise age_unproved(work)
-        await wait_for_next_proof(work, bound, left)
+        await wait_for_next_proof(work, bound, seconds_left)
 
 
 def is_age_proved(work: StatementExecution, bound: float) -> bool:
-    """Say whether the known state of the member is young enough now."""
+    """Return whether the member's state is proved to be within `bound` now."""
     state = work.home.state
     if state is None:
         return False
@@ -301,7 +305,7 @@
 async def wait_for_next_proof(
     work: StatementExecution, bound: float, left: float
 ) -> None:
-    """Wait for a newer sample, or for the member to catch up with the newest."""
+    """Wait for a newer sample, or for the member to apply the newest one."""
     state = work.home.state
     newest = work.manager.group_state.samples.newest
     now = work.clock.monotonic()
@@ -316,39 +320,39 @@
 
 
 async def check_durable(work: StatementExecution, result: TargetResult) -> None:
-    """Refuse to show entries that a change of primary may still take back.
+    """Refuse to return entries that a change of primary may still revoke.
 
-    A replica's entries are held by the primary and itself. A primary, or one
-    that was fenced, may hold entries of its own that nobody else has.
+    Entries of a replica are also on the primary. A primary, or a fenced former
+    primary, may hold entries that no other member has.
 
-    :raises Refusal: ``not_covered`` if the entries are not safe soon.
+    :raises RefusalError: ``not_covered`` if the entries do not become durable soon.
     """
     if result.role is Role.REPLICA:
         return
     durability = work.manager.group_state.durability
     if durability.is_durable(result.position):
         return
-    limit = min(MAX_COVER_WAIT_SECONDS, COVER_WAIT_FRACTION * work.remaining())
+    timeout = min(MAX_COVER_WAIT_SECONDS, COVER_WAIT_FRACTION * work.remaining())
     try:
-        held = await durability.wait(result.position, limit)
+        durable = await durability.wait(result.position, timeout)
     except TimeoutError:
-        held = False
-    if not held:
+        durable = False
+    if not durable:
         raise not_covered(work)
 
 
 def not_covered(work: StatementExecution) -> Exception:
-    """Return the refusal of a member that lags behind the session."""
+    """Return the refusal for a member that lags behind the session."""
     work.manager.metrics.increment("executor.not_covered")
     return not_run(
         RefusalReason.NOT_COVERED,
-        f"{work.member} does not hold safely what the session has seen",
+        f"{work.member} does not durably hold what the session has seen",
         RETRY_AFTER_MS,
     )
 
 
 def age_unproved(work: StatementExecution) -> Exception:
-    """Return the refusal of a member whose age cannot be proved."""
+    """Return the refusal for a member whose age is not proved."""
     work.manager.metrics.increment("executor.age_unproved")
     return not_run(
         RefusalReason.AGE_UNPROVED,
@@ -360,7 +364,7 @@
 def reply(
     work: StatementExecution, result: TargetResult, age: float | None
 ) -> StatementResult:
-    """Make the answer to `result`."""
+    """Return the result for the caller."""
     return StatementResult(
         result.columns,
         result.rows,
--- a/src/reedhook/process/groups/member_control.py
+++ b/src/reedhook/process/groups/member_control.py
@@ -1,4 +1,4 @@
-"""Steps of a change of primary at one member, here or at another host."""
+"""Control requests for a change of primary, sent to a local or remote member."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class ControlOperation(str, Enum):
-    """Name what is asked of a member."""
+    """Operation of a control request."""
 
     STATE = "state"
     RAISE = "raise"
@@ -34,10 +34,10 @@
 
 
 class MemberControlRequest(Record):
-    """Carry one question or order to a member.
+    """Control request to one member.
 
-    :param term: the term it is about; 0 for ``state``.
-    :param owner: the coordinator's attempt, for ``raise`` and ``promote``.
+    :param term: the term to raise, promote in or follow; 0 for ``state``.
+    :param owner: identifies the coordinator's attempt, for ``raise`` and ``promote``.
     :param primary: the member to follow, for ``follow``.
     """
 
@@ -70,7 +70,7 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "MemberControlRequest":
-        """Read the body of the peer path ``control``."""
+        """Parse the body of the peer path ``control``."""
         return cls(
             string_field(message, "member"),
             ControlOperation(message["op"]),
@@ -81,15 +81,15 @@
 
 
 class MemberController(ABC):
-    """Reach the members of a group for the steps of a promotion."""
+    """Send control requests to the members of a group."""
 
     @abstractmethod
     async def control(
         self, request: MemberControlRequest, timeout: float
     ) -> MemberState:
-        """Carry out `order` and return the member's state after it.
+        """Carry out `request` and return the member's state after it.
 
-        :raises Refusal: if the member refused or gave no answer.
+        :raises RefusalError: if the member refused or did not answer.
         """
 
 
@@ -97,7 +97,7 @@
 
 
 class PeerMemberController(MemberController):
-    """Reach a member at its home, or at a standby if the home gives no answer."""
+    """Control a member at its home, or at a standby host if the home fails."""
 
     def __init__(
         self,
@@ -128,30 +128,31 @@
 async def call_first_available(
     peers: PeerClient, hosts: list[HostRef], path: str, body: Json, timeout: float
 ) -> Json:
-    """Return the answer of the first of `hosts` that gives one.
+    """Call `hosts` in order and return the first answer.
 
-    Only for questions and orders that are idempotent.
+    Only for idempotent requests, since one that got no answer may have run.
 
-    :raises Refusal: the last one, or ``host_unreachable``.
+    :raises RefusalError: ``host_unreachable`` or ``wrong_home`` of the last host, or
+        the first refusal with another reason.
     """
-    last = not_run(RefusalReason.HOST_UNREACHABLE, "no live host is known")
+    last_refusal = not_run(RefusalReason.HOST_UNREACHABLE, "no live host is known")
     for host in hosts:
         try:
             return await peers.call(host, path, body, timeout)
         except PeerError as error:
-            make = may_have_run if error.sent else not_run
-            last = make(RefusalReason.HOST_UNREACHABLE, str(error))
+            refuse = may_have_run if error.sent else not_run
+            last_refusal = refuse(RefusalReason.HOST_UNREACHABLE, str(error))
         except RefusalError as refusal:
             if refusal.reason is not RefusalReason.WRONG_HOME:
                 raise
-            last = refusal
-    raise last
+            last_refusal = refusal
+    raise last_refusal
 
 
 async def control_at_home(
     home: Home, request: MemberControlRequest, timeout: float
 ) -> MemberState:
-    """Carry out `order` through the local home of its member."""
+    """Carry out `request` at the local home of its member."""
     try:
         if request.operation is ControlOperation.RAISE:
             return await home.raise_term(request.term, request.owner, timeout)
@@ -170,7 +171,7 @@
     request: MemberControlRequest,
     timeout: float,
 ) -> MemberState:
-    """Carry out `order` on a connection of its own, as a standby does."""
+    """Carry out `request` on a new connection, as a standby host does."""
     try:
         target = factory.target(member.member_id, member.address)
         connection = await target.connect(timeout)
@@ -185,7 +186,7 @@
 async def control_on_connection(
     connection: TargetConnection, request: MemberControlRequest, timeout: float
 ) -> MemberState:
-    """Carry out `order` on `connection`."""
+    """Carry out `request` on `connection`."""
     if request.operation is ControlOperation.RAISE:
         return await connection.raise_term(request.term, request.owner, timeout)
     if request.operation is ControlOperation.PROMOTE:
@@ -196,7 +197,7 @@
 
 
 def refusal_for_target_error(error: TargetError) -> RefusalError:
-    """Return the refusal that tells another host of `error`."""
+    """Return the refusal that reports `error` to another host."""
     if isinstance(error, TargetRefusedError):
         return not_run(RefusalReason.CONFLICT, error.detail)
     if isinstance(error, TargetNoReplyError):
--- a/src/reedhook/process/groups/pending_proofs.py
+++ b/src/reedhook/process/groups/pending_proofs.py
@@ -1,4 +1,4 @@
-"""How many proofs for statements are in progress."""
+"""Count of the consistency proofs in progress."""
 
 import asyncio
 
--- a/src/reedhook/process/groups/planned_handover.py
+++ b/src/reedhook/process/groups/planned_handover.py
@@ -1,4 +1,4 @@
-"""Planned change of primary with a short pause of writes."""
+"""Planned handover of the primary with a short pause of writes."""
 
 import asyncio
 from typing import Final
@@ -13,7 +13,7 @@
 
 
 class PlannedHandover:
-    """Hold writes back while the lead moves to a replica that has them all."""
+    """Pause writes while a replica that holds all of them is promoted."""
 
     def __init__(
         self,
@@ -28,30 +28,32 @@
         self.writes_allowed.set()
 
     async def run(self, timeout: float) -> bool:
-        """Move the lead; return whether another member leads now."""
-        former = self.group_state.primary
-        if former is None:
+        """Promote another member; return whether another one leads now."""
+        former_primary = self.group_state.primary
+        if former_primary is None:
             return False
         self.writes_allowed.clear()
         try:
             async with asyncio.timeout(timeout):
-                await self.wait_for_caught_up_replica(former)
-                while self.group_state.primary == former:
+                await self.wait_for_caught_up_replica(former_primary)
+                while self.group_state.primary == former_primary:
                     await self.coordinator.change_primary(PromotionCause.PLANNED, 0.0)
         except TimeoutError:
             pass
         finally:
             self.writes_allowed.set()
-        return self.group_state.primary not in (former, None)
+        return self.group_state.primary not in (former_primary, None)
 
     async def wait_for_caught_up_replica(self, former: str) -> None:
-        """Wait a little for a replica that holds all that `former` holds."""
-        until = self.clock.monotonic() + MAX_CATCH_UP_WAIT_SECONDS
-        while self.clock.monotonic() < until and not self.has_caught_up_replica(former):
+        """Wait for a replica that holds all entries of `former`, up to a limit."""
+        deadline = self.clock.monotonic() + MAX_CATCH_UP_WAIT_SECONDS
+        while self.clock.monotonic() < deadline and not self.has_caught_up_replica(
+            former
+        ):
             await self.clock.sleep(CATCH_UP_POLL_INTERVAL_SECONDS)
 
     def has_caught_up_replica(self, former: str) -> bool:
-        """Say whether some replica holds all that `former` is known to hold."""
+        """Return whether a replica holds all entries that `former` is known to hold."""
         states = self.group_state.states
         if former not in states:
             return True
--- a/src/reedhook/process/groups/primary_hints.py
+++ b/src/reedhook/process/groups/primary_hints.py
@@ -1,4 +1,4 @@
-"""The outcome of changes of primary in the store, as a hint and no more."""
+"""Hints in the store about the primary of each group; never a proof."""
 
 import asyncio
 from random import Random
@@ -15,14 +15,14 @@
 
 
 def primary_hint_key(group: str) -> str:
-    """Return the store's key of a group's primary."""
+    """Return the store key of a group's primary."""
     return f"primary/{group}"
 
 
 class PrimaryHints:
-    """Write outcomes to the store when it answers; nobody waits for it.
+    """Write changes of primary to the store in the background.
 
-    Only the newest outcome of a group is kept while the store is down.
+    While the store is down, only the newest change of each group is kept.
     """
 
     def __init__(self, store: Store, clock: Clock, random: Random) -> None:
@@ -33,7 +33,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def publish(self, change: PrimaryChange) -> None:
-        """Write `outcome` in the background."""
+        """Write `change` in the background unless a newer one is pending."""
         known = self.pending.get(change.group)
         if known is not None and known.term >= change.term:
             return
@@ -42,24 +42,24 @@
             self.task = asyncio.create_task(self.drain())
 
     async def drain(self) -> None:
-        """Write what is pending, with growing pauses while the store is down."""
+        """Write the pending changes; back off exponentially while the store is down."""
         delay = INITIAL_RETRY_DELAY_SECONDS
         while self.pending:
-            outcome = next(iter(self.pending.values()))
+            change = next(iter(self.pending.values()))
             try:
-                await self.write(outcome)
+                await self.write(change)
             except StoreError:
                 await self.clock.sleep(delay * (0.5 + self.random.random()))
                 delay = min(2 * delay, MAX_RETRY_DELAY_SECONDS)
                 continue
             delay = INITIAL_RETRY_DELAY_SECONDS
-            if self.pending.get(outcome.group) == outcome:
-                del self.pending[outcome.group]
+            if self.pending.get(change.group) == change:
+                del self.pending[change.group]
 
     async def write(self, change: PrimaryChange) -> None:
-        """Replace the hint unless it is of the same or a later term.
+        """Replace the hint unless it has the same or a later term.
 
-        :raises StoreError: if the store gave no usable answer.
+        :raises StoreError: if the store does not answer.
         """
         entry = await self.store.get(
             primary_hint_key(change.group), STORE_TIMEOUT_SECONDS
@@ -77,7 +77,7 @@
             await self.write(change)
 
     async def read(self, group: str) -> PrimaryChange | None:
-        """Return the hint of a group, or None if there is none to be had."""
+        """Return the hint of a group, or None if missing or unavailable."""
         try:
             entry = await self.store.get(primary_hint_key(group), STORE_TIMEOUT_SECONDS)
         except StoreError:
@@ -85,13 +85,13 @@
         return parse_hint(entry, group)
 
     async def close(self) -> None:
-        """Stop writing."""
+        """Cancel the background writes."""
         if self.task is not None:
             self.task.cancel()
 
 
 def parse_hint(entry: StoreEntry | None, group: str) -> PrimaryChange | None:
-    """Read a hint; one that cannot be read counts as none."""
+    """Parse a hint; return None if it is malformed."""
     if entry is None:
         return None
     try:
--- a/src/reedhook/process/groups/primary_monitor.py
+++ b/src/reedhook/process/groups/primary_monitor.py
@@ -1,4 +1,4 @@
-"""Watch over the primary of a group, and decide when to replace it."""
+"""Failure detection for the primary of a group, and the decision to replace it."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,10 +27,16 @@
 
 
 class PrimaryMonitor:
-    """Turn doubts into evidence and evidence into a change of primary.
+    """Check a suspected primary and start a change of primary if it is lost.
 
-    :param on_host_lost: is called when the primary lives and its home seems
-        dead, so that membership may look at that host sooner.
+    :param on_host_lost: called when the primary is alive but its home seems
+        dead, so that membership checks that host sooner.
+    :ivar alive_at: local monotonic time in seconds of the last probe that found
+        the primary alive.
+    :ivar homeless_since: local monotonic time since which the primary has been
+        alive without a home; None if it has one.
+    :ivar leaderless_since: local monotonic time since which the group has had no
+        leader that can act; None if it has one.
     """
 
     def __init__(
@@ -61,11 +67,11 @@
         self.homeless_since: float | None = None
 
     def request_check(self) -> None:
-        """Look at the primary soon."""
+        """Request a check of the primary."""
         self.check_requested.set()
 
     async def run(self) -> None:
-        """Look at the primary whenever something speaks against it."""
+        """Check the primary on each request, until cancelled."""
         while True:
             await self.check_requested.wait()
             self.check_requested.clear()
@@ -77,21 +83,21 @@
             await self.investigate(cause)
 
     def detect_cause(self) -> PromotionCause | None:
-        """Return what speaks against the primary now, or None."""
+        """Return the current cause for a change of primary, or None."""
         primary = self.group_state.primary
         if primary is None:
             return PromotionCause.LEADERLESS
-        lost = self.detect_loss(primary)
+        cause = self.detect_loss(primary)
         if (
-            lost is None
+            cause is None
             and self.group_state.highest_promised_term > self.group_state.term
         ):
             return PromotionCause.FENCED
         self.leaderless_since = None
-        return lost
+        return cause
 
     def detect_loss(self, primary: str) -> PromotionCause | None:
-        """Return in what way the primary seems lost, or None."""
+        """Return in which way the primary seems lost, or None."""
         home = self.reporter.home(primary)
         if home is not None:
             return (
@@ -110,7 +116,7 @@
         return PromotionCause.SILENT if silent else None
 
     async def investigate(self, cause: PromotionCause) -> None:
-        """Gather evidence and act on it."""
+        """Probe the primary and change it if the cause is confirmed."""
         if cause in (PromotionCause.LEADERLESS, PromotionCause.FENCED):
             await self.find_leader(cause)
             return
@@ -120,58 +126,59 @@
         if primary is None:
             return
         self.suspect(primary, cause, since)
-        evidence = await self.gather_evidence(primary, cause)
-        if evidence is PrimaryLiveness.HOMELESS and self.may_get_new_home(primary):
+        liveness = await self.gather_evidence(primary, cause)
+        if liveness is PrimaryLiveness.HOMELESS and self.may_get_new_home(primary):
             await self.pause(RECHECK_DELAY_SECONDS)
             return
         self.homeless_since = None
-        if evidence is PrimaryLiveness.ALIVE and cause is PromotionCause.SILENT:
+        if liveness is PrimaryLiveness.ALIVE and cause is PromotionCause.SILENT:
             self.clear("answers others")
             await self.pause(RECHECK_DELAY_SECONDS)
             return
         if self.group_state.term != term or self.detect_cause() is None:
             self.clear("answers again")
             return
-        if evidence is PrimaryLiveness.HOMELESS:
+        if liveness is PrimaryLiveness.HOMELESS:
             cause = PromotionCause.HOMELESS
         await self.change_primary(cause, since)
 
     async def gather_evidence(
         self, primary: str, cause: PromotionCause
     ) -> PrimaryLiveness:
-        """Ask about the primary until the answer can be acted on.
+        """Probe the primary until the result is conclusive.
 
-        A silence must have lasted, with a check that covers its end. Timeouts
-        of a host that lags itself prove nothing, so it asks again.
+        A silence must have lasted `SUSPECT_AFTER_SECONDS`, with a probe at its
+        end. The timeouts of a slow probe prove nothing, since this host itself
+        may be overloaded, so the probe is repeated.
         """
         for _ in range(MAX_CHECKS):
-            begun = self.clock.monotonic()
-            found = await self.prober.probe_primary(primary)
+            started_at = self.clock.monotonic()
+            liveness = await self.prober.probe_primary(primary)
             now = self.clock.monotonic()
             silence = self.silence(now)
-            if found is not PrimaryLiveness.LOST:
-                self.alive_at = begun
-            if found is not PrimaryLiveness.LOST or (
+            if liveness is not PrimaryLiveness.LOST:
+                self.alive_at = started_at
+            if liveness is not PrimaryLiveness.LOST or (
                 cause is PromotionCause.SILENT and not silence
             ):
-                return found
-            lasted = (
+                return liveness
+            long_enough = (
                 cause is not PromotionCause.SILENT or silence >= SUSPECT_AFTER_SECONDS
             )
-            if lasted and now - begun < SLOW_CHECK_SECONDS:
-                return found
+            if long_enough and now - started_at < SLOW_CHECK_SECONDS:
+                return liveness
             await self.clock.sleep(
                 max(0.0, SUSPECT_AFTER_SECONDS - FINAL_CHECK_SECONDS - silence)
             )
         return PrimaryLiveness.LOST
 
     def silence(self, now: float) -> float:
-        """Return for how many seconds nobody has shown the primary alive."""
+        """Return the seconds without evidence that the primary is alive."""
         since = self.reporter.contact.silent_since
         return 0.0 if since is None else now - max(since, self.alive_at)
 
     def first_sign(self) -> float:
-        """Return when the primary first seemed lost, in local monotonic time."""
+        """Return the local monotonic time at which the primary first seemed lost."""
         now = self.clock.monotonic()
         home = self.reporter.home(self.group_state.primary)
         if home is not None:
@@ -179,7 +186,7 @@
         return self.reporter.contact.silent_since or now
 
     async def change_primary(self, cause: PromotionCause, since: float) -> None:
-        """Try a change of primary once; look again if it came to nothing."""
+        """Try a change of primary once; request another check if it fails."""
         suspicion = self.clock.monotonic() - since
         if await self.coordinator.change_primary(cause, suspicion):
             self.reporter.contact.reset()
@@ -189,7 +196,7 @@
         self.check_requested.set()
 
     def may_get_new_home(self, primary: str) -> bool:
-        """Say whether a standby may still take over a primary that lives."""
+        """Return whether a standby host may still take over the home."""
         now = self.clock.monotonic()
         if self.homeless_since is None:
             self.homeless_since = now
@@ -199,7 +206,7 @@
         return now - self.homeless_since < HOMELESS_AFTER_SECONDS
 
     async def find_leader(self, cause: PromotionCause) -> None:
-        """Ask the members who leads; without an answer for long, elect."""
+        """Query the members for the leader; elect one if none is found in time."""
         now = self.clock.monotonic()
         if self.leaderless_since is None:
             self.leaderless_since = now
@@ -215,12 +222,12 @@
         await self.change_primary(cause, self.leaderless_since)
 
     async def pause(self, seconds: float) -> None:
-        """Look again after `seconds`."""
+        """Request another check after `seconds`."""
         await self.clock.sleep(seconds)
         self.check_requested.set()
 
     def suspect(self, primary: str, cause: PromotionCause, since: float) -> None:
-        """Record the suspicion, once while it lasts."""
+        """Record a suspicion, unless one is already recorded."""
         if self.suspected:
             return
         self.suspected = True
@@ -235,7 +242,7 @@
         )
 
     def clear(self, why: str) -> None:
-        """Record that the suspicion was unfounded."""
+        """Record the end of a suspicion without a change of primary."""
         if not self.suspected:
             return
         self.suspected = False
--- a/src/reedhook/process/groups/primary_prober.py
+++ b/src/reedhook/process/groups/primary_prober.py
@@ -1,4 +1,4 @@
-"""Doubts about the primary, and the questions that settle them."""
+"""Probes of a suspected primary through other hosts."""
 
 import asyncio
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class PrimaryLiveness(str, Enum):
-    """Name what could be found out about the primary."""
+    """Result of probing the primary; HOMELESS is alive without a working home."""
 
     ALIVE = "alive"
     HOMELESS = "homeless"
@@ -25,7 +25,7 @@
 
 
 class PromotionCause(str, Enum):
-    """Name why a change of primary is weighed."""
+    """Reason to consider a change of primary."""
 
     SILENT = "silent"
     TARGET_LOST = "target_lost"
@@ -36,10 +36,10 @@
 
 
 class PrimaryProber:
-    """Ask all hosts that may still reach the primary whether it answers.
+    """Probe the primary through all hosts that may still reach it.
 
-    These are its home and its standbys, and the homes of the other replicas,
-    which may reach its zone when this host cannot.
+    These are its home and its standby hosts, and the homes of the other members,
+    which may reach its availability zone when this host cannot.
     """
 
     def __init__(
@@ -51,43 +51,43 @@
         self.asking: set[asyncio.Task[PrimaryLiveness]] = set()
 
     async def probe_primary(self, primary: str) -> PrimaryLiveness:
-        """Return the best evidence that any host gives."""
-        near = [
+        """Return the best result of any host."""
+        direct = [
             self.spawn(primary, host, False) for host in self.direct_probers(primary)
         ]
-        far = [
+        relayed = [
             self.spawn(primary, host, True) for host in self.indirect_probers(primary)
         ]
-        return await best_probe_result(near + far)
+        return await best_probe_result(direct + relayed)
 
     async def probe_for_peer(self, primary: str) -> PrimaryLiveness:
-        """Ask on behalf of a host that may not reach the primary's zone."""
+        """Probe directly for a host that may not reach the primary's zone."""
         return await best_probe_result(
             [self.spawn(primary, host, False) for host in self.direct_probers(primary)]
         )
 
     def direct_probers(self, primary: str) -> list[HostRef]:
-        """Return the hosts that talk to the primary themselves."""
+        """Return the hosts that can connect to the primary: its home and standbys."""
         for member in self.group.members:
             if member.member_id == primary:
                 return self.directory.ranked(primary, member.zone)[:MAX_PROBED_HOSTS]
         return []
 
     def indirect_probers(self, primary: str) -> list[HostRef]:
-        """Return the homes of the other members."""
-        me = self.directory.me.host
-        near = {host.host for host in self.direct_probers(primary)}
+        """Return the homes of the other members, which relay a probe."""
+        own_host = self.directory.me.host
+        direct = {host.host for host in self.direct_probers(primary)}
         found: dict[str, HostRef] = {}
         for member in self.group.members:
             host = self.directory.home(member.member_id, member.zone)
-            if host is not None and host.host not in near and host.host != me:
+            if host is not None and host.host not in direct and host.host != own_host:
                 found[host.host] = host
         return list(found.values())
 
     def spawn(
         self, primary: str, host: HostRef, relay: bool
     ) -> "asyncio.Task[PrimaryLiveness]":
-        """Ask one host in a task that may outlive the check."""
+        """Probe through one host in a task that may outlive the check."""
         task = asyncio.create_task(self.probe_with_retry(primary, host, relay))
         self.asking.add(task)
         task.add_done_callback(self.asking.discard)
@@ -96,22 +96,22 @@
     async def probe_with_retry(
         self, primary: str, host: HostRef, relay: bool
     ) -> PrimaryLiveness:
-        """Ask one host, and again soon after, since one message may be lost."""
+        """Probe through one host; send a second request in case the first is lost."""
         first = asyncio.create_task(self.probe_once(primary, host, relay))
         done, _ = await asyncio.wait([first], timeout=PROBE_RETRY_DELAY_SECONDS)
         if done and first.result() is not None:
             return first.result() or PrimaryLiveness.LOST
         second = asyncio.create_task(self.probe_once(primary, host, relay))
         for answer in asyncio.as_completed([first, second]):
-            evidence = await answer
-            if evidence is not None:
-                return evidence
+            liveness = await answer
+            if liveness is not None:
+                return liveness
         return PrimaryLiveness.LOST
 
     async def probe_once(
         self, primary: str, host: HostRef, relay: bool
     ) -> PrimaryLiveness | None:
-        """Ask once; None if no answer came."""
+        """Send one probe; return None without an answer."""
         body = {"member": primary, "relay": relay}
         timeout = RELAY_TIMEOUT_SECONDS if relay else PROBE_TIMEOUT_SECONDS
         try:
@@ -124,19 +124,19 @@
 async def best_probe_result(
     questions: "list[asyncio.Task[PrimaryLiveness]]",
 ) -> PrimaryLiveness:
-    """Return the best answer; at once when the primary's home is shown alive."""
+    """Return the best result, or ALIVE as soon as one host reports it."""
     best = PrimaryLiveness.LOST
-    for answer in asyncio.as_completed(questions):
-        evidence = await answer
-        if evidence is PrimaryLiveness.ALIVE:
-            return evidence
-        if evidence is PrimaryLiveness.HOMELESS:
-            best = evidence
+    for probe in asyncio.as_completed(questions):
+        liveness = await probe
+        if liveness is PrimaryLiveness.ALIVE:
+            return liveness
+        if liveness is PrimaryLiveness.HOMELESS:
+            best = liveness
     return best
 
 
 def parse_probe_answer(answer: Json) -> PrimaryLiveness:
-    """Read the answer of the peer path ``probe``."""
+    """Parse the answer of the peer path ``probe``."""
     if not answer["alive"]:
         return PrimaryLiveness.LOST
     return PrimaryLiveness.ALIVE if answer["home"] else PrimaryLiveness.HOMELESS
--- a/src/reedhook/process/groups/primary_sample.py
+++ b/src/reedhook/process/groups/primary_sample.py
@@ -1,4 +1,4 @@
-"""Proofs of age without synchronized clocks."""
+"""Samples of the primary that prove the age of data without synchronized clocks."""
 
 from collections import deque
 from typing import Final
@@ -12,10 +12,10 @@
 
 
 class PrimarySample(Record):
-    """Say that a confirmed primary was at `position` no earlier than `dated`.
+    """Position of a confirmed primary at or after `as_of`.
 
     A member that has applied `position` reflects every write acknowledged
-    before `dated`.
+    before `as_of`.
 
     :param position: the last entry of the primary.
     :param as_of: local monotonic time in seconds.
@@ -28,22 +28,22 @@
         self.as_of = as_of
 
     def to_json(self, now: float) -> Json:
-        """Return the sample for the wire; its time becomes an age at `now`."""
+        """Return the JSON form, with the age at `now` instead of a time."""
         return {"position": self.position.to_json(), "age": now - self.as_of}
 
     @classmethod
     def from_json(cls, message: Json, asked: float) -> "PrimarySample":
-        """Read a sample; `asked` is when the question was sent, local monotonic.
+        """Parse a sample that was requested at `asked`, local monotonic seconds.
 
-        The age was stated after the question was sent, so dating it from the
-        question makes the sample older than it is, never newer.
+        The age was computed after the request was sent. Counting it back from the
+        request makes the sample seem older than it is, never newer.
         """
         age = max(0.0, float(message["age"]))
         return cls(Position.from_json(message["position"]), asked - age)
 
 
 class PrimarySamples:
-    """Keep the newest samples, so that a replica that lags proves an older one."""
+    """The newest samples; a lagging replica proves its age by an older one."""
 
     __slots__ = ("kept",)
 
@@ -52,28 +52,28 @@
 
     @property
     def newest(self) -> PrimarySample | None:
-        """Return the sample with the latest date."""
+        """Return the sample with the latest time, or None."""
         return self.kept[-1] if self.kept else None
 
     def add(self, sample: PrimarySample) -> None:
-        """Keep `sample` if it is dated later than all others.
+        """Keep `sample` if it is newer than all others.
 
-        Samples close together in time replace each other, lest a busy group
-        push out the older ones that a replica far behind needs.
+        Samples close together in time replace each other. Otherwise a busy group
+        would evict the older samples that a lagging replica needs.
         """
-        last = self.newest
-        if last is not None and sample.as_of <= last.as_of:
+        newest = self.newest
+        if newest is not None and sample.as_of <= newest.as_of:
             return
-        before = self.kept[-2] if len(self.kept) > 1 else None
+        previous = self.kept[-2] if len(self.kept) > 1 else None
         if (
-            before is not None
-            and sample.as_of - before.as_of < MIN_SAMPLE_SPACING_SECONDS
+            previous is not None
+            and sample.as_of - previous.as_of < MIN_SAMPLE_SPACING_SECONDS
         ):
             self.kept.pop()
         self.kept.append(sample)
 
     def age(self, applied: Position, now: float) -> float | None:
-        """Return the proved upper bound of the age of `applied` at `now`.
+        """Return a proved upper bound of the age of `applied` at `now`.
 
         :returns: seconds, or None if no sample proves anything.
         """
--- a/src/reedhook/process/groups/primary_sampler.py
+++ b/src/reedhook/process/groups/primary_sampler.py
@@ -1,4 +1,4 @@
-"""Samples of a confirmed primary, taken at the pace that bounded reads need."""
+"""Sampling of the confirmed primary at the rate that bounded reads need."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 
 
 class PrimarySampler:
-    """Keep samples coming while somebody asks for them, and fetch single ones.
+    """Take samples periodically while bounded reads need them, or once on demand.
 
-    :param local_leader: tells the leader if its home is here.
-    :ivar wanted_age: the age in seconds that samples are asked for.
-    :ivar until: local monotonic time until which they are wanted.
+    :param local_leader: returns the leader if its home is on this host.
+    :ivar wanted_age: the maximum age of samples in seconds.
+    :ivar until: local monotonic time in seconds at which sampling stops.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self.proving: asyncio.Task[None] | None = None
 
     async def fetch_shared_sample(self, age: float) -> None:
-        """Fetch a sample not older than `age` seconds; shared by all that wait."""
+        """Fetch a sample no older than `age` seconds, shared by concurrent callers."""
         self.reporter.record_wanted_age(age)
         if self.proving is None or self.proving.done():
             self.proving = asyncio.create_task(self.fetch_sample(age))
         await asyncio.shield(self.proving)
 
     async def fetch_sample(self, age: float) -> None:
-        """Run a round if the primary's home is here, else ask that home."""
+        """Run a confirmation round, or request a sample from the primary's home."""
         if self.local_leader() is not None:
             await self.confirmation.wait_for_round(self.confirmation.request_round())
             return
@@ -68,11 +68,11 @@
             except (PeerError, RefusalError):
                 await self.clock.sleep(FETCH_RETRY_DELAY_SECONDS)
             return
-        # Nobody can be asked yet; who waits for a proof asks again at once.
+        # Without a pause, callers that wait for a proof would retry in a busy loop.
         await self.clock.sleep(FETCH_RETRY_DELAY_SECONDS)
 
     async def keep_sampling(self, age: float, wait_for_sample: bool) -> None:
-        """Keep samples not older than `age` coming while they are asked for."""
+        """Start or extend periodic sampling for reads no older than `age` seconds."""
         now = self.clock.monotonic()
         if age < self.wanted_age or now > self.until:
             self.wanted_age = age
@@ -88,21 +88,21 @@
             await self.confirmation.wait_for_round(self.confirmation.request_round())
 
     async def sample(self) -> None:
-        """Run rounds at the pace that bounded reads need, while there are any."""
+        """Run confirmation rounds at the needed rate until sampling expires."""
         while self.clock.monotonic() < self.until and self.local_leader():
-            pace = max(
+            interval = max(
                 self.wanted_age / SAMPLES_PER_WANTED_AGE, MIN_SAMPLE_INTERVAL_SECONDS
             )
             newest = self.group_state.samples.newest
             now = self.clock.monotonic()
-            if newest is None or now - newest.as_of >= pace:
+            if newest is None or now - newest.as_of >= interval:
                 await self.confirmation.wait_for_round(
                     self.confirmation.request_round()
                 )
-            await self.clock.sleep(pace)
+            await self.clock.sleep(interval)
 
     def close(self) -> None:
-        """Stop taking samples."""
+        """Stop sampling."""
         for task in (self.running, self.proving):
             if task is not None:
                 task.cancel()
--- a/src/reedhook/process/groups/replica_reporter.py
+++ b/src/reedhook/process/groups/replica_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of replicas' states to the home of their primary."""
+"""Reports of replica states to the home of the primary."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -30,10 +30,10 @@
 
 
 class ReplicaReport(Record):
-    """Carry the state of a replica to its primary's home.
+    """Report of a replica's state to the home of its primary.
 
-    :param wanted_age: age in seconds that bounded reads asked lately; None if none.
-    :param wait_for_sample: whether the answer should wait for a sample that serves.
+    :param wanted_age: smallest age in seconds of recent bounded reads, or None.
+    :param wait_for_sample: whether the answer waits for a recent enough sample.
     """
 
     __slots__ = ("group", "state", "wanted_age", "wait_for_sample")
@@ -62,7 +62,7 @@
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "ReplicaReport":
-        """Read the body of the peer path ``report``."""
+        """Parse the body of the peer path ``report``."""
         want = message["want"]
         return cls(
             string_field(message, "group"),
@@ -73,10 +73,10 @@
 
 
 class ReplicaReportAnswer(Record):
-    """Carry what the receiver of a report knows.
+    """Answer to a report.
 
-    :param is_primary_home: whether it is home of the primary.
-    :param primary_alive: whether the primary answers it.
+    :param is_primary_home: whether the receiver is home of the primary.
+    :param primary_alive: whether the primary answers the receiver.
     """
 
     __slots__ = ("view", "sample", "is_primary_home", "primary_alive")
@@ -104,7 +104,7 @@
 
     @classmethod
     def from_json(cls, message: Json, asked: float) -> "ReplicaReportAnswer":
-        """Read the answer to a report sent at `asked`."""
+        """Parse the answer to a report sent at `asked`, local monotonic seconds."""
         sample = message["sample"]
         return cls(
             GroupView.from_json(message["view"], asked),
@@ -115,12 +115,13 @@
 
 
 class PrimaryContact:
-    """Track since when the primary's home leaves reports unanswered.
+    """Track whether the home of the primary answers reports.
 
-    :ivar silent_since: local monotonic time in seconds at which the first
-        report was sent that no answer followed; None if there is none.
-    :ivar broken: whether a report could not be sent or was not answered in time.
-    :ivar primary_reported_lost: whether the home says that the primary does not answer.
+    :ivar last_sent: local monotonic time in seconds of the last report.
+    :ivar silent_since: local monotonic time in seconds at which the unanswered
+        reports begin; None if all are answered.
+    :ivar broken: whether a report failed or timed out since the last answer.
+    :ivar primary_reported_lost: whether the home reported the primary unreachable.
     """
 
     def __init__(self) -> None:
@@ -130,36 +131,38 @@
         self.primary_reported_lost = False
 
     def record_sent(self, now: float) -> None:
-        """Take note of a report sent now."""
+        """Record a report that is sent now."""
         self.last_sent = now
         if self.silent_since is None:
             self.silent_since = now
 
     def record_answer(self, asked: float, alive: bool) -> None:
-        """Take note of an answer to the report sent at `asked`.
+        """Record an answer to the report sent at `asked`.
 
-        Reports sent later are still open, but none was open for longer.
+        If a later report is still unanswered, the silence starts at the last one.
         """
         self.primary_reported_lost = not alive
         self.broken = False
         self.silent_since = self.last_sent if self.last_sent > asked else None
 
     def reset(self) -> None:
-        """Forget everything; the primary has changed."""
+        """Clear the state after a change of primary."""
         self.silent_since = None
         self.broken = False
         self.primary_reported_lost = False
 
     def silence(self, now: float) -> float:
-        """Return for how many seconds reports have stayed unanswered."""
+        """Return the seconds for which reports have been unanswered."""
         return 0.0 if self.silent_since is None else now - self.silent_since
 
 
 class ReplicaReporter:
-    """Follow the states of the local members and report those of replicas.
+    """Follow the states of local members and report those of replicas.
 
-    :param request_check: is called whenever something speaks against the primary.
-    :ivar smallest_wanted_age: smallest age asked by bounded reads lately, in seconds.
+    :param request_check: called when the primary may be lost.
+    :ivar smallest_wanted_age: smallest age in seconds of recent bounded reads.
+    :ivar want_until: local monotonic time in seconds at which that age expires.
+    :ivar turn: counter that alternates the receiver of reports.
     """
 
     def __init__(
@@ -186,7 +189,7 @@
         self.turn = 0
 
     def refresh(self) -> None:
-        """Follow exactly the members whose home is here now."""
+        """Follow exactly the members whose home is on this host."""
         local = {home.member.member_id: home for home in self.homes()}
         if not local:
             self.contact.reset()
@@ -199,13 +202,13 @@
                 self.tasks[member] = asyncio.create_task(self.follow(home))
 
     def reset(self) -> None:
-        """Give up reports to a former primary's home; they hold the slots."""
+        """Cancel reports to the former primary's home to free their permits."""
         self.contact.reset()
         for task in self.sending - {asyncio.current_task()}:
             task.cancel()
 
     def close(self) -> None:
-        """Stop following and reporting."""
+        """Cancel all tasks."""
         for task in [*self.tasks.values(), *self.sending]:
             task.cancel()
         self.tasks.clear()
@@ -218,7 +221,7 @@
         return None
 
     def record_wanted_age(self, age: float) -> None:
-        """Take note that bounded reads ask for `age` seconds."""
+        """Record the maximum age of a bounded read, in seconds."""
         now = self.clock.monotonic()
         if (
             self.smallest_wanted_age is None
@@ -229,7 +232,7 @@
         self.want_until = now + WANTED_AGE_VALIDITY_SECONDS
 
     def wanted_age(self) -> float | None:
-        """Return the age that bounded reads asked lately, in seconds."""
+        """Return the smallest age of recent bounded reads in seconds, or None."""
         return (
             self.smallest_wanted_age
             if self.clock.monotonic() <= self.want_until
@@ -237,25 +240,27 @@
         )
 
     def interval(self, member: str) -> float:
-        """Return after how many seconds an unchanged state is looked at again.
+        """Return the seconds after which an unchanged state is processed again.
 
-        The home of the primary looks often, since it sees first whether the
-        primary answers, and a look costs no message.
+        The home of the primary checks often, since it is the first to detect an
+        unreachable primary, and the check sends no message.
         """
         if member == self.group_state.primary:
             return PRIMARY_CHECK_INTERVAL_SECONDS
         if self.contact.silent_since is not None:
             return SILENT_PRIMARY_INTERVAL_SECONDS
-        want = self.wanted_age()
-        if want is None:
+        wanted_age = self.wanted_age()
+        if wanted_age is None:
             return REPORT_INTERVAL_SECONDS
         return min(
             REPORT_INTERVAL_SECONDS,
-            max(want / REPORTS_PER_WANTED_AGE, SILENT_PRIMARY_INTERVAL_SECONDS / 2),
+            max(
+                wanted_age / REPORTS_PER_WANTED_AGE, SILENT_PRIMARY_INTERVAL_SECONDS / 2
+            ),
         )
 
     async def follow(self, home: Home) -> None:
-        """Learn each change of the state of one local member, and report it."""
+        """Merge and report each change of state of one local member."""
         revision = -1
         while True:
             await home.wait_for_state_change(
@@ -275,11 +280,11 @@
             self.start_report(home)
 
     def fenced(self, state: MemberState | None) -> bool:
-        """Say whether a member has promised a term that nobody leads yet."""
+        """Return whether a member promised a term that has no known leader yet."""
         return state is not None and state.promised > self.group_state.term
 
     def merge_local_state(self, home: Home) -> None:
-        """Learn the newest state of a local member."""
+        """Merge the newest state of a local member."""
         if home.state is not None:
             wait = home.load().wait
             self.group_state.merge_state(
@@ -287,7 +292,7 @@
             )
 
     async def redirect_stale_member(self, home: Home, state: MemberState) -> None:
-        """Tell a member that follows a former term whom to follow now."""
+        """Make a member of a former term follow the current primary."""
         term, primary = self.group_state.term, self.group_state.primary
         if primary is None or state.leader_term >= term or state.promised > term:
             return
@@ -300,13 +305,13 @@
         self.merge_local_state(home)
 
     def start_report(self, home: Home) -> None:
-        """Report the newest state in a task of its own."""
+        """Report the newest state in a separate task."""
         task = asyncio.create_task(self.report_state(home))
         self.sending.add(task)
         task.add_done_callback(self.sending.discard)
 
     async def report_state(self, home: Home) -> None:
-        """Report once; the slot taken by the caller is freed."""
+        """Report once and release the permit that :meth:`follow` acquired."""
         try:
             primary = self.group_state.primary
             if home.state is None or primary is None or self.home(primary):
@@ -318,11 +323,13 @@
             self.send_permits[home.member.member_id].release()
 
     async def send_report(self, state: MemberState, primary: str) -> None:
-        """Send one report and learn from its answer."""
+        """Send one report and merge its answer."""
         asked = self.clock.monotonic()
         self.contact.record_sent(asked)
         loop = asyncio.get_running_loop()
-        alarm = loop.call_later(CHECK_UNANSWERED_AFTER_SECONDS, self.request_check)
+        check_timer = loop.call_later(
+            CHECK_UNANSWERED_AFTER_SECONDS, self.request_check
+        )
         try:
             report = ReplicaReport(
                 self.group_state.group.name, state, self.wanted_age()
@@ -336,7 +343,7 @@
             self.request_check()
             return
         finally:
-            alarm.cancel()
+            check_timer.cancel()
         if answer.is_primary_home and self.group_state.primary == primary:
             self.contact.record_answer(asked, answer.primary_alive)
         if not answer.primary_alive:
@@ -345,10 +352,10 @@
     async def call(
         self, report: ReplicaReport, primary: str, timeout: float
     ) -> ReplicaReportAnswer:
-        """Report to the primary's home and take over what it knows.
+        """Send a report to the primary's home and merge the answer.
 
         :raises PeerError: if no answer came.
-        :raises Refusal: if the receiver knows nothing of the group.
+        :raises RefusalError: if the receiver has no home of the group.
         """
         host = self.receiver(primary)
         asked = self.clock.monotonic()
@@ -360,7 +367,9 @@
         return answer
 
     def receiver(self, primary: str) -> HostRef:
-        """Return the primary's home; while it is silent, its standby in turn.
+        """Return the host to report to: the primary's home.
+
+        While the home is silent, reports alternate between it and its standby.
 
         :raises PeerError: if no live host is known.
         """
@@ -374,7 +383,7 @@
 
     def zone(self, member: str) -> str:
         """Return the availability zone of `member`."""
-        for one in self.group_state.group.members:
-            if one.member_id == member:
-                return one.zone
+        for candidate in self.group_state.group.members:
+            if candidate.member_id == member:
+                return candidate.zone
         return ""
