--- a/tests/test_drain_transaction.py
+++ b/tests/test_drain_transaction.py
@@ -1,4 +1,4 @@
-"""A host drains while a caller's transaction is open on its connection."""
+"""Drain of a host with an open transaction of a caller."""
 
 import asyncio
 
@@ -11,12 +11,14 @@
 
 
 @using(lambda: scene_of(hosts=6))
-async def test_a_transaction_ends_durably_at_a_host_that_drains(scene: Scene) -> None:
+async def test_open_transaction_commits_durably_on_draining_host(scene: Scene) -> None:
     world, desk = scene.world, scene.desk
     primary = scene.group.primary.name
     home = world.home_of(primary)
-    (draining,) = (one for one in world.hosts() if one.me.host == home)
-    others = [one.listen for one in world.settings.values() if one.host != home]
+    (draining,) = (host for host in world.hosts() if host.me.host == home)
+    others = [
+        settings.listen for settings in world.settings.values() if settings.host != home
+    ]
     desk.host = world.random.choice(others)
     begin = {"group": scene.group.name, "request_id": desk.new_request_id()}
     begun = (await desk.call("/v1/transactions", begin)).body
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""Transactions, hand-over and refusals at the home of a member."""
+"""Transactions, handover and refusals at the home of a member."""
 
 import asyncio
 
@@ -18,14 +18,17 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_commit_is_answered_once_it_is_durable(cluster: Cluster) -> None:
+async def test_commit_returns_once_durable(cluster: Cluster) -> None:
     executor = cluster.hosts["m1a"].executor
     await executor.execute("m1", cluster.statement(StatementKind.BEGIN, "", 1.0))
-    served = await executor.execute(
+    response = await executor.execute(
         "m1", cluster.statement(StatementKind.COMMIT, "both", 1.0)
     )
-    held = [m.held >= served.result.position for m in cluster.truth.members.values()]
-    assert sum(held) >= 2
+    holds_commit = [
+        member.held >= response.result.position
+        for member in cluster.truth.members.values()
+    ]
+    assert sum(holds_commit) >= 2
     cluster.truth.cut({"m1"})
     refusal = await refusal_of(
         executor.execute("m1", cluster.statement(StatementKind.COMMIT, "one", 0.2))
@@ -34,48 +37,52 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_commit_is_proved_durable_after_the_home_has_moved(
+async def test_commit_is_proved_durable_after_home_moved(
     cluster: Cluster,
 ) -> None:
-    old = cluster.hosts["m1a"]
-    await old.executor.execute("m1", cluster.statement(StatementKind.BEGIN, "", 1.0))
+    former_host = cluster.hosts["m1a"]
+    await former_host.executor.execute(
+        "m1", cluster.statement(StatementKind.BEGIN, "", 1.0)
+    )
     await cluster.take_over("m1a")
-    old.former["m1"] = old.local.pop("m1")
-    old.keeper.refresh()
+    former_host.former["m1"] = former_host.local.pop("m1")
+    former_host.keeper.refresh()
     await asyncio.sleep(1.0)
-    await old.executor.execute("m1", cluster.statement(StatementKind.STEP, "", 1.0))
+    await former_host.executor.execute(
+        "m1", cluster.statement(StatementKind.STEP, "", 1.0)
+    )
     commit = cluster.statement(StatementKind.COMMIT, "both", 0.3)
-    position = (await old.executor.execute("m1", commit)).result.position
+    position = (await former_host.executor.execute("m1", commit)).result.position
     members = cluster.truth.members.values()
     assert sum(member.held >= position for member in members) >= 2
     cluster.truth.cut({"m1"})
     commit = cluster.statement(StatementKind.COMMIT, "alone", 0.3)
-    refusal = await refusal_of(old.executor.execute("m1", commit))
+    refusal = await refusal_of(former_host.executor.execute("m1", commit))
     assert refusal.reason is RefusalReason.NOT_DURABLE
-    old.former.clear()
-    refusal = await refusal_of(old.executor.execute("m1", commit))
+    former_host.former.clear()
+    refusal = await refusal_of(former_host.executor.execute("m1", commit))
     assert refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
 
 
 @using(cluster_of, run_virtual)
-async def test_the_commit_of_reads_alone_is_confirmed(cluster: Cluster) -> None:
+async def test_commit_of_read_only_transaction_is_confirmed(cluster: Cluster) -> None:
     executor = cluster.hosts["m1a"].executor
     commit = cluster.statement(StatementKind.COMMIT, "a", 1.0)
     commit.request_id = "r1"
     await executor.execute("m1", commit)
-    again = cluster.statement(StatementKind.COMMIT, "a", 1.0)
-    again.request_id = "r1"
-    served = await executor.execute("m1", again)
-    assert served.result.repeated
+    repeated_commit = cluster.statement(StatementKind.COMMIT, "a", 1.0)
+    repeated_commit.request_id = "r1"
+    response = await executor.execute("m1", repeated_commit)
+    assert response.result.repeated
     cluster.network.isolate({"m1a"}, {"m2a", "m3a"})
-    again.remaining = 0.3
-    refusal = await refusal_of(executor.execute("m1", again))
+    repeated_commit.remaining = 0.3
+    refusal = await refusal_of(executor.execute("m1", repeated_commit))
     assert refusal.reason is RefusalReason.UNCONFIRMED
 
 
 @pytest.mark.parametrize("kind", [StatementKind.WRITE, StatementKind.BEGIN])
 @using(cluster_of, run_virtual)
-async def test_work_for_the_primary_is_not_run_at_a_replica(
+async def test_replica_refuses_work_for_primary(
     cluster: Cluster, kind: StatementKind
 ) -> None:
     statement = cluster.statement(kind, "w", 1.0)
@@ -86,21 +93,21 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_writes_wait_while_the_primary_is_moved(cluster: Cluster) -> None:
-    gate = cluster.hosts["m1a"].keeper.planned_handover.writes_allowed
-    gate.clear()
+async def test_writes_wait_during_handover(cluster: Cluster) -> None:
+    writes_allowed = cluster.hosts["m1a"].keeper.planned_handover.writes_allowed
+    writes_allowed.clear()
     waiting = asyncio.create_task(cluster.write("m1", "late", 1.0))
     await asyncio.sleep(0.2)
     assert not waiting.done()
-    gate.set()
+    writes_allowed.set()
     await waiting
-    gate.clear()
+    writes_allowed.clear()
     refusal = await refusal_of(cluster.write("m1", "too late", 0.1))
     assert refusal.verdict is Verdict.NOT_RUN
 
 
 @using(cluster_of, run_virtual)
-async def test_the_lead_moves_away_from_a_primary_whose_writes_hang(
+async def test_handover_replaces_primary_with_hanging_writes(
     cluster: Cluster,
 ) -> None:
     async def hang(statement: Statement) -> TargetResult:
@@ -119,7 +126,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_session_read_at_the_primary_shows_only_what_is_safe(
+async def test_session_read_at_primary_returns_only_durable_entries(
     cluster: Cluster,
 ) -> None:
     cluster.truth.cut({"m1"})
@@ -130,7 +137,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_bounded_read_without_a_bound_is_not_run(cluster: Cluster) -> None:
+async def test_bounded_read_without_maximum_age_is_refused(cluster: Cluster) -> None:
     refusal = await refusal_of(cluster.read("m2", Consistency.MAX_AGE))
     assert refusal.reason is RefusalReason.BAD_REQUEST
 
@@ -140,7 +147,7 @@
     "body", [{}, {"group": 1}, {"member": None}, {"member": "nobody", "op": "x"}]
 )
 @using(cluster_of, run_virtual)
-async def test_a_malformed_question_of_a_peer_is_refused(
+async def test_malformed_peer_request_is_refused(
     cluster: Cluster, path: str, body: dict[str, object]
 ) -> None:
     handler = cluster.hosts["m1a"].routes.handlers[path]
@@ -151,7 +158,7 @@
 
 @pytest.mark.parametrize("error", [KeyError("m1"), TypeError(), ValueError()])
 @in_virtual_time
-async def test_an_internal_fault_is_not_taken_for_a_malformed_question(
+async def test_internal_error_is_not_reported_as_malformed_request(
     error: Exception,
 ) -> None:
     async def fail(member: str, statement: Statement) -> HomeResponse:
@@ -169,15 +176,15 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_an_unknown_step_is_refused(cluster: Cluster) -> None:
+async def test_unknown_control_operation_is_refused(cluster: Cluster) -> None:
     handler = cluster.hosts["m1a"].routes.handlers["control"]
-    order = {"member": "m1", "op": "x", "term": 9, "owner": "x", "primary": ""}
+    request = {"member": "m1", "op": "x", "term": 9, "owner": "x", "primary": ""}
     with pytest.raises(WireError):
-        await handler(order)
+        await handler(request)
 
 
 @using(cluster_of, run_virtual)
-async def test_a_standby_carries_out_steps_while_the_home_is_gone(
+async def test_standby_host_executes_control_requests_without_home(
     cluster: Cluster,
 ) -> None:
     await cluster.kill_host("m2a", listed=False)
@@ -188,9 +195,9 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_host_of_another_zone_carries_out_nothing(cluster: Cluster) -> None:
+async def test_host_of_other_zone_refuses_control_requests(cluster: Cluster) -> None:
     handler = cluster.hosts["m3b"].routes.handlers["control"]
-    order = {"member": "m1", "op": "raise", "term": 9, "owner": "x", "primary": ""}
-    refusal = await refusal_of(handler(order))
+    request = {"member": "m1", "op": "raise", "term": 9, "owner": "x", "primary": ""}
+    refusal = await refusal_of(handler(request))
     assert refusal.reason is RefusalReason.WRONG_HOME
     assert cluster.truth.members["m1"].promised == 1
--- a/tests/test_group_basic.py
+++ b/tests/test_group_basic.py
@@ -1,4 +1,4 @@
-"""A group in good order: durable writes, fresh, session and bounded reads."""
+"""A healthy group: durable writes, fresh, session and bounded reads."""
 
 import asyncio
 
@@ -15,17 +15,19 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_write_is_answered_once_a_majority_holds_it(cluster: Cluster) -> None:
-    begun = cluster.now()
+async def test_write_returns_once_majority_holds_it(cluster: Cluster) -> None:
+    started_at = cluster.now()
     position = await cluster.write("m1", "ticket 1")
-    took = cluster.now() - begun
-    holders = [m for m in cluster.truth.members.values() if m.held >= position]
+    duration = cluster.now() - started_at
+    holders = [
+        member for member in cluster.truth.members.values() if member.held >= position
+    ]
     assert len(holders) >= 2
-    assert took < 0.02
+    assert duration < 0.02
 
 
 @using(cluster_of, run_virtual)
-async def test_a_write_that_no_replica_holds_is_applied_but_not_safe(
+async def test_write_that_no_replica_holds_is_refused_as_not_durable(
     cluster: Cluster,
 ) -> None:
     cluster.truth.cut({"m1"})
@@ -38,7 +40,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_many_writes_share_one_wait(cluster: Cluster) -> None:
+async def test_concurrent_writes_share_reports(cluster: Cluster) -> None:
     before = cluster.network.calls["report"]
     await asyncio.gather(*(cluster.write("m1", f"t{i}") for i in range(200)))
     assert cluster.network.calls["report"] - before < 40
@@ -47,17 +49,19 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_fresh_read_sees_the_last_write_and_states_its_age(
+async def test_fresh_read_returns_last_write_and_its_age(
     cluster: Cluster,
 ) -> None:
     await cluster.write("m1", "mix 7")
-    served = await cluster.read("m1", Consistency.FRESH)
-    assert "mix 7" in values(served)
-    assert served.result.age is not None and served.result.age < 0.02
+    response = await cluster.read("m1", Consistency.FRESH)
+    assert "mix 7" in values(response)
+    assert response.result.age is not None and response.result.age < 0.02
 
 
 @using(cluster_of, run_virtual)
-async def test_fresh_reads_at_once_share_confirmation_rounds(cluster: Cluster) -> None:
+async def test_concurrent_fresh_reads_share_confirmation_rounds(
+    cluster: Cluster,
+) -> None:
     before = cluster.network.calls["confirm"]
     reads = (cluster.read("m1", Consistency.FRESH) for _ in range(100))
     await asyncio.gather(*reads)
@@ -65,27 +69,29 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_session_read_waits_for_what_it_must_cover(cluster: Cluster) -> None:
+async def test_session_read_waits_until_position_is_covered(cluster: Cluster) -> None:
     cluster.truth.members["m2"].lag = 0.03
     position = await cluster.write("m1", "tug 4")
-    served = await cluster.read("m2", Consistency.SESSION, covers=position)
-    assert "tug 4" in values(served)
-    assert served.result.role == "replica"
+    response = await cluster.read("m2", Consistency.SESSION, covers=position)
+    assert "tug 4" in values(response)
+    assert response.result.role == "replica"
 
 
 @using(cluster_of, run_virtual)
-async def test_a_replica_far_behind_is_refused_quickly(cluster: Cluster) -> None:
+async def test_session_read_at_lagging_replica_is_refused_quickly(
+    cluster: Cluster,
+) -> None:
     cluster.truth.members["m2"].lag = 5.0
     position = await cluster.write("m1", "tug 4")
-    begun = cluster.now()
+    started_at = cluster.now()
     refusal = await refusal_of(cluster.read("m2", Consistency.SESSION, covers=position))
     assert refusal.reason is RefusalReason.NOT_COVERED
     assert refusal.verdict is Verdict.NOT_RUN
-    assert cluster.now() - begun < 0.1
+    assert cluster.now() - started_at < 0.1
 
 
 @using(cluster_of, run_virtual)
-async def test_a_session_of_a_later_term_is_not_served_by_an_older_one(
+async def test_session_of_later_term_is_refused_by_primary_of_older_term(
     cluster: Cluster,
 ) -> None:
     refusal = await refusal_of(
@@ -95,7 +101,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_the_age_of_a_bounded_read_is_an_upper_bound_of_the_truth(
+async def test_age_of_bounded_read_is_an_upper_bound(
     cluster: Cluster,
 ) -> None:
     cluster.truth.members["m2"].lag = 0.2
@@ -104,21 +110,21 @@
         await cluster.write("m1", f"w{serial}")
         acknowledged[f"w{serial}"] = cluster.now()
         try:
-            served = await cluster.read("m2", Consistency.MAX_AGE, max_age=1.0)
+            response = await cluster.read("m2", Consistency.MAX_AGE, max_age=1.0)
         except RefusalError as refusal:
             assert refusal.reason is RefusalReason.AGE_UNPROVED
             continue
-        seen = set(values(served))
+        seen = set(values(response))
         missed = [at for value, at in acknowledged.items() if value not in seen]
-        truth = cluster.now() - min(missed, default=cluster.now())
-        assert served.result.age is not None
-        assert truth <= served.result.age <= 1.0
-        assert served.result.role == "replica"
+        true_age = cluster.now() - min(missed, default=cluster.now())
+        assert response.result.age is not None
+        assert true_age <= response.result.age <= 1.0
+        assert response.result.role == "replica"
     assert cluster.hosts["m2a"].metrics.counters["executor.age_unproved"] < 10
 
 
 @using(cluster_of, run_virtual)
-async def test_a_bound_that_the_lag_exceeds_is_refused(cluster: Cluster) -> None:
+async def test_bounded_read_is_refused_when_lag_exceeds_bound(cluster: Cluster) -> None:
     cluster.truth.members["m2"].lag = 3.0
     await cluster.write("m1", "w")
     refusal = await refusal_of(cluster.read("m2", Consistency.MAX_AGE, max_age=0.5))
@@ -127,7 +133,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_statement_for_a_member_of_another_home_is_not_run(
+async def test_statement_for_member_of_other_home_is_refused(
     cluster: Cluster,
 ) -> None:
     executor = cluster.hosts["m2a"].executor
@@ -138,7 +144,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_lost_primary_is_replaced_within_a_second(cluster: Cluster) -> None:
+async def test_lost_primary_is_replaced_within_one_second(cluster: Cluster) -> None:
     position = await cluster.write("m1", "kept")
     cluster.kill_target("m1")
     await asyncio.sleep(0.001)
--- a/tests/test_group_hint.py
+++ b/tests/test_group_hint.py
@@ -1,4 +1,4 @@
-"""The store gets the outcome of a change as a hint, whenever it answers."""
+"""Hints of the primary in the store: outages, stale hints and concurrent writers."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 @in_virtual_time
-async def test_an_outcome_reaches_the_store_after_an_outage() -> None:
+async def test_hint_is_written_after_store_outage() -> None:
     store = FakeStore()
     store.down = True
     writer = hints(store)
@@ -31,7 +31,7 @@
 
 
 @in_virtual_time
-async def test_a_former_outcome_never_replaces_a_later_one() -> None:
+async def test_hint_of_lower_term_does_not_replace_later_one() -> None:
     store = FakeStore()
     first, second = hints(store), hints(store)
     first.publish(PrimaryChange("g", 3, "m3"))
@@ -42,7 +42,7 @@
 
 
 @in_virtual_time
-async def test_two_writers_and_a_lost_answer_leave_the_later_outcome() -> None:
+async def test_later_hint_wins_with_two_writers_and_lost_answer() -> None:
     store = FakeStore()
     store.lose_answers = 1
     first, second = hints(store), hints(store)
@@ -54,10 +54,10 @@
 
 
 @in_virtual_time
-async def test_a_hint_that_cannot_be_read_is_replaced() -> None:
+async def test_malformed_hint_is_replaced() -> None:
     store = FakeStore()
-    written: StoreEntry = await store.put("primary/g", b"not JSON", 0, 1.0)
-    assert written.revision == 1
+    entry: StoreEntry = await store.put("primary/g", b"not JSON", 0, 1.0)
+    assert entry.revision == 1
     writer = hints(store)
     assert await writer.read("g") is None
     writer.publish(PrimaryChange("g", 2, "m2"))
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -1,4 +1,4 @@
-"""A model of one group under faults, held against the promises to callers."""
+"""Model test of one group under faults: checks the guarantees given to callers."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -21,10 +21,10 @@
 
 
 class Write:
-    """Carry what callers know of one request.
+    """A write request as its callers see it.
 
-    :ivar acknowledged: when its acknowledgement came; None before.
-    :ivar refused: whether it was said not to have run, on every try.
+    :ivar acknowledged: time of the acknowledgement, or None.
+    :ivar refused: whether every attempt was refused as not run.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -35,7 +35,7 @@
 
 
 class GroupModel(RuleBasedStateMachine):
-    """Drive the hosts of a group and remember what they told callers."""
+    """Drive the hosts of a group and record their answers to callers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
         self.failures: list[str] = []
         self.first_acknowledged: dict[int, float] = {}
 
-    def do(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_in_loop(self, work: Coroutine[Any, Any, None]) -> None:
         self.runner.run(work)
 
     @initialize(seed=st.integers(0, 10_000))
@@ -54,20 +54,20 @@
             self.cluster = Cluster(seed)
             await self.cluster.start()
 
-        self.do(main())
+        self.run_in_loop(main())
 
     # Callers
 
     @rule(member=members, leader=st.booleans(), moment=moments)
     def write(self, member: str, leader: bool, moment: float) -> None:
-        """Write at the leader or at any member that may think it leads."""
+        """Write at the leader or at any member, which may be a stale leader."""
         write = Write(f"r{len(self.writes)}")
         self.writes.append(write)
         self.send(write, member, leader, moment)
 
     @rule(member=members, leader=st.booleans(), moment=moments, index=st.integers(0))
     def retry(self, member: str, leader: bool, moment: float, index: int) -> None:
-        """Send a request again, whatever became of it."""
+        """Repeat a request regardless of its result."""
         if self.writes:
             write = self.writes[index % len(self.writes)]
             self.send(write, member, leader, moment)
@@ -78,28 +78,30 @@
             self.spawn(self.submit(write, target))
             await asyncio.sleep(moment)
 
-        self.do(main())
+        self.run_in_loop(main())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self.pending.append(asyncio.get_running_loop().create_task(work))
 
     async def submit(self, write: Write, member: str) -> None:
-        """Write and hold the answer against what was acknowledged before."""
-        begun = self.cluster.now()
+        """Write and check the answer against earlier acknowledgements."""
+        started_at = self.cluster.now()
         statement = self.cluster.statement(StatementKind.WRITE, write.request_id, 1.0)
         statement.request_id = write.request_id
         try:
-            served = await self.cluster.home(member).executor.execute(member, statement)
+            response = await self.cluster.home(member).executor.execute(
+                member, statement
+            )
         except RefusalError as refusal:
             if refusal.verdict is not Verdict.NOT_RUN:
                 write.refused = False
             return
-        position = served.result.position
-        later = [t for t in self.first_acknowledged if t > position.term]
-        if later:
+        position = response.result.position
+        later_terms = [term for term in self.first_acknowledged if term > position.term]
+        if later_terms:
             self.failures.append(
-                f"{write.request_id} acknowledged at term {position.term}, begun at"
-                f" {begun}, after term {later[0]} acknowledged something"
+                f"{write.request_id} acknowledged at term {position.term}, started at"
+                f" {started_at}, after term {later_terms[0]} acknowledged something"
             )
         now = self.cluster.now()
         self.first_acknowledged.setdefault(position.term, now)
@@ -110,63 +112,65 @@
 
     @rule(member=members, leader=st.booleans())
     def read_fresh(self, member: str, leader: bool) -> None:
-        """Read fresh at the leader or at any member that may think it leads."""
+        """Read fresh at the leader or at any member, which may be a stale leader."""
 
         async def main() -> None:
             await self.check_fresh(self.cluster.leader() if leader else member)
 
-        self.do(main())
+        self.run_in_loop(main())
 
     async def check_fresh(self, member: str) -> None:
-        """A fresh read misses nothing acknowledged before it began."""
-        known = self.acknowledged_before(self.cluster.now())
+        """Check that a fresh read returns all writes acknowledged before it."""
+        acknowledged = self.acknowledged_before(self.cluster.now())
         try:
-            served = await self.cluster.read(member, Consistency.FRESH)
+            response = await self.cluster.read(member, Consistency.FRESH)
         except RefusalError as refusal:
             assert refusal.verdict is Verdict.NOT_RUN
             return
-        missed = known - shown(served.result)
+        missed = acknowledged - request_ids_of(response.result)
         assert not missed, f"a fresh read at {member} misses {missed}"
 
     @rule(member=members, index=st.integers(0))
     def read_session(self, member: str, index: int) -> None:
-        """A session read shows the write whose position its token covers."""
-        done = [write for write in self.writes if write.position is not None]
-        if not done:
+        """Check that a session read returns a write at or before its position."""
+        acknowledged = [write for write in self.writes if write.position is not None]
+        if not acknowledged:
             return
-        write = done[index % len(done)]
+        write = acknowledged[index % len(acknowledged)]
 
         async def main() -> None:
             try:
-                served = await self.cluster.read(
+                response = await self.cluster.read(
                     member, Consistency.SESSION, covers=write.position, remaining=0.3
                 )
             except RefusalError as refusal:
                 assert refusal.verdict is Verdict.NOT_RUN
                 return
-            assert write.request_id in shown(served.result)
+            assert write.request_id in request_ids_of(response.result)
 
-        self.do(main())
+        self.run_in_loop(main())
 
     @rule(member=members, bound=st.sampled_from([0.1, 0.5, 2.0, 5.0]))
     def read_bounded(self, member: str, bound: float) -> None:
-        """The age that an answer states is an upper bound of the truth."""
+        """Check that the age of an answer is an upper bound of its true age."""
 
         async def main() -> None:
             try:
-                served = await self.cluster.read(
+                response = await self.cluster.read(
                     member, Consistency.MAX_AGE, max_age=bound
                 )
             except RefusalError as refusal:
                 assert refusal.verdict is Verdict.NOT_RUN
                 return
             now = self.cluster.now()
-            age = served.result.age
+            age = response.result.age
             assert age is not None and age <= bound
-            missed = self.acknowledged_before(now - age) - shown(served.result)
+            missed = self.acknowledged_before(now - age) - request_ids_of(
+                response.result
+            )
             assert not missed, f"{member} misses {missed} with a stated age of {age}"
 
-        self.do(main())
+        self.run_in_loop(main())
 
     def acknowledged_before(self, moment: float) -> set[str]:
         return {
@@ -182,7 +186,7 @@
         async def main() -> None:
             await asyncio.sleep(moment)
 
-        self.do(main())
+        self.run_in_loop(main())
 
     @rule(member=members)
     def cut(self, member: str) -> None:
@@ -190,7 +194,7 @@
 
     @rule()
     def isolate_leader(self) -> None:
-        """Cut the leader off, write where another one leads, ask the former."""
+        """Isolate the leader, write at its successor, read fresh at the former one."""
 
         async def main() -> None:
             former = self.cluster.leader()
@@ -202,7 +206,7 @@
             await asyncio.sleep(0.05)
             await self.check_fresh(former)
 
-        self.do(main())
+        self.run_in_loop(main())
 
     @rule()
     def heal(self) -> None:
@@ -235,16 +239,16 @@
 
     @rule(member=members)
     def raise_and_leave(self, member: str) -> None:
-        """Play a coordinator that is lost after its first step."""
+        """Simulate a coordinator that crashes after raising the term."""
         target = self.cluster.truth.members[member]
 
         async def main() -> None:
             target.raise_term(target.promised + 1, f"gone{target.promised}")
 
         if not target.down:
-            self.do(main())
+            self.run_in_loop(main())
 
-    # Promises
+    # Guarantees
 
     @invariant()
     def nothing_is_acknowledged_by_a_superseded_primary(self) -> None:
@@ -254,12 +258,12 @@
         if not hasattr(self, "cluster"):
             return
         try:
-            self.do(self.finish())
+            self.run_in_loop(self.finish())
         finally:
             self.runner.close()
 
     async def finish(self) -> None:
-        """Mend everything, and hold the group against what callers were told."""
+        """End all faults and check the group against the answers to callers."""
         cluster = self.cluster
         cluster.heal()
         cluster.network.loss = 0.0
@@ -274,24 +278,24 @@
         await cluster.stop()
 
     def check_logs(self) -> None:
-        """Nothing acknowledged is lost, nothing ran twice, nothing "not run" ran."""
+        """Check that no acknowledged write is lost, repeated or run after "not run"."""
         truth = self.cluster.truth
         leader = truth.members[self.cluster.leader()]
         assert leader.role is Role.PRIMARY
-        ran = [entry.request_id for entry in leader.log if entry.request_id]
-        assert len(ran) == len(set(ran))
-        executed = {request for request, _ in truth.executed}
+        logged = [entry.request_id for entry in leader.log if entry.request_id]
+        assert len(logged) == len(set(logged))
+        executed = {request_id for request_id, _ in truth.executed}
         for write in self.writes:
             if write.acknowledged is not None:
-                assert write.request_id in ran, f"{write.request_id} was lost"
+                assert write.request_id in logged, f"{write.request_id} was lost"
             elif write.refused:
                 assert write.request_id not in executed
         for member in truth.members.values():
             assert [e.position for e in member.log] == [e.position for e in leader.log]
 
 
-def shown(answer: StatementResult) -> set[str]:
-    """Return the request ids whose writes an answer shows."""
+def request_ids_of(answer: StatementResult) -> set[str]:
+    """Return the request ids of the writes in an answer."""
     return {row[0] for row in answer.rows}
 
 
--- a/tests/test_group_proofs.py
+++ b/tests/test_group_proofs.py
@@ -1,4 +1,4 @@
-"""The proofs by themselves: durable positions, confirmations, samples."""
+"""Proofs of durability, of leadership and of the age of data."""
 
 import asyncio
 
@@ -28,19 +28,19 @@
     return MemberState(member, role, promised, held.term, held, held, 1, 1)
 
 
-def test_an_entry_of_a_former_term_is_not_durable_by_being_on_a_majority() -> None:
-    # Of five, two hold (2, 2) since term 2; one took it over in term 4 from a
-    # primary whose own entry no majority holds. A holder of (3, 2) may still
-    # win term 5 and drop it.
-    taken = MemberState("m3", Role.REPLICA, 4, 4, Position(2, 2), Position(2, 2), 1, 1)
+def test_entry_of_former_term_on_majority_is_not_durable() -> None:
+    # Three of five members hold (2, 2), one of them copied it in term 4 from a
+    # primary whose own entry is on no majority. The member with (3, 2) may still
+    # win term 5 and discard it.
+    copied = MemberState("m3", Role.REPLICA, 4, 4, Position(2, 2), Position(2, 2), 1, 1)
     leader = state("m1", 4, Position(4, 3), Role.PRIMARY)
-    states = [leader, state("m2", 2, Position(2, 2)), taken]
+    states = [leader, state("m2", 2, Position(2, 2)), copied]
     states += [state("m4", 2, Position(1, 1)), state("m5", 3, Position(3, 2))]
     assert durable_position(states, 4, 3) is None
     assert durable_position(states, 2, 3) is None
 
 
-def test_a_member_that_promised_a_higher_term_does_not_count() -> None:
+def test_member_with_higher_promised_term_does_not_count_for_durability() -> None:
     leader = state("m1", 3, Position(3, 9), Role.PRIMARY)
     fenced = state("m2", 4, Position(3, 9), Role.FENCED)
     behind = state("m3", 3, Position(3, 5))
@@ -49,9 +49,7 @@
 
 
 @in_virtual_time
-async def test_a_later_term_proves_nothing_of_the_last_entries_of_a_former_one() -> (
-    None
-):
+async def test_later_term_does_not_make_last_entries_of_former_term_durable() -> None:
     durability = DurabilityTracker()
     durability.advance(Position(1, 5))
     assert durability.is_durable(Position(1, 5))
@@ -64,7 +62,7 @@
 
 
 @in_virtual_time
-async def test_waits_end_at_once_when_a_higher_term_is_seen() -> None:
+async def test_higher_term_ends_durability_waits_immediately() -> None:
     durability = DurabilityTracker()
     durability.enter_term(1)
     waiting = [
@@ -79,7 +77,7 @@
 
 
 @in_virtual_time
-async def test_waits_that_gave_up_are_dropped() -> None:
+async def test_timed_out_durability_waiters_are_dropped() -> None:
     durability = DurabilityTracker()
     durability.enter_term(1)
     for serial in range(5000):
@@ -89,10 +87,10 @@
 
 
 class Members:
-    """Answer the questions of confirmation rounds.
+    """Members that answer the state requests of confirmation rounds.
 
-    :ivar states: answers by member; None gives none.
-    :ivar delay: seconds until an answer.
+    :ivar states: answers by member; None for no answer.
+    :ivar delay: seconds until each answer.
     """
 
     def __init__(self, states: dict[str, MemberState | None]) -> None:
@@ -133,42 +131,42 @@
     ],
 )
 @in_virtual_time
-async def test_a_round_needs_a_majority_that_promised_nothing_higher(
+async def test_round_needs_majority_without_higher_promised_term(
     second: MemberState | None, third: MemberState | None, proved: bool
 ) -> None:
     members = Members({"m1": LEADER, "m2": second, "m3": third})
     confirmation = members.confirmation()
-    ticket = confirmation.request_round()
-    await confirmation.wait_for_round(ticket)
-    assert confirmation.is_confirmed(ticket, 3) is proved
-    assert not confirmation.is_confirmed(ticket, 2)
+    round_number = confirmation.request_round()
+    await confirmation.wait_for_round(round_number)
+    assert confirmation.is_confirmed(round_number, 3) is proved
+    assert not confirmation.is_confirmed(round_number, 2)
     assert len(members.samples) == int(proved)
 
 
 @in_virtual_time
-async def test_a_round_without_its_primary_proves_nothing() -> None:
+async def test_round_without_answer_of_primary_confirms_nothing() -> None:
     replica = state("m2", 3, Position(3, 8))
     other = state("m3", 3, Position(3, 8))
     fenced = state("m1", 3, Position(3, 9), Role.FENCED)
     for first in (None, fenced):
         members = Members({"m1": first, "m2": replica, "m3": other})
         confirmation = members.confirmation()
-        ticket = confirmation.request_round()
-        await confirmation.wait_for_round(ticket)
-        assert not confirmation.is_confirmed(ticket, 3)
+        round_number = confirmation.request_round()
+        await confirmation.wait_for_round(round_number)
+        assert not confirmation.is_confirmed(round_number, 3)
 
 
 @in_virtual_time
-async def test_a_round_begun_before_the_question_does_not_serve_it() -> None:
+async def test_round_started_before_request_does_not_confirm_it() -> None:
     replica = state("m2", 3, Position(3, 8))
     members = Members({"m1": LEADER, "m2": replica, "m3": None})
     confirmation = members.confirmation()
     first = confirmation.request_round()
     await asyncio.sleep(0.005)
     members.states["m2"] = state("m2", 4, Position(3, 8))
-    tickets = {confirmation.request_round() for _ in range(10)}
-    assert len(tickets) == 1
-    second = tickets.pop()
+    round_numbers = {confirmation.request_round() for _ in range(10)}
+    assert len(round_numbers) == 1
+    second = round_numbers.pop()
     await confirmation.wait_for_round(first)
     assert confirmation.is_confirmed(first, 3)
     assert not confirmation.is_confirmed(second, 3)
@@ -182,18 +180,18 @@
 
 
 @given(dated=times, asked=times, gap=times, transit=times, back=times)
-def test_a_sample_handed_on_is_never_dated_later(
+def test_forwarded_sample_is_never_dated_later(
     dated: float, asked: float, gap: float, transit: float, back: float
 ) -> None:
-    # Both clocks are read off one axis here; `gap` is how far they differ.
+    # All times are on the sender's clock; `gap` is the offset of the receiver's.
     answered = max(dated, asked + transit)
     sample = PrimarySample(Position(1, 1), dated)
-    handed = PrimarySample.from_json(sample.to_json(answered), asked + gap)
-    assert handed.as_of - gap <= dated + 1e-6
+    forwarded = PrimarySample.from_json(sample.to_json(answered), asked + gap)
+    assert forwarded.as_of - gap <= dated + 1e-6
 
 
 @given(st.lists(st.tuples(positions, times), max_size=80), positions)
-def test_an_age_is_that_of_a_sample_that_is_covered(
+def test_age_is_that_of_a_covered_sample(
     given_samples: list[tuple[Position, float]], applied: Position
 ) -> None:
     samples = PrimarySamples()
@@ -208,7 +206,7 @@
     assert age in covered
 
 
-def test_a_replica_that_lags_proves_an_older_sample() -> None:
+def test_lagging_replica_gets_age_of_older_sample() -> None:
     samples = PrimarySamples()
     for index in range(1, 50):
         samples.add(PrimarySample(Position(1, index), index * 0.1))
@@ -217,7 +215,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_superseded_primary_that_wrote_nothing_reads_nothing_fresh(
+async def test_superseded_primary_without_writes_refuses_fresh_reads(
     cluster: Cluster,
 ) -> None:
     await cluster.write("m1", "a")
@@ -230,7 +228,7 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_fresh_read_does_not_show_what_may_still_be_lost(
+async def test_fresh_read_does_not_return_entries_that_may_be_lost(
     cluster: Cluster,
 ) -> None:
     cluster.truth.cut({"m1"})
@@ -241,22 +239,22 @@
 
 
 @using(cluster_of, run_virtual)
-async def test_a_write_whose_proof_took_long_is_confirmed_first(
+async def test_slow_write_also_needs_leader_confirmation(
     cluster: Cluster,
 ) -> None:
     position = await cluster.write("m1", "a")
-    keeper = cluster.hosts["m1a"].keeper
-    await keeper.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
+    manager = cluster.hosts["m1a"].keeper
+    await manager.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
     cluster.network.isolate({"m1a"}, {"m2a", "m3a"})
-    await keeper.wait_until_durable(position, 0.3)
+    await manager.wait_until_durable(position, 0.3)
     refusal = await refusal_of(
-        keeper.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
+        manager.wait_until_durable(position, 0.3, since=cluster.now() - 1.0)
     )
     assert refusal.reason is RefusalReason.NOT_DURABLE
 
 
 @using(cluster_of, run_virtual)
-async def test_a_proof_that_nobody_can_give_yet_is_not_asked_for_without_a_pause(
+async def test_fetch_of_unavailable_sample_pauses(
     cluster: Cluster,
 ) -> None:
     host = cluster.hosts["m2a"]
@@ -264,6 +262,6 @@
     assert home.task is not None
     home.task.cancel()
     home.state = None
-    begun = cluster.now()
+    started_at = cluster.now()
     await host.keeper.sampler.fetch_shared_sample(0.5)
-    assert cluster.now() > begun
+    assert cluster.now() > started_at
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""The homes of targets as hosts and configuration change, in virtual time."""
+"""Homes of targets across crashes, drains and configuration changes."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def nine_hosts() -> AsyncIterator[HomesOfHosts]:
-    """Run nine hosts and six groups with a member in each zone."""
+    """Run nine hosts and six groups, each with a member in every zone."""
     hosts = FakeHosts(ZONES)
     homes = HomesOfHosts(hosts, catalog_of(list(ZONES), 6))
     await hosts.until_agreed()
@@ -43,31 +43,35 @@
         await homes.stop()
 
 
-def victim(homes: HomesOfHosts) -> tuple[str, list[str]]:
-    """Return the host of zone a with most homes, and their targets."""
+def busiest_host(homes: HomesOfHosts) -> tuple[str, list[str]]:
+    """Return the host of zone a with the most homes, and their members."""
     held = {host: list(homes.of[host].held) for host in homes.hosts.in_zone("a")}
-    host = max(held, key=lambda one: len(held[one]))
+    host = max(held, key=lambda name: len(held[name]))
     return host, held[host]
 
 
 def events(homes: HomesOfHosts, host: str, kind: EventKind) -> list[tuple[str, str]]:
-    """Return subject and cause of the events of a kind at `host`."""
-    found = homes.hosts[host].timeline.events
-    return [(one.subject, one.detail["cause"]) for one in found if one.kind is kind]
+    """Return subject and cause of all events of a kind at `host`."""
+    recorded = homes.hosts[host].timeline.events
+    return [
+        (event.subject, event.detail["cause"])
+        for event in recorded
+        if event.kind is kind
+    ]
 
 
 @using(nine_hosts, run_virtual)
-async def test_each_target_is_at_home_in_its_own_zone(homes: HomesOfHosts) -> None:
+async def test_home_of_each_target_is_in_its_zone(homes: HomesOfHosts) -> None:
     for name in members_of(homes.catalog):
         holder = homes.holders(name)[0]
         assert holder.split("-")[0] == name.split("-")[1]
 
 
 @using(nine_hosts, run_virtual)
-async def test_the_next_in_rank_takes_over_when_a_host_dies_or_hangs(
+async def test_next_host_in_rank_takes_over_after_crash(
     homes: HomesOfHosts,
 ) -> None:
-    host, members = victim(homes)
+    host, members = busiest_host(homes)
     homes.crash(host)
     assert await homes.until_settled() < TAKE_OVER_BOUND
     for name in members:
@@ -78,7 +82,7 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_two_hosts_of_a_zone_die_at_once(homes: HomesOfHosts) -> None:
+async def test_two_hosts_of_one_zone_crash_together(homes: HomesOfHosts) -> None:
     homes.crash("a-0")
     homes.crash("a-1")
     assert await homes.until_settled() < TAKE_OVER_BOUND
@@ -86,7 +90,7 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_zone_without_hosts_is_served_from_others(homes: HomesOfHosts) -> None:
+async def test_zone_without_hosts_is_served_by_other_zones(homes: HomesOfHosts) -> None:
     for host in homes.hosts.in_zone("a"):
         homes.crash(host)
     await until(lambda: "a-0" not in homes.hosts["b-0"].live(), 40.0)
@@ -101,7 +105,7 @@
 
 
 @in_virtual_time
-async def test_a_large_zone_without_hosts_costs_the_others_no_ranking() -> None:
+async def test_large_zone_without_hosts_is_not_ranked_by_others() -> None:
     hosts = FakeHosts({"a": 6, "b": 2})
     homes = HomesOfHosts(hosts, catalog_of(["a", "b"], 4))
     await hosts.until_agreed()
@@ -124,8 +128,8 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_drain_leaves_no_moment_without_a_home(homes: HomesOfHosts) -> None:
-    host, members = victim(homes)
+async def test_drain_keeps_a_home_for_each_target(homes: HomesOfHosts) -> None:
+    host, members = busiest_host(homes)
     busy = homes.of[host].get(members[0])
     assert isinstance(busy, FakeHome)
     busy.idle.clear()
@@ -144,12 +148,12 @@
     with pytest.raises(RefusalError):
         homes.of[host].find_transaction_home(members[0], statement_of("t2", busy))
     assert homes.of[host].open_and_closing_homes(busy.group.name) == [busy]
-    told = asyncio.Event()
-    homes.of[host].on_change(told.set)
+    notified = asyncio.Event()
+    homes.of[host].on_change(notified.set)
     busy.open.clear()
     busy.idle.set()
     await drain
-    assert told.is_set()
+    assert notified.is_set()
     assert homes.of[host].open_and_closing_homes(busy.group.name) == []
     with pytest.raises(RefusalError) as caught:
         await executor_of(homes, host).execute(members[0], commit)
@@ -160,27 +164,27 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_limits_of_a_new_configuration_reach_homes_that_stay(
+async def test_new_limits_reach_unchanged_homes(
     homes: HomesOfHosts,
 ) -> None:
-    host, members = victim(homes)
+    host, members = busiest_host(homes)
     kept = homes.of[host].get(members[0])
     assert isinstance(kept, FakeHome)
     limits = Limits(queue=7)
     catalog = homes.catalog
-    changed = Catalog(
+    new_catalog = Catalog(
         catalog.version + 1, catalog.site, catalog.groups, Workspaces(), limits
     )
-    homes.of[host].apply(changed)
+    homes.of[host].apply(new_catalog)
     assert kept.limits == limits
     assert homes.of[host].get(members[0]) is kept
 
 
 @using(nine_hosts, run_virtual)
-async def test_the_successor_is_ready_before_others_hear_of_a_drain(
+async def test_successor_opens_homes_before_draining_host_leaves(
     homes: HomesOfHosts,
 ) -> None:
-    host, members = victim(homes)
+    host, members = busiest_host(homes)
     drain = asyncio.create_task(homes.of[host].drain())
     while host in homes.hosts["b-1"].live():
         await asyncio.sleep(0.0001)
@@ -190,26 +194,26 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_drain_ends_when_work_outlasts_its_grace_and_peers_hang(
+async def test_drain_ends_despite_unfinished_work_and_hanging_peers(
     homes: HomesOfHosts,
 ) -> None:
-    host, members = victim(homes)
+    host, members = busiest_host(homes)
     busy = homes.of[host].get(members[0])
     assert isinstance(busy, FakeHome)
     busy.idle.clear()
     for other in homes.hosts.in_zone("a"):
         if other != host:
             homes.hosts.network.pause(other)
-    started = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     await homes.of[host].drain()
-    assert asyncio.get_running_loop().time() - started < GRACE + 2.0
+    assert asyncio.get_running_loop().time() - started_at < GRACE + 2.0
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_host_that_comes_back_gets_its_homes_without_a_gap(
+async def test_restarted_host_regains_homes_without_gap(
     homes: HomesOfHosts,
 ) -> None:
-    host, members = victim(homes)
+    host, members = busiest_host(homes)
     address = homes.hosts[host].ref.address
     homes.crash(host)
     await homes.until_settled()
@@ -223,15 +227,15 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_configuration_touches_only_the_homes_that_it_changes(
+async def test_new_configuration_reopens_only_changed_homes(
     homes: HomesOfHosts,
 ) -> None:
     before = {name: at_home(homes, name) for name in members_of(homes.catalog)}
     (host,) = homes.holders("g1-a")
     before["g1-a"].open.add("t1")
-    homes.catalog = changed(homes.catalog)
-    for one in homes.of.values():
-        one.apply(homes.catalog)
+    homes.catalog = changed_catalog(homes.catalog)
+    for local_homes in homes.of.values():
+        local_homes.apply(homes.catalog)
     await asyncio.sleep(1.0)
     for name, home in before.items():
         if name.startswith("g0-"):
@@ -244,8 +248,11 @@
             assert at_home(homes, name) is home
             assert home.closed_at is None
     assert homes.holders("g9-a")
-    old = before["g1-a"]
-    assert homes.of[host].find_transaction_home("g1-a", statement_of("t1", old)) is old
+    former_home = before["g1-a"]
+    assert (
+        homes.of[host].find_transaction_home("g1-a", statement_of("t1", former_home))
+        is former_home
+    )
 
 
 def statement_of(transaction: str, home: FakeHome) -> Statement:
@@ -257,37 +264,41 @@
 
 
 def executor_of(homes: HomesOfHosts, host: str) -> LocalStatementExecutor:
-    """Return the executor of a host without keepers."""
-    of, fake = homes.of[host], homes.hosts[host]
+    """Return the executor of a host without group managers."""
+    local_homes, fake_host = homes.of[host], homes.hosts[host]
     return LocalStatementExecutor(
-        of.get, of.find_transaction_home, lambda group: None, fake.clock, fake.ref
+        local_homes.get,
+        local_homes.find_transaction_home,
+        lambda group: None,
+        fake_host.clock,
+        fake_host.ref,
     )
 
 
 def at_home(homes: HomesOfHosts, member: str) -> FakeHome:
-    """Return the one home of `member`."""
+    """Return the only open home of `member`."""
     (holder,) = homes.holders(member)
     home = homes.of[holder].get(member)
     assert isinstance(home, FakeHome)
     return home
 
 
-def changed(catalog: Catalog) -> Catalog:
+def changed_catalog(catalog: Catalog) -> Catalog:
     """Return a version without g0, with more slots in g1 and with a new g9."""
-    groups = {name: one for name, one in catalog.groups.items() if name != "g0"}
-    old = groups["g1"]
-    groups["g1"] = Group("g1", old.service, old.members, 4, old.connections)
+    groups = {name: group for name, group in catalog.groups.items() if name != "g0"}
+    former = groups["g1"]
+    groups["g1"] = Group("g1", former.service, former.members, 4, former.connections)
     groups["g9"] = catalog_of(list(ZONES), 10).groups["g9"]
     return Catalog(catalog.version + 1, catalog.site, groups, Workspaces(), Limits())
 
 
 @using(nine_hosts, run_virtual)
-async def test_homes_that_believe_at_once_stay_within_the_connections(
+async def test_concurrent_homes_of_a_target_stay_within_its_connections(
     homes: HomesOfHosts,
 ) -> None:
-    """Each host of a zone is cut from all others, so that all believe to be home.
+    """Guard against too many connections when partitioned hosts all open a home.
 
-    Another zone, which sees none of them, believes so too.
+    Each host of one zone is isolated; a host of another zone sees none of them.
     """
     zone = homes.hosts.in_zone("a")
     for host in zone:
@@ -306,22 +317,22 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_failing_start_is_tried_again(homes: HomesOfHosts) -> None:
-    host, members = victim(homes)
-    one = homes.of[host]
-    make, failures = one.make_home, []
+async def test_failed_start_of_home_is_retried(homes: HomesOfHosts) -> None:
+    host, members = busiest_host(homes)
+    local_homes = homes.of[host]
+    make, failures = local_homes.make_home, []
 
     class Broken(FakeHome):
         async def start(self) -> None:
             failures.append(self.member.member_id)
             raise OSError("no route")
 
-    one.make_home = Broken
-    one.release(members[0], "test")
-    one.change_event.set()
+    local_homes.make_home = Broken
+    local_homes.release(members[0], "test")
+    local_homes.change_event.set()
     await asyncio.sleep(0.1)
     assert failures == [members[0]]
-    assert one.get(members[0]) is None
-    one.make_home = make
+    assert local_homes.get(members[0]) is None
+    local_homes.make_home = make
     await asyncio.sleep(6.0)
-    assert one.get(members[0]) is not None
+    assert local_homes.get(members[0]) is not None
--- a/tests/test_rolling_restart.py
+++ b/tests/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""All hosts are restarted in turn while callers are at work."""
+"""Rolling restart of all hosts under load."""
 
 import asyncio
 from collections import Counter
@@ -11,25 +11,25 @@
 
 
 async def work(scene: Scene, stop: asyncio.Event) -> None:
-    """Write and read through changing hosts until told to stop."""
+    """Write and read through changing hosts until `stop` is set."""
     while not stop.is_set():
         await scene.assign()
         await scene.look(Consistency.SESSION)
 
 
 @using(scene_of)
-async def test_a_rolling_restart_cuts_no_request_and_loses_nothing(
+async def test_rolling_restart_interrupts_no_request_and_loses_no_write(
     scene: Scene,
 ) -> None:
     world = scene.world
     stop = asyncio.Event()
-    at_work = asyncio.create_task(work(scene, stop))
+    workload = asyncio.create_task(work(scene, stop))
     for name in list(world.settings):
         await world.stop_host(name)
         await world.start_host(name)
     stop.set()
-    await at_work
+    await workload
     assert scene.broken() == []
-    verdicts = Counter(one.verdict for one in scene.history.attempts)
+    verdicts = Counter(attempt.verdict for attempt in scene.history.attempts)
     assert verdicts[Verdict.MAY_HAVE_RUN] == 0
     assert verdicts[Verdict.DONE] >= len(world.settings)
