--- a/src/reedhook/process/discovery/announcements.py
+++ b/src/reedhook/process/discovery/announcements.py
@@ -34,7 +34,7 @@
     :ivar table_value: its value without callers' keys, for other hosts.
     :ivar targets: what targets announce, by id.
     :ivar missing_since: when targets that were known were found to be gone,
-        by `Clock.elapsed`.
+        by `Clock.boottime`.
     :ivar malformed: keys whose values cannot be read now; each is logged once.
     :ivar host_items: the newest items that hosts of the system wrote, by key.
     :ivar mirror: all items but configurations, for other hosts.
@@ -79,7 +79,7 @@
 
     @property
     def usable_as_relay(self) -> bool:
-        """Say whether others may go on learning from this host.
+        """Return whether others may go on learning from this host.
 
         A store that breaks its connections, or has dropped its history, answers
         again within tenths of a second.
--- a/src/reedhook/process/discovery/configuration_freshness.py
+++ b/src/reedhook/process/discovery/configuration_freshness.py
@@ -21,7 +21,7 @@
     another host states is an age; it is dated from when this one asked, so that
     neither the way nor a pause of either host makes it look younger.
 
-    :ivar as_of: that moment, by `Clock.elapsed`.
+    :ivar as_of: that moment, by `Clock.boottime`.
     :ivar source: where the proof came from.
     :ivar pending: a proof of a version that is not in force here yet, by version.
     """
@@ -68,7 +68,7 @@
         It goes with answers only: who asked dates it from the question. So it is
         the age at which the question arrived, below 0 if the answer waited since.
 
-        :param received_at: when the question arrived, by `Clock.elapsed`.
+        :param received_at: when the question arrived, by `Clock.boottime`.
         """
         if self.as_of > -math.inf:
             age = received_at - self.as_of
@@ -80,7 +80,7 @@
         """Take over what the answer of another host proves.
 
         :param version: in force at that host.
-        :param requested_at: when it was asked, by `Clock.elapsed`.
+        :param requested_at: when it was asked, by `Clock.boottime`.
         :raises WireError: if the age has another form.
         """
         age = answer.get(AGE_FIELD)
--- a/src/reedhook/process/discovery/freshness_prover.py
+++ b/src/reedhook/process/discovery/freshness_prover.py
@@ -88,11 +88,11 @@
             limit = self.limit()
 
     def needed(self) -> bool:
-        """Say whether anything here depends on the age of the configuration."""
+        """Return whether anything here depends on the age of the configuration."""
         return bool(self.announcements.table.workspaces.by_name)
 
     def waits(self) -> bool:
-        """Say whether the last answer may still become a proof worth waiting for."""
+        """Return whether the last answer may still become a proof worth waiting for."""
         if self.awaited is None:
             return False
         return self.clock.boottime() - self.awaited[1] < QUERY_AGE_SECONDS
--- a/src/reedhook/process/discovery/host_capacities.py
+++ b/src/reedhook/process/discovery/host_capacities.py
@@ -50,5 +50,5 @@
         self.most = max(self.known.values())
 
     def is_weak(self, host: str) -> bool:
-        """Say whether others bear more than twice as much."""
+        """Return whether others bear more than twice as much."""
         return self.known.get(host, self.most) < WEAK_FRACTION * self.most
--- a/src/reedhook/process/discovery/host_registration.py
+++ b/src/reedhook/process/discovery/host_registration.py
@@ -79,7 +79,7 @@
     async def renew(self) -> None:
         """Keep the entry, or write it again if it was taken away.
 
-        :raises KeyspaceError: if the store does not do so.
+        :raises KeyValueStoreError: if the store does not do so.
         """
         if self.lease is not None:
             await self.keyspace.renew_lease(self.lease, RESPONSE_TIMEOUT_SECONDS)
--- a/src/reedhook/process/discovery/route_table_transfer.py
+++ b/src/reedhook/process/discovery/route_table_transfer.py
@@ -107,7 +107,7 @@
         return self.packed[known]
 
     def admits(self, host: str, ends: bool) -> bool:
-        """Say whether a portion of a long difference is sent to a host now.
+        """Return whether a portion of a long difference is sent to a host now.
 
         :param ends: whether it is the last one.
         """
@@ -211,7 +211,7 @@
         :param version: that this host has, with the digest `known`.
         :returns: None if the host is busy, or goes on to another version.
         :raises PeerError: if it gives no answer.
-        :raises Refusal: if it refuses.
+        :raises RefusalError: if it refuses.
         :raises WireError: if it gives a malformed answer.
         """
         packed, found = "", ""
--- a/src/reedhook/process/discovery/store_mirror.py
+++ b/src/reedhook/process/discovery/store_mirror.py
@@ -62,7 +62,7 @@
         return True
 
     def changed_after(self, after: int) -> bool:
-        """Say whether anything has changed after a revision."""
+        """Return whether anything has changed after a revision."""
         return self.newest > after
 
     def changes(self, after: int) -> list[Item]:
--- a/src/reedhook/process/discovery/store_value_parser.py
+++ b/src/reedhook/process/discovery/store_value_parser.py
@@ -10,11 +10,11 @@
 
     @abstractmethod
     def is_table(self, key: str) -> bool:
-        """Say whether the key holds the operators' configuration."""
+        """Return whether the key holds the operators' configuration."""
 
     @abstractmethod
     def is_target(self, key: str) -> bool:
-        """Say whether the key holds what a target announces."""
+        """Return whether the key holds what a target announces."""
 
     @abstractmethod
     def target_of(self, key: str) -> str:
--- a/src/reedhook/process/discovery/store_watcher.py
+++ b/src/reedhook/process/discovery/store_watcher.py
@@ -108,7 +108,7 @@
     async def update(self) -> None:
         """Learn the next news.
 
-        :raises KeyspaceError: if the store gives no answer.
+        :raises KeyValueStoreError: if the store gives no answer.
         """
         if not self.synchronized:
             await self.read_all()
--- a/src/reedhook/process/discovery/update_source.py
+++ b/src/reedhook/process/discovery/update_source.py
@@ -82,7 +82,7 @@
         return answer
 
     def has_updates(self, after: int, version: int) -> bool:
-        """Say whether this host knows something that the asker does not."""
+        """Return whether this host knows something that the asker does not."""
         known = self.announcements
         return known.table.version > version or known.mirror.changed_after(after)
 
--- a/src/reedhook/process/primary_lease/__init__.py
+++ b/src/reedhook/process/primary_lease/__init__.py
@@ -1,6 +1,6 @@
-"""Who may use the primary of a service, and how another one is promoted.
+"""Exclusive leases on service primaries, and failover to a new primary.
 
-Used by hosts on a platform with a store: a record there names the one host that may,
-and the platform promotes. Hosts that run by YAML settings don't load this; see
-:mod:`reedhook.process.groups`.
+Used on a platform with a key-value store: a record in the store names the one host
+that may use the primary, and the platform carries out promotions. Hosts configured
+by YAML settings use :mod:`reedhook.process.groups` instead.
 """
--- a/src/reedhook/process/primary_lease/backup_holder.py
+++ b/src/reedhook/process/primary_lease/backup_holder.py
@@ -1,4 +1,4 @@
-"""Standing in for the holder of a lead while it is lost and the store is silent."""
+"""Backup use of a primary while its holder is lost and the store is unreachable."""
 
 from typing import Final
 
@@ -10,23 +10,24 @@
 from .target_status import TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 4.0
-"""Seconds between two looks at whether this host is still the deputy; with a
-tenure of 12 s at least 8 s are left to act when the store goes silent."""
+"""Renewal interval; well below LEASE_VALIDITY_SECONDS, so that time is left to act
+when the store becomes unreachable."""
 
 RETRY_INTERVAL_SECONDS: Final = 0.5
-"""Seconds until the next look while there is no permission."""
+"""Renewal interval while the lease is not valid."""
 
 DRAIN_TIMEOUT_SECONDS: Final = 1.0
-"""Seconds for which transactions may end once the holder is back."""
+"""Time for open transactions to end after the holder is back."""
 
 
 class BackupHolder(PrimaryClient):
     """Use the primary of a service in place of its holder.
 
-    It promotes nobody. The holder, and whoever takes the lead over, asks for
-    its word before a promotion, or waits until its permission has ended.
+    It orders no promotion. Before a promotion, the holder or the host that claims the
+    lease has the backup holder confirm that it stopped, or waits until its lease has
+    expired.
 
-    :param claim: names this host as the deputy.
+    :param claim: names this host as the backup holder.
     """
 
     def __init__(
@@ -43,11 +44,11 @@
         self.active = False
 
     def start(self) -> None:
-        """Begin to renew the permission."""
+        """Start to renew the lease."""
         self.background.spawn(self.renew())
 
     async def renew(self) -> None:
-        """Look into the store again and again whether this host is named."""
+        """Renew the lease periodically until cancelled."""
         while True:
             await self.clock.sleep(
                 CHECK_INTERVAL_SECONDS
@@ -57,7 +58,7 @@
             await self.claim.refresh()
 
     async def activate(self) -> None:
-        """Use the primary, if it leads as the record says."""
+        """Use the primary if its status matches the record."""
         if self.active or self.draining or not self.validity.valid:
             return
         self.active = True
@@ -67,10 +68,10 @@
         if entry is None or status is None or not status.is_primary or promoting:
             self.active = False
             return
-        same = status.term == self.record.term and entry.is_incarnation(
+        matches_record = status.term == self.record.term and entry.is_incarnation(
             self.record.primary_started_at_ms
         )
-        if not same or self.draining:
+        if not matches_record or self.draining:
             self.active = False
             return
         self.decisions.record(
@@ -83,7 +84,7 @@
         self.use_primary(entry, status)
 
     async def deactivate(self) -> None:
-        """Leave the primary to its holder, who is back."""
+        """Stop using the primary after its holder is back."""
         if not self.active:
             return
         self.decisions.record("deputy_rests", service=self.service)
--- a/src/reedhook/process/primary_lease/backup_holders.py
+++ b/src/reedhook/process/primary_lease/backup_holders.py
@@ -1,4 +1,4 @@
-"""The services for whose holders this host stands in."""
+"""Services for which this host is the backup holder."""
 
 from collections.abc import Callable
 from typing import Final, TypeAlias
@@ -14,10 +14,11 @@
 
 
 class BackupHolders:
-    """Stand in where a record names this host, and give that up when asked.
+    """Act as backup holder where a record names this host, until told to stop.
 
-    :ivar promised: revisions of records by which this host will not act, since
-        it has given its word to a holder that promotes.
+    :ivar found: backup holders of this host, by service.
+    :ivar promised: by service, the record revision up to which this host has promised
+        a holder not to act as backup.
     """
 
     def __init__(
@@ -34,50 +35,50 @@
         self.background = BackgroundTasks(decisions)
 
     def active_holder(self, service: str) -> BackupHolder | None:
-        """Return what uses a primary in its holder's place, or None."""
-        deputy = self.found.get(service)
-        return deputy if deputy is not None and deputy.active else None
+        """Return the backup holder that uses the primary now, or None."""
+        backup = self.found.get(service)
+        return backup if backup is not None and backup.active else None
 
     def handle_record(self, record: PrimaryLeaseRecord) -> None:
-        """Become the deputy of a service, or cease to be it."""
-        deputy = self.found.get(record.service)
+        """Start or stop to be the backup holder of a service."""
+        backup = self.found.get(record.service)
         named = record.backup_holder == self.me
-        if deputy is not None and not named:
+        if backup is not None and not named:
             del self.found[record.service]
-            self.background.spawn(self.stop_backup_holder(deputy))
-        if deputy is None and named and not self.closed:
-            # Only an own look permits to act; the first is due at once.
-            deputy = self.make_backup_holder(record, NEVER)
-            self.found[record.service] = deputy
-            deputy.start()
+            self.background.spawn(self.stop_backup_holder(backup))
+        if backup is None and named and not self.closed:
+            # The lease starts expired: only a read by this host may extend it.
+            backup = self.make_backup_holder(record, NEVER)
+            self.found[record.service] = backup
+            backup.start()
 
     async def set_holder_lost(self, service: str, lost: bool) -> None:
-        """Act as the deputy while the holder is lost, and no longer."""
-        deputy = self.found.get(service)
-        if deputy is None:
+        """Activate the backup holder while the holder is lost."""
+        backup = self.found.get(service)
+        if backup is None:
             return
-        barred = deputy.record.revision <= self.promised.get(service, 0)
-        if lost and not barred:
-            await deputy.activate()
+        relinquished = backup.record.revision <= self.promised.get(service, 0)
+        if lost and not relinquished:
+            await backup.activate()
         else:
-            await deputy.deactivate()
+            await backup.deactivate()
 
     async def relinquish(self, service: str, revision: int) -> None:
-        """Use a primary no more by a record as old as `revision`."""
+        """Stop using a primary under records up to `revision`."""
         known = self.promised.get(service, 0)
         self.promised[service] = max(known, revision)
-        deputy = self.found.pop(service, None)
-        if deputy is not None:
-            await self.stop_backup_holder(deputy)
+        backup = self.found.pop(service, None)
+        if backup is not None:
+            await self.stop_backup_holder(backup)
 
     async def stop_backup_holder(self, backup_holder: BackupHolder) -> None:
-        """Use a primary no more as a deputy."""
+        """Stop a backup holder at once and release its primary."""
         backup_holder.draining = True
         backup_holder.stop()
         await backup_holder.release(0.0)
 
     async def close(self) -> None:
-        """Stand in for nobody any more."""
+        """Stop all backup holders and accept no new ones."""
         self.closed = True
         for service in list(self.found):
             await self.stop_backup_holder(self.found.pop(service))
--- a/src/reedhook/process/primary_lease/holder_failure_detector.py
+++ b/src/reedhook/process/primary_lease/holder_failure_detector.py
@@ -1,4 +1,4 @@
-"""Whether the holders of leads live, asked by those who would take over."""
+"""Failure detection of lease holders by the hosts that would claim their leases."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,29 +16,27 @@
 REACH_PATH: Final = "reaches"
 
 PROBE_INTERVAL_SECONDS: Final = 0.3
-"""Seconds between two questions to a holder. Membership notices the loss of a
-host of another zone within seconds; writes wait for this one."""
+"""Shorter than the detection time of membership, since writes wait for the claim of
+a lost holder's lease."""
 
 PROBE_TIMEOUT_SECONDS: Final = 0.25
-"""Seconds for an answer, which takes 3 ms; a host that does not answer for as
-long is asked for elsewhere."""
+"""Timeout of a probe; after it, other hosts are asked to probe the holder."""
 
 LOST_VALIDITY_SECONDS: Final = 2.0
-"""Seconds for which a finding is believed; one takes up to 1.3 s, so that it is
-renewed before."""
+"""Must exceed the longest probe, direct and indirect, plus PROBE_INTERVAL_SECONDS, so
+that the result is renewed before it expires."""
 
 MAX_INDIRECT_PROBERS: Final = 3
-"""Hosts that are asked whether they reach the holder."""
 
 
 class HolderFailureDetector:
-    """Ask after holders, and say which are lost.
+    """Probe holders, directly and through other hosts, and tell which are lost.
 
-    A host that reaches nobody in another availability zone calls nobody lost:
-    more likely it is cut off itself.
+    No host is declared lost if none of the indirect probers responds: this host is
+    then more likely to be partitioned itself.
 
-    :ivar lost_at: when hosts were last found lost, by monotonic time.
-    :ivar on_lost: is called when a host was found lost.
+    :ivar lost_at: monotonic time when each host was last found lost.
+    :ivar on_lost: callback after a host is found lost.
     """
 
     def __init__(
@@ -62,47 +60,47 @@
         self.on_lost: Callable[[], None] = lambda: None
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handlers of this host."""
+        """Add the peer handlers."""
         routes.add(ALIVE_PATH, self.handle_alive)
         routes.add(REACH_PATH, self.handle_reaches)
 
     async def handle_alive(self, body: Json) -> Json:
-        """Say that this host lives."""
+        """Respond to a probe of this host."""
         return {}
 
     async def handle_reaches(self, body: Json) -> Json:
-        """Say whether this host reaches another one."""
+        """Probe another host and report whether it responds."""
         try:
             host = HostRef.from_json(body["host"])
         except (LookupError, TypeError) as error:
-            raise WireError("a host is expected") from error
+            raise WireError("host reference is missing or malformed") from error
         return {"reached": await self.is_reachable(host)}
 
     def probe_if_due(self, host: HostRef) -> None:
-        """Ask after a host unless that was done of late."""
+        """Start a probe of a host unless one is running or recent."""
         now = self.clock.monotonic()
         if now - self.probed_at.get(host.host, float("-inf")) < PROBE_INTERVAL_SECONDS:
             return
-        known = self.probe_tasks.get(host.host)
-        if known is not None and not known.done():
+        running = self.probe_tasks.get(host.host)
+        if running is not None and not running.done():
             return
         self.probed_at[host.host] = now
         loop = asyncio.get_running_loop()
         self.probe_tasks[host.host] = loop.create_task(self.probe(host))
 
     async def probe(self, host: HostRef) -> None:
-        """Ask a host; without an answer, ask again and ask others about it.
+        """Probe a host; if it fails, retry and probe it through other hosts.
 
-        The second question goes out on a new connection.
+        The retry uses a new connection.
         """
         if await self.is_reachable(host):
             self.lost_at.pop(host.host, None)
             return
-        again, *answers = await asyncio.gather(
+        retry_succeeded, *answers = await asyncio.gather(
             self.is_reachable(host),
             *(self.probe_indirectly(one, host) for one in self.choose_probers(host)),
         )
-        if again:
+        if retry_succeeded:
             self.lost_at.pop(host.host, None)
             return
         if True in answers or False not in answers:
@@ -112,18 +110,18 @@
         self.on_lost()
 
     def is_lost(self, host: HostRef) -> bool:
-        """Say whether a host was found lost just now."""
+        """Return whether a host was found lost recently."""
         now = self.clock.monotonic()
         return now - self.lost_at.get(host.host, float("-inf")) < LOST_VALIDITY_SECONDS
 
     def clear_lost(self, host: HostRef) -> None:
-        """Drop what was found: the host was heard of in another life."""
+        """Discard the result for a host that has restarted."""
         self.lost_at.pop(host.host, None)
 
     async def is_reachable(
         self, host: HostRef, timeout: float = PROBE_TIMEOUT_SECONDS
     ) -> bool:
-        """Say whether a host answers within `timeout` seconds."""
+        """Return whether a host responds within `timeout` seconds."""
         try:
             await self.peers.call(host, ALIVE_PATH, {}, timeout)
         except (PeerError, RefusalError):
@@ -131,7 +129,7 @@
         return True
 
     async def probe_indirectly(self, prober: HostRef, host: HostRef) -> bool | None:
-        """Ask a witness; None if it gives no answer itself."""
+        """Probe a host through `prober`; None if the prober does not respond."""
         body: Json = {"host": host.to_json()}
         try:
             answer = await self.peers.call(
@@ -142,9 +140,9 @@
         return answer.get("reached") is True
 
     def choose_probers(self, host: HostRef) -> list[HostRef]:
-        """Choose hosts of other zones than this one's, of each zone in turn.
+        """Choose hosts outside this host's zone, the probed host's zone last.
 
-        Where all hosts are in one zone, others of that zone are chosen.
+        If all hosts are in one zone, choose others of that zone.
         """
         others = [
             ref
@@ -152,6 +150,6 @@
             if ref.host not in (self.me.host, host.host)
         ]
         self.random.shuffle(others)
-        far = [ref for ref in others if ref.zone != self.me.zone] or others
-        far.sort(key=lambda ref: ref.zone == host.zone)
-        return far[:MAX_INDIRECT_PROBERS]
+        outside_zone = [ref for ref in others if ref.zone != self.me.zone] or others
+        outside_zone.sort(key=lambda ref: ref.zone == host.zone)
+        return outside_zone[:MAX_INDIRECT_PROBERS]
--- a/src/reedhook/process/primary_lease/holder_ranking.py
+++ b/src/reedhook/process/primary_lease/holder_ranking.py
@@ -1,4 +1,4 @@
-"""Which hosts should hold the lead of a service, or stand in for its holder."""
+"""Ranking of hosts as holders and backup holders of primary leases."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 class LeaseHolderRanking:
     """Order hosts for each service, by rank and availability zone.
 
-    :param is_weak: whether the host named is weaker than others.
+    :param is_weak: returns whether a host ID names a host of low capacity.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         self.is_weak = is_weak
 
     def ranked(self, service: str) -> list[HostRef]:
-        """Return the hosts that may take a lead, best first.
+        """Return the hosts that may claim a lease, best first.
 
-        Those in another availability zone than the primary come first: then a
-        zone that is cut off takes away the primary or its user, never both. Of
-        these the weak come last.
+        Hosts outside the primary's availability zone come first, so that the loss of
+        one zone takes the primary or its holder, not both. Weak hosts come last
+        within each group.
         """
         zone = self.primary_zone(service)
         key = lease_key(service)
@@ -48,9 +48,9 @@
         return order
 
     def placement_penalty(self, ref: HostRef, zone: str) -> tuple[bool, bool]:
-        """Return what speaks against a host, the worst first.
+        """Return the sort key of a host; lower is better.
 
-        :param zone: of the primary.
+        :param zone: zone of the primary.
         """
         return ref.zone == zone, self.is_weak(ref.host)
 
@@ -66,10 +66,10 @@
         return ""
 
     def standbys(self, service: str, holder: HostRef) -> list[HostRef]:
-        """Return the hosts that stand by for the holder of a lead.
+        """Return the hosts that probe a holder and claim its lease if it is lost.
 
-        The first two in rank that are in different zones do: at least one of
-        them is not cut off together with the holder. The deputy does, too.
+        These are the first two in rank that are in different zones, so that at least
+        one is not partitioned together with the holder, and the backup holder.
         """
         ranked = [ref for ref in self.ranked(service) if ref.host != holder.host]
         chosen = ranked[:1]
@@ -80,10 +80,10 @@
         return chosen
 
     def deputy(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
-        """Return the host that is to stand in for this one, or None.
+        """Return the best backup holder for this host, or None.
 
-        In a third zone it is not cut off along with the holder, nor with the
-        primary when that is to be replaced.
+        A host in a third zone is preferred: it is partitioned neither with the holder
+        nor with the primary.
         """
         others = [ref for ref in self.ranked(service) if ref.host != self.me.host]
         zones = (self.me.zone, primary.zone)
@@ -94,10 +94,10 @@
         return None
 
     def better(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
-        """Return who should hold a lead in place of this host, or None.
+        """Return a host that should hold a lease instead of this one, or None.
 
-        That is a host in another zone than the primary, if this one is not, and
-        a strong one, if this one is weak.
+        Such a host is outside the primary's zone where this one is inside, or not
+        weak where this one is weak.
         """
         mine = self.placement_penalty(self.me, primary.zone)
         for ref in self.ranked(service):
--- a/src/reedhook/process/primary_lease/indirect_prober.py
+++ b/src/reedhook/process/primary_lease/indirect_prober.py
@@ -1,4 +1,4 @@
-"""Other hosts that are asked whether they reach a target."""
+"""Probes of targets through other hosts, and lease transfers to them."""
 
 import asyncio
 from collections import Counter
@@ -18,22 +18,20 @@
 CLAIM_PATH: Final = "take"
 
 MAX_PROBERS: Final = 9
-"""Hosts that are asked at most; a primary may be cut off from most hosts and
-still serve the others."""
+"""A primary may be unreachable from most hosts and still serve the others."""
 
 RESPONSE_TIMEOUT_SECONDS: Final = 0.45
-"""Seconds for the host's answer."""
+"""Timeout of a probe request to another host."""
 
 CLAIM_TIMEOUT_SECONDS: Final = 1.0
-"""Seconds in which a host takes a lead over at the store: two calls of 4 ms, or
-of 240 ms at a slow store."""
+"""Timeout for another host to claim a lease, which takes two calls to the store."""
 
 
 class TargetObservation(Record):
-    """Carry what another host says of its surroundings.
+    """Carry the probe result of another host.
 
-    :param target_reachable: whether it reaches the target.
-    :param store_reachable: whether it reaches the store.
+    :param target_reachable: whether that host reaches the target.
+    :param store_reachable: whether that host reaches the store.
     """
 
     __slots__ = ("host", "target_reachable", "store_reachable")
@@ -47,7 +45,7 @@
 
 
 class IndirectProber:
-    """Ask other hosts for targets, and answer such questions."""
+    """Have other hosts probe targets, and probe targets for them."""
 
     def __init__(
         self,
@@ -66,39 +64,39 @@
         self.random = random
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the peer handler."""
         routes.add(PROBE_TARGET_PATH, self.handle_probe)
 
     async def handle_probe(self, body: Json) -> Json:
-        """Say whether this host reaches a target, and the store."""
+        """Probe a target and report whether this host reaches it and the store."""
         entry = self.announcements.targets.get(string_field(body, "target"))
         reached = entry is not None and await self.states.is_reachable(entry)
         return {"reached": reached, "stored": self.announcements.store_reached}
 
     async def probe(self, entry: TargetAnnouncement) -> list[TargetObservation]:
-        """Return what hosts that answer say of a target and the store."""
-        asked = self.chosen(entry.zone)
+        """Return the probe results of the hosts that respond."""
+        probers = self.chosen(entry.zone)
         answers = await asyncio.gather(
-            *(self.request_probe(one, entry) for one in asked)
+            *(self.request_probe(one, entry) for one in probers)
         )
         return [one for one in answers if one is not None]
 
     def chosen(self, zone: str) -> list[HostRef]:
-        """Choose whom to ask: hosts of each zone in turn, those of one last."""
+        """Choose probers from each zone in turn, those of `zone` last in each round."""
         others = [ref for ref in self.table.refs() if ref.host != self.me.host]
         self.random.shuffle(others)
         seen: Counter[str] = Counter()
-        turns = {}
+        rounds = {}
         for ref in others:
-            turns[ref.host] = seen[ref.zone]
+            rounds[ref.host] = seen[ref.zone]
             seen[ref.zone] += 1
-        others.sort(key=lambda ref: (turns[ref.host], ref.zone == zone))
+        others.sort(key=lambda ref: (rounds[ref.host], ref.zone == zone))
         return others[:MAX_PROBERS]
 
     async def request_probe(
         self, host: HostRef, entry: TargetAnnouncement
     ) -> TargetObservation | None:
-        """Ask one host; None if it gives no answer."""
+        """Probe a target through one host; None if the host does not respond."""
         body: Json = {"target": entry.target}
         try:
             answer = await self.peers.call(
@@ -113,7 +111,7 @@
     async def transfer_lease_to_any(
         self, service: str, observations: list[TargetObservation]
     ) -> bool:
-        """Have the first host that reaches the store take a lead over."""
+        """Transfer a lease to the first host that reaches the store and accepts it."""
         for one in observations:
             if one.store_reachable and await self.transfer_lease(service, one.host):
                 return True
@@ -122,7 +120,7 @@
     async def transfer_lease(
         self, service: str, host: HostRef, no_former_holders: bool = False
     ) -> bool:
-        """Have a host take the lead of a service over.
+        """Transfer the lease of a service to a host; return whether it accepts.
 
         :param no_former_holders: whether no earlier holder can still use the primary.
         """
--- a/src/reedhook/process/primary_lease/lease_claim.py
+++ b/src/reedhook/process/primary_lease/lease_claim.py
@@ -1,4 +1,4 @@
-"""A host's place in the record of a service, read from the store and changed."""
+"""A host's claim on the lease record of a service."""
 
 from abc import ABC, abstractmethod
 from typing import Final
@@ -16,15 +16,15 @@
 from .lease_validity import LeaseValidity
 
 STORE_TIMEOUT_SECONDS: Final = 0.5
-"""Seconds for an answer of the store: 4 ms, or 240 ms when it is slow."""
+"""Timeout of one call to the store."""
 
 
 class LeaseClaim(ABC):
-    """Keep the record that names this host, and the permission it gives.
+    """Keep the lease record that names this host, and how long it is valid.
 
-    :param record: as it stands in the store.
-    :param requested_at: when the question that found it was sent, by `Clock.elapsed`.
-    :ivar saved: whether `record` stands in the store.
+    :param record: the record as stored.
+    :param requested_at: `Clock.boottime` when the call that read or wrote it was sent.
+    :ivar saved: whether `record` is written to the store.
     """
 
     def __init__(
@@ -50,33 +50,33 @@
 
     @abstractmethod
     def is_named(self, record: PrimaryLeaseRecord) -> bool:
-        """Say whether a record gives this host its place."""
+        """Return whether a record names this host in its role."""
 
     async def refresh(self) -> bool:
-        """Look into the store; the permission counts from when that was asked.
+        """Read the record and extend the lease from the time of the request.
 
-        :returns: whether the store has answered.
+        :returns: whether the store responded.
         """
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             item = await self.keyspace.get(
                 lease_key(self.service), STORE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            left = round(self.validity.expires_at - asked, 2)
+            left = round(self.validity.expires_at - requested_at, 2)
             self.decisions.record(
                 "tenure_unconfirmed", service=self.service, left=left, error=str(error)
             )
             return False
         if item is None:
-            # The store forgets nothing that it has acknowledged.
+            # The store never deletes the record, so this is only logged.
             self.decisions.record("lead_record_missing", service=self.service)
             return True
-        self.found(item, asked)
+        self.found(item, requested_at)
         return True
 
     def found(self, item: Item, requested_at: float) -> None:
-        """Take note of the record as the store has it."""
+        """Process an item read from the store."""
         record = PrimaryLeaseRecord.from_item(item)
         if self.is_named(record):
             self.validity.extend(requested_at)
@@ -85,12 +85,13 @@
         self.registry.update(record, "look")
 
     async def write(self, record: PrimaryLeaseRecord) -> bool:
-        """Put a record into the store; return whether it stands there.
+        """Write a record to the store; return whether it is stored.
 
-        A lost answer is resolved by a look: no two of our records are equal.
+        If the response is lost, the record is read back. No two records of this
+        host are equal, so an equal value proves that the write succeeded.
         """
         key, value = lease_key(self.service), record.encoded()
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             revision = await self.keyspace.put(
                 key, value, record.revision, STORE_TIMEOUT_SECONDS
@@ -102,12 +103,12 @@
                 "lead_not_written", service=self.service, error=str(error)
             )
             return await self.resolve(value)
-        self.validity.extend(asked)
+        self.validity.extend(requested_at)
         self.written(record.with_revision(revision))
         return True
 
     async def resolve(self, value: bytes) -> bool:
-        """Find out whether a record was written after all."""
+        """Read the record back to determine whether a write took effect."""
         try:
             item = await self.keyspace.get(
                 lease_key(self.service), STORE_TIMEOUT_SECONDS
@@ -119,40 +120,40 @@
             return False
         if item is None:
             return False
-        found = PrimaryLeaseRecord.from_item(item)
-        if not self.is_named(found):
-            self.registry.update(found, "look")
+        stored = PrimaryLeaseRecord.from_item(item)
+        if not self.is_named(stored):
+            self.registry.update(stored, "look")
             return False
         if item.value == value:
-            self.written(found)
+            self.written(stored)
             return True
-        # An earlier write of this host took effect late. Whoever it named may
-        # have seen it and counts as named; what this host knows of the primary
-        # is newer, since no order follows a write that was not answered.
-        self.record = found.with_primary_of(self.record)
+        # An earlier write of this host took effect late. Keep the holders it names,
+        # since they may have read it. Keep the primary known here: it is newer,
+        # because no promotion is ordered after an unacknowledged write.
+        self.record = stored.with_primary_of(self.record)
         return False
 
     def unsaved(self, record: PrimaryLeaseRecord) -> None:
-        """Go on from a record that is yet to be written down."""
+        """Use a record that is still to be written to the store."""
         self.record = record
         self.saved = False
 
     def written(self, record: PrimaryLeaseRecord) -> None:
-        """Go on from a record that stands in the store."""
+        """Use a record that is stored."""
         self.record = record
         self.saved = True
         self.registry.update(record, "own")
 
 
 class HolderClaim(LeaseClaim):
-    """Hold the lead."""
+    """Claim the lease as its holder."""
 
     def is_named(self, record: PrimaryLeaseRecord) -> bool:
         return record.holder == self.me
 
 
 class BackupHolderClaim(LeaseClaim):
-    """Stand in for the holder."""
+    """Claim the use of the primary as the backup holder."""
 
     def is_named(self, record: PrimaryLeaseRecord) -> bool:
         return record.backup_holder == self.me
--- a/src/reedhook/process/primary_lease/lease_holder.py
+++ b/src/reedhook/process/primary_lease/lease_holder.py
@@ -1,4 +1,7 @@
-"""The lead of one service as this host holds it: the only user of its primary."""
+"""The holder of the primary lease of one service.
+
+Only the holder uses the primary, monitors it and replaces it.
+"""
 
 import asyncio
 from typing import Final
@@ -29,42 +32,38 @@
 from .target_status import STATUS_TIMEOUT_SECONDS, TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
-"""Seconds between two looks at the primary."""
 
 PROBE_AFTER_SECONDS: Final = 0.2
-"""Seconds without an answer after which the primary is asked for one; the
-longest usual statements take 110 ms."""
+"""Time without a reply before the primary is probed; exceeds the duration of
+ordinary statements."""
 
 INDIRECT_PROBE_DELAY_SECONDS: Final = 0.1
-"""Seconds without that answer after which others are asked, too, while it is waited
-for. Both together bring the next primary 0.2 s sooner; in a cut zone writes waited
-1.4 s for it. Nothing is decided on less evidence."""
+"""Time without a probe reply before other hosts probe the primary in parallel."""
 
 GONE_AFTER_SECONDS: Final = 3.0
-"""Seconds after which a target that announces itself no more counts as gone,
-while the store answers; entries that lapsed with the store are back in 2 s."""
+"""Time without an announcement, while the store responds, before a target counts as
+gone. Entries that lapsed during a store outage are back within 2 s."""
 
 DRAIN_TIMEOUT_SECONDS: Final = 1.5
-"""Seconds for which a planned change lets open transactions end."""
+"""Time for open transactions to end before a planned change of primary."""
 
 MAX_STORE_CHECKS: Final = 3
 STORE_CHECK_PAUSE_SECONDS: Final = 0.15
-"""Looks at a store that gave no answer, and seconds before each, until a primary
-in doubt is asked for again; a store that is busy refuses in 4 ms."""
+"""Retries of an unresponsive store before the primary is diagnosed again."""
 
 DEMOTE_INTERVAL_SECONDS: Final = 1.0
-"""Seconds between two orders to a target that wrongly believes to lead."""
+"""Interval of demote requests to targets that wrongly claim to be primary."""
 
 PLACEMENT_INTERVAL_SECONDS: Final = 2.0
-"""Seconds between two changes of the deputy, each one write."""
+"""Interval of checks of the holder and backup holder; each may write the record."""
 
 
 class PrimaryProbeResult(Record):
-    """Carry what is known of a primary that gives no answer.
+    """Carry the diagnosis of a primary that does not respond.
 
     :param reachable: whether it accepts a new connection from here.
-    :param observations: what other hosts say of it.
-    :param store_reachable: whether the store answers this host.
+    :param observations: probe results of other hosts.
+    :param store_reachable: whether the store responds to this host.
     """
 
     __slots__ = ("entry", "reachable", "observations", "store_reachable")
@@ -91,7 +90,7 @@
 
 
 class PrimaryLeaseHolder(PrimaryClient):
-    """Use the primary of one service, watch over it and have it replaced.
+    """Use the primary of one service, monitor it and replace it on failure.
 
     :param claim: names this host as the holder.
     """
@@ -123,25 +122,25 @@
         self.deputized_at = float("-inf")
 
     def start(self) -> None:
-        """Begin to renew the permission and to look after the primary."""
+        """Start to renew the lease and to monitor the primary."""
         self.background.spawn(self.renew())
         self.background.spawn(self.monitor_primary())
 
     async def renew(self) -> None:
-        """Look into the store again and again whether this host is named."""
+        """Renew the lease periodically until cancelled."""
         while True:
             await self.clock.sleep(RENEWAL_INTERVAL_SECONDS)
             await self.claim.refresh()
 
     async def monitor_primary(self) -> None:
-        """Keep a primary in use until cancelled."""
+        """Check the primary periodically until cancelled."""
         while True:
             if not self.draining and self.validity.valid:
                 await self.check_once()
             await self.clock.sleep(CHECK_INTERVAL_SECONDS)
 
     async def check_once(self) -> None:
-        """Do what the state of the primary demands now."""
+        """Run one check of the primary, the lease record and its holders."""
         if not self.claim.saved:
             await self.claim.write(self.record)
         if self.record.successor:
@@ -158,7 +157,7 @@
     # The primary in use
 
     async def check_primary(self, home: SessionTargetHome) -> None:
-        """Decide whether the primary is to be replaced."""
+        """Check the primary in use, and replace it if necessary."""
         target = home.entry.target
         entry = self.announcements.targets.get(target)
         if entry is not None and entry.leaving:
@@ -182,29 +181,31 @@
         await self.probe_primary(home)
 
     async def probe_primary(self, home: SessionTargetHome) -> None:
-        """Ask a quiet primary for an answer, and act if none comes."""
-        sighting = asyncio.ensure_future(self.is_responding(home))
-        inquiry: asyncio.Future[PrimaryProbeResult] | None = None
+        """Probe an idle primary, and handle a missing reply."""
+        reply_task = asyncio.ensure_future(self.is_responding(home))
+        diagnosis_task: asyncio.Future[PrimaryProbeResult] | None = None
         try:
             done, _ = await asyncio.wait(
-                {sighting}, timeout=INDIRECT_PROBE_DELAY_SECONDS
+                {reply_task}, timeout=INDIRECT_PROBE_DELAY_SECONDS
             )
-            if not done or not sighting.result():
-                inquiry = asyncio.ensure_future(self.diagnose_primary(home.entry))
-            if await sighting:
+            if not done or not reply_task.result():
+                diagnosis_task = asyncio.ensure_future(
+                    self.diagnose_primary(home.entry)
+                )
+            if await reply_task:
                 return
             self.mark_doubtful()
-            assert inquiry is not None
-            await self.handle_probe_result(await inquiry)
+            assert diagnosis_task is not None
+            await self.handle_probe_result(await diagnosis_task)
         finally:
-            sighting.cancel()
-            if inquiry is not None:
-                inquiry.cancel()
+            reply_task.cancel()
+            if diagnosis_task is not None:
+                diagnosis_task.cancel()
 
     async def has_lost_leadership(self, entry: TargetAnnouncement) -> bool:
-        """Say whether the primary itself says that it does not lead, or holds less.
+        """Return whether the target reports a lost role or missing data.
 
-        Without an answer that is asked again at the next sign.
+        Without a reply, it is queried again at the next indication.
         """
         self.questioned = False
         status = await self.states.status(entry)
@@ -216,7 +217,7 @@
         return not (status.is_primary and holds)
 
     def mark_usable(self) -> None:
-        """Let statements through to the primary."""
+        """Admit statements to the primary again."""
         if not self.ready.is_set():
             self.decisions.record(
                 "primary_usable", service=self.service, primary=self.record.primary
@@ -224,7 +225,7 @@
             self.ready.set()
 
     def is_gone(self, target: str) -> bool:
-        """Say whether a target that announces itself no more has left."""
+        """Return whether a target has stopped announcing itself for good."""
         now = self.clock.boottime()
         announced = self.announcements
         if (
@@ -235,7 +236,7 @@
         return now - announced.missing_since.get(target, now) >= GONE_AFTER_SECONDS
 
     async def is_responding(self, home: SessionTargetHome) -> bool:
-        """Ask the primary for a sign of life, unless all connections are in use."""
+        """Return whether the primary replies; False if all connections are in use."""
         if home.connections.exhausted():
             return False
         try:
@@ -246,34 +247,34 @@
         return True
 
     def mark_doubtful(self) -> None:
-        """Let statements wait, and be refused soon, until more is known."""
+        """Hold statements back until the state of the primary is known."""
         if self.ready.is_set():
             self.doubted_at = self.clock.monotonic()
             self.ready.clear()
 
     async def diagnose_primary(self, entry: TargetAnnouncement) -> PrimaryProbeResult:
-        """Look for a target on a new connection, by others, and for the store."""
-        reached, sightings, stored = await asyncio.gather(
+        """Probe the primary on a new connection and from other hosts, and the store."""
+        reachable, observations, store_reachable = await asyncio.gather(
             self.states.is_reachable(entry),
             self.indirect_prober.probe(entry),
             self.claim.refresh(),
         )
-        return PrimaryProbeResult(entry, reached, sightings, stored)
+        return PrimaryProbeResult(entry, reachable, observations, store_reachable)
 
     async def handle_probe_result(self, probe_result: PrimaryProbeResult) -> None:
-        """Go on with a primary in doubt, pass the lead on, or replace it."""
+        """Resume the primary, transfer the lease, or replace the primary."""
         if probe_result.reachable:
             self.mark_usable()
             return
-        witness = probe_result.reaching_host
-        if witness is not None:
+        reaching_host = probe_result.reaching_host
+        if reaching_host is not None:
             self.decisions.record(
                 "primary_reached_by_other",
                 service=self.service,
                 primary=probe_result.entry.target,
-                host=witness.host,
+                host=reaching_host.host,
             )
-            await self.indirect_prober.transfer_lease(self.service, witness)
+            await self.indirect_prober.transfer_lease(self.service, reaching_host)
             return
         if not probe_result.store_reachable and not await self.wait_for_store(
             probe_result
@@ -282,11 +283,12 @@
         await self.change("unreachable", probe_result.entry, planned=False)
 
     async def wait_for_store(self, probe_result: PrimaryProbeResult) -> bool:
-        """Pass the lead on to who reaches the store; else wait for it a little.
+        """Transfer the lease to a host that reaches the store, or wait for the store.
+
+        A promotion requires a write to the store. The diagnosis of the primary is
+        reused after the wait, since a new one would delay the promotion.
 
-        Without the store no promotion can be written down from here. What was
-        found of the primary holds for as long: asking anew takes 0.45 s, by
-        which writes would flow later once the store is back.
+        :returns: whether this host reaches the store and still holds the lease.
         """
         if await self.indirect_prober.transfer_lease_to_any(
             self.service, probe_result.observations
@@ -299,11 +301,11 @@
         return False
 
     async def find_primary(self) -> None:
-        """Find out who leads, and use it; act on a primary that is not found.
+        """Find the primary and use it, or handle its loss.
 
-        The primary in the record is used as soon as it says that it leads: no
-        other can, since a promotion stands in the record before it is ordered.
-        To wait for targets of a zone that is cut off would cost 0.45 s.
+        The recorded primary is used as soon as it reports its role, without waiting
+        for unreachable targets: there can be no other one, since a promotion is
+        recorded before it is ordered.
         """
         known = self.states.last_entry(self.record.primary)
         survey = asyncio.ensure_future(self.survey(known))
@@ -321,7 +323,7 @@
     ) -> tuple[
         list[tuple[TargetAnnouncement, SessionTargetStatus]], PrimaryProbeResult | None
     ]:
-        """Ask all targets of the service, and others for the primary if known."""
+        """Query all targets of the service, and diagnose the known primary."""
         entries = self.states.announced(self.service)
         if known is None:
             return await self.states.all(entries), None
@@ -334,28 +336,31 @@
     async def choose(
         self,
         found: list[tuple[TargetAnnouncement, SessionTargetStatus]],
-        finding: PrimaryProbeResult | None,
+        probe_result: PrimaryProbeResult | None,
     ) -> None:
-        """Use the target that leads, or act on a primary that gives no answer."""
-        leading = [pair for pair in found if pair[1].is_primary]
-        if leading:
-            entry, status = max(leading, key=lambda pair: pair[1].term)
+        """Use the target that is primary, or handle a primary that does not reply."""
+        primaries = [pair for pair in found if pair[1].is_primary]
+        if primaries:
+            entry, status = max(primaries, key=lambda pair: pair[1].term)
             if await self.use_if_leading(entry, status):
                 return
-        if finding is None:
+        if probe_result is None:
             return
         self.mark_doubtful()
-        if any(entry.target == finding.entry.target for entry, _ in found):
-            # It answers, and says that it does not lead: no other was promoted, so
-            # that it has started again and holds nothing.
-            await self.change("leads no more", finding.entry, planned=False)
+        if any(entry.target == probe_result.entry.target for entry, _ in found):
+            # It replies but is not primary. No other target was promoted, so its
+            # process has restarted without data.
+            await self.change("leads no more", probe_result.entry, planned=False)
             return
-        await self.handle_probe_result(finding)
+        await self.handle_probe_result(probe_result)
 
     async def use_if_leading(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> bool:
-        """Use a target unless another one leads, or it has started again since."""
+        """Use a target if it is the primary of the current term.
+
+        A restarted process of the recorded primary is not used.
+        """
         record = self.record
         if not status.is_primary or status.term < record.term:
             return False
@@ -369,17 +374,21 @@
     async def established(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> None:
-        """Use the target that leads by its own word, of the highest term."""
+        """Record a target as the primary if necessary, and use it."""
         record = self.record
-        stands = (record.primary, record.term, record.primary_started_at_ms)
-        if stands != (entry.target, status.term, entry.started_at_ms):
+        recorded = (record.primary, record.term, record.primary_started_at_ms)
+        if recorded != (entry.target, status.term, entry.started_at_ms):
             await self.claim.write(record.with_primary(entry, status.term))
         self.use_primary(entry, status)
 
     # Change of primary
 
     async def change(self, cause: str, old: TargetAnnouncement, planned: bool) -> None:
-        """Have another target promoted."""
+        """Replace the primary.
+
+        :param cause: recorded with the decision.
+        :param planned: whether the old primary still serves and is drained first.
+        """
         self.ready.clear()
         if planned and self.home is not None:
             await self.until_quiet(self.home, DRAIN_TIMEOUT_SECONDS)
@@ -392,21 +401,21 @@
         return bool(self.record.successor) or super().expects_primary()
 
     async def finish(self) -> None:
-        """Have the promotion that was decided ordered, and use the new primary."""
+        """Order the recorded promotion, and use the new primary."""
         self.ready.clear()
         home, self.home = self.home, None
         if home is not None:
-            # Reads in progress are sent anew; writes are in doubt for good.
+            # Reads in progress are retried; the outcome of writes remains unknown.
             await home.close()
         promoted = await self.promotion.execute(lambda: not self.draining)
         if promoted is None:
             return
         self.use_primary(promoted.entry, promoted.status)
-        # The store learns of it as soon as it answers.
+        # If this write fails, `check_once` repeats it.
         await self.claim.write(self.record)
 
     async def demote_false_primaries(self) -> None:
-        """Tell targets that wrongly believe to lead that they do not."""
+        """Demote targets that wrongly claim to be primary."""
         now = self.clock.monotonic()
         if now - self.demoted_at < DEMOTE_INTERVAL_SECONDS or not self.ready.is_set():
             return
@@ -416,7 +425,7 @@
                 await self.demote(entry)
 
     async def demote(self, entry: TargetAnnouncement) -> None:
-        """Make a former primary a replica."""
+        """Turn a former primary into a replica."""
         try:
             connection = await self.driver.connect(entry, STATUS_TIMEOUT_SECONDS)
         except SessionTargetUnreachableError:
@@ -434,13 +443,13 @@
         finally:
             connection.close()
 
-    # This host's place
+    # Placement of the lease
 
     async def check_placement(self, home: SessionTargetHome) -> None:
-        """Pass the lead on to a host that is placed better, or name a deputy."""
-        deputy = self.record.backup_holder
-        if deputy is not None:
-            self.others.failure_detector.probe_if_due(deputy.ref)
+        """Transfer the lease to a better placed host, or update the backup holder."""
+        backup_holder = self.record.backup_holder
+        if backup_holder is not None:
+            self.others.failure_detector.probe_if_due(backup_holder.ref)
         now = self.clock.monotonic()
         if now - self.deputized_at < PLACEMENT_INTERVAL_SECONDS:
             return
--- a/src/reedhook/process/primary_lease/lease_manager.py
+++ b/src/reedhook/process/primary_lease/lease_manager.py
@@ -1,4 +1,4 @@
-"""The leads of services: which this host holds, and which it takes over."""
+"""Primary leases of this host: holding, claiming and transferring them."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,32 +36,30 @@
 CLAIM_LOST_PATH: Final = "take_lost"
 
 MAX_CLAIM_REQUESTS: Final = 4
-"""Hosts that are asked in turn to take a lead that this one cannot take."""
+"""Hosts asked in turn to claim a lease that this host cannot claim."""
 
 CHECK_INTERVAL_SECONDS: Final = 0.2
-"""Seconds between two looks at who holds the leads."""
 
 MEMBERSHIP_STABLE_SECONDS: Final = 0.3
-"""Seconds for which the known hosts must stay the same, so that those that
-start together agree on who takes a lead."""
+"""Time without membership changes before a first claim, so that hosts starting
+together agree on the holder."""
 
 CLAIM_RETRY_SECONDS: Final = 0.3
-"""Seconds until a lead that could not be taken is tried for again."""
 
 RELEASE_WAIT_SECONDS: Final = 0.25
-"""Seconds for which the answer to a successor waits for this host to let go; half
-of what the successor waits for the answer. Asked again, it would cost 0.5 s."""
+"""Half of STOP_CONFIRMATION_TIMEOUT_SECONDS, the successor's timeout for the
+response."""
 
 DRAIN_TIMEOUT_SECONDS: Final = 2.0
-"""Seconds for which transactions may end on a lead that has moved."""
+"""Time for open transactions to end on a lease that another host has claimed."""
 
 
 class PrimaryLeaseManager:
-    """Hold leads, take over those that nobody holds, pass them on.
+    """Hold leases, claim vacant ones, and transfer them to other hosts.
 
-    :ivar held: leads of this host, by service.
-    :ivar releasing: what lets leads go that have moved, by service.
-    :ivar holder_incarnations: life of the last known holder, by service.
+    :ivar held: leases of this host, by service.
+    :ivar releasing: tasks that release leases claimed by other hosts, by service.
+    :ivar holder_incarnations: incarnation of the last known holder, by service.
     """
 
     def __init__(
@@ -103,11 +101,11 @@
         self.wake = asyncio.Event()
         registry.on_change.append(self.handle_record)
         announcements.on_targets.append(self.wake.set)
-        # A holder that was lost is replaced 0.1 s sooner than at the next look.
+        # Claim the lease of a lost holder without waiting for the next check.
         failure_detector.on_lost = self.wake.set
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handlers of this host."""
+        """Add the peer handlers."""
         routes.add(LEASE_STATUS_PATH, self.handle_lease_status)
         routes.add(CLAIM_PATH, self.handle_claim)
         routes.add(CLAIM_LOST_PATH, self.handle_claim_lost)
@@ -115,9 +113,9 @@
         routes.add(INCARNATION_PATH, self.handle_incarnation)
 
     async def handle_lease_status(self, body: Json) -> Json:
-        """Say whether this host may still use the primary of a service.
+        """Report whether this host may still use the primary of a service.
 
-        A deputy gives its word not to act by the record that the holder has.
+        A backup holder gives up the records up to the requested revision.
         """
         records = body.get("records")
         if isinstance(records, dict):
@@ -133,39 +131,40 @@
         }
 
     async def has_released(self, service: str) -> bool:
-        """Say whether this host holds a lead no more, which may be due soon."""
-        giving_up = self.releasing.get(service)
-        if giving_up is not None:
-            await asyncio.wait({giving_up}, timeout=RELEASE_WAIT_SECONDS)
+        """Return whether the lease is released, after a short wait if it is due."""
+        release_task = self.releasing.get(service)
+        if release_task is not None:
+            await asyncio.wait({release_task}, timeout=RELEASE_WAIT_SECONDS)
         return service not in self.held
 
     async def handle_incarnation(self, body: Json) -> Json:
-        """Say which life of its process this host is in."""
+        """Report the incarnation of this host."""
         return {"life": self.me.incarnation}
 
     async def handle_claim(self, body: Json) -> Json:
-        """Take a lead over at the wish of its holder.
+        """Claim a lease at the request of its holder.
 
-        :raises Refusal: if this host ends itself.
+        :raises RefusalError: if this host is shutting down.
         """
         if self.leaving:
-            raise not_run(RefusalReason.DRAINING, "this host ends itself")
+            raise not_run(RefusalReason.DRAINING, "this host is shutting down")
         if not self.announcements.store_reached:
-            # Said at once: who asks goes on to the next host, or tries the
-            # store anew, in place of waiting for a call that fails.
+            # Fail fast, so that the holder asks another host or retries the store.
             return {"taken": False}
         service = string_field(body, "service")
-        alone = body.get("alone") is True
+        no_former_holders = body.get("alone") is True
         return {
-            "taken": await self.claim(service, requested=True, no_former_holders=alone)
+            "taken": await self.claim(
+                service, requested=True, no_former_holders=no_former_holders
+            )
         }
 
     async def answer_records(self, body: Json) -> Json:
-        """Return what is known of the leads."""
+        """Report the known lease records."""
         return {"records": self.registry.to_json()}
 
     async def run(self) -> None:
-        """Take over what nobody holds, until cancelled."""
+        """Claim vacant leases until cancelled."""
         while True:
             await self.wait_for_change()
             if self.leaving:
@@ -178,23 +177,23 @@
                 await self.backup_holders.set_holder_lost(service, lost)
 
     def primary_client(self, service: str) -> PrimaryClient | None:
-        """Return what uses the primary of a service here, or None."""
-        lead = self.held.get(service)
-        return self.backup_holders.active_holder(service) if lead is None else lead
+        """Return the client that uses the primary of a service here, or None."""
+        holder = self.held.get(service)
+        return self.backup_holders.active_holder(service) if holder is None else holder
 
     async def wait_for_change(self) -> None:
-        """Wait for news of a lead or a target, or for the next look."""
+        """Wait for a change of a lease or a target, or for the next check."""
         try:
             async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                 await self.wake.wait()
         except TimeoutError:
-            # Nothing was heard; it is time to look all the same.
+            # Time for the periodic check.
             return
         finally:
             self.wake.clear()
 
     def monitor_holder(self, service: str) -> None:
-        """Ask after the holder of a lead, if this host stands by for it."""
+        """Probe the holder of a lease if this host is one of its standbys."""
         record = self.registry.get(service)
         if record is None or service in self.held:
             return
@@ -204,7 +203,7 @@
             self.failure_detector.probe_if_due(record.holder.ref)
 
     def should_claim(self, service: str) -> bool:
-        """Say whether this host is to take a lead now."""
+        """Return whether this host should claim the lease of a service now."""
         now = self.clock.monotonic()
         if service in self.held:
             return False
@@ -214,7 +213,7 @@
             return False
         record = self.registry.get(service)
         if record is not None and record.holder.ref.host == self.me.ref.host:
-            # Others see this host live and leave the lead to it.
+            # Other hosts see this one alive and do not claim the lease.
             return True
         if record is None:
             if now - self.table.changed_at < MEMBERSHIP_STABLE_SECONDS:
@@ -223,10 +222,10 @@
         return self.me.ref in self.ranking.standbys(service, record.holder.ref)
 
     def is_claimable(self, service: str) -> bool:
-        """Say whether nobody who lives holds the lead of a service.
+        """Return whether the lease of a service has no live holder.
 
-        A holder counts as lost once it was asked for in vain; what membership
-        says may come from hosts that were cut off themselves.
+        A holder is lost only if probes from here failed: membership reports may come
+        from hosts that are partitioned themselves.
         """
         record = self.registry.get(service)
         if record is None:
@@ -236,17 +235,18 @@
         return self.failure_detector.is_lost(record.holder.ref)
 
     def is_announced(self, service: str) -> bool:
-        """Say whether there is a target that leads, or led."""
+        """Return whether the service has a current or former primary."""
         return bool(self.ranking.primary_zone(service))
 
     async def claim(
         self, service: str, requested: bool, no_former_holders: bool = False
     ) -> bool:
-        """Take the lead of a service; return whether this host holds it.
+        """Claim the lease of a service; return whether this host holds it.
 
-        :param requested: whether its holder wants that, so that it need not be
-            vacant.
-        :param no_former_holders: whether the holder says that no earlier one is left.
+        :param requested: whether the holder requests it, so that the lease need not
+            be vacant.
+        :param no_former_holders: whether the holder states that no earlier holder
+            can still use the primary.
         """
         if service in self.held:
             return True
@@ -268,7 +268,7 @@
             self.claiming.discard(service)
 
     async def request_claim_by_others(self, service: str) -> None:
-        """Have a host take a lead over that this one cannot take at the store."""
+        """Have another host claim a lease because the store is unreachable here."""
         record = self.registry.get(service)
         if record is None:
             return
@@ -289,7 +289,7 @@
                 return
 
     async def handle_claim_lost(self, body: Json) -> Json:
-        """Take a lead over if its holder is found lost from here, too."""
+        """Claim a lease if its holder is lost from here, too."""
         service = string_field(body, "service")
         record = self.registry.get(service)
         if self.leaving or record is None or not self.announcements.store_reached:
@@ -304,9 +304,9 @@
     async def claim_at_store(
         self, service: str, requested: bool, no_former_holders: bool
     ) -> bool:
-        """Write this host into the record as it stands in the store.
+        """Write this host as the holder into the stored record.
 
-        :raises KeyspaceError: if the store gives no answer.
+        :raises KeyValueStoreError: if the store does not respond.
         """
         key = lease_key(service)
         item = await self.keyspace.get(key, STORE_TIMEOUT_SECONDS)
@@ -319,81 +319,83 @@
                 record = record.claimed_by(self.me, no_former_holders)
         else:
             record = PrimaryLeaseRecord(service, self.me, None, [], True, "", 0, "", 0)
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         revision = await self.keyspace.put(
             key, record.encoded(), record.revision, STORE_TIMEOUT_SECONDS
         )
-        self.start_holding(record.with_revision(revision), asked)
+        self.start_holding(record.with_revision(revision), requested_at)
         return True
 
     def start_holding(self, record: PrimaryLeaseRecord, requested_at: float) -> None:
-        """Hold a lead from now on."""
+        """Start to use the primary under a claimed lease."""
         self.decisions.record(
             "lead_taken",
             service=record.service,
             revision=record.revision,
             former=[one.ref.host for one in record.former],
         )
-        lead = self.make_lease_holder(record, requested_at)
-        self.held[record.service] = lead
+        holder = self.make_lease_holder(record, requested_at)
+        self.held[record.service] = holder
         self.registry.update(record, "own")
-        lead.start()
+        holder.start()
 
     def handle_record(self, record: PrimaryLeaseRecord) -> None:
-        """Act on news of who holds a lead.
+        """Process a new lease record.
 
-        A holder in a new life was not the one that was found lost: taking the
-        lead from it would cost its callers another change of home.
+        A new incarnation of the holder is not the process that was found lost.
+        Claiming its lease would only move its callers to another home.
         """
         self.wake.set()
         if self.holder_incarnations.get(record.service) != record.holder.incarnation:
             self.holder_incarnations[record.service] = record.holder.incarnation
             self.failure_detector.clear_lost(record.holder.ref)
         self.backup_holders.handle_record(record)
-        lead = self.held.get(record.service)
-        if lead is None or record.holder == self.me or lead.draining:
+        holder = self.held.get(record.service)
+        if holder is None or record.holder == self.me or holder.draining:
             return
-        if record.revision > lead.record.revision:
-            self.spawn_give_up(lead)
+        if record.revision > holder.record.revision:
+            self.spawn_give_up(holder)
 
     def spawn_give_up(self, lead: PrimaryLeaseHolder) -> None:
-        """Let go of a lead in the background."""
+        """Release a lease in the background."""
         lead.draining = True
         self.releasing[lead.service] = self.background.spawn(self.release(lead))
 
     async def release(self, lead: PrimaryLeaseHolder) -> None:
-        """Let go of a lead once its transactions have ended."""
+        """Release a lease once its transactions have ended."""
         await lead.release(DRAIN_TIMEOUT_SECONDS)
         self.releasing.pop(lead.service, None)
         if self.held.get(lead.service) is lead:
             del self.held[lead.service]
 
     async def transfer_all(self) -> None:
-        """Have others take all leads over, as this host ends."""
+        """Transfer all leases to other hosts before this host shuts down."""
         self.leaving = True
         await self.backup_holders.close()
         await asyncio.gather(*(self.transfer(one) for one in list(self.held)))
 
     async def transfer(self, service: str) -> None:
-        """Have the next in rank take one lead over."""
+        """Transfer one lease to the next host in rank."""
         for host in self.ranking.ranked(service):
             if host.host == self.me.ref.host:
                 continue
-            lead = self.held.get(service)
-            alone = lead is not None and lead.others.former_expired()
-            if await self.indirect_prober.transfer_lease(service, host, alone):
+            holder = self.held.get(service)
+            no_former_holders = holder is not None and holder.others.former_expired()
+            if await self.indirect_prober.transfer_lease(
+                service, host, no_former_holders
+            ):
                 self.decisions.record("lead_passed_on", service=service, to=host.host)
                 break
-        lead = self.held.get(service)
-        if lead is not None and not lead.draining:
-            self.spawn_give_up(lead)
+        holder = self.held.get(service)
+        if holder is not None and not holder.draining:
+            self.spawn_give_up(holder)
 
     async def close(self) -> None:
-        """Use no primary any more."""
+        """Stop using all primaries."""
         await self.backup_holders.close()
-        for lead in list(self.held.values()):
-            lead.stop()
-            lead.validity.revoke()
-            if lead.home is not None:
-                await lead.home.close()
+        for holder in list(self.held.values()):
+            holder.stop()
+            holder.validity.revoke()
+            if holder.home is not None:
+                await holder.home.close()
         self.held.clear()
--- a/src/reedhook/process/primary_lease/lease_record.py
+++ b/src/reedhook/process/primary_lease/lease_record.py
@@ -1,4 +1,4 @@
-"""What the store holds on the lead of a service, and on the promotion duty."""
+"""Store records of primary leases and of the promotion coordinator."""
 
 from typing import Final
 
@@ -13,13 +13,13 @@
 PROMOTION_COORDINATOR_KEY: Final = f"{SYSTEM_KEY_PREFIX}duty"
 
 MAX_FORMER_HOLDERS: Final = 6
-"""Former holders that are named; with more the successor waits them all out."""
+"""With more than this, the next holder waits until all their leases expire."""
 
 
 class HostIncarnation(Record):
-    """Name one life of the process of a host.
+    """Identify one run of a host's process.
 
-    :param incarnation: chosen at random at the start of the process.
+    :param incarnation: random ID generated when the process starts.
     """
 
     __slots__ = ("ref", "incarnation")
@@ -29,32 +29,35 @@
         self.incarnation = incarnation
 
     def to_json(self) -> Json:
-        """Return the holder as it stands in the store."""
+        """Return the stored form."""
         return {"ref": self.ref.to_json(), "life": self.incarnation}
 
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "HostIncarnation":
-        """Read a holder from the store."""
+        """Decode the stored form.
+
+        :raises WireError: if it is malformed.
+        """
         return cls(HostRef.from_json(message["ref"]), message["life"])
 
 
 class PrimaryLeaseRecord(Record):
-    """Say who may use the primary of a service.
-
-    :param backup_holder: stands in for the holder, but for promotions, while the
-        holder is lost and the store gives no answer.
-    :param former: earlier holders that may still believe to be allowed.
-    :param former_complete: whether `former` names all of them.
-    :param primary: the target that leads; empty if it was never known.
-    :param term: its term.
-    :param primary_started_at_ms: when its process started; see `TargetEntry`. Another
-        process
-        under its id holds nothing and is not the primary.
-    :param successor: the target whose promotion was decided; it may take
-        effect at any time from then on.
-    :param successor_started_at_ms: when the process that was chosen started.
-    :param revision: of the item in the store.
+    """Name the host that may use the primary of a service.
+
+    :param backup_holder: may use the primary, but not replace it, while the holder
+        is lost and the store does not respond.
+    :param former: earlier holders whose leases may still be valid.
+    :param former_complete: whether `former` lists all such holders.
+    :param primary: the current primary; empty if it was never known.
+    :param term: term of the primary.
+    :param primary_started_at_ms: start time of its process; see
+        `TargetAnnouncement`. A process started later under the same ID holds no
+        data and is not the primary.
+    :param successor: the target chosen for promotion, or empty. The promotion may
+        take effect at any time after this record is written.
+    :param successor_started_at_ms: start time of the successor's process.
+    :param revision: revision of the item in the store.
     """
 
     __slots__ = (
@@ -100,11 +103,10 @@
     def claimed_by(
         self, holder: HostIncarnation, no_former_holders: bool = False
     ) -> "PrimaryLeaseRecord":
-        """Return the record with which `holder` takes the lead over.
+        """Return the record that transfers the lease to `holder`.
 
-        :param no_former_holders: whether the present holder says that no earlier one
-            can
-            still use the primary.
+        :param no_former_holders: whether the present holder states that no earlier
+            holder can still use the primary.
         """
         former = [] if no_former_holders else list(self.former)
         former += (
@@ -112,67 +114,67 @@
             if self.backup_holder is None
             else [self.holder, self.backup_holder]
         )
-        found = self.copy()
-        found.holder = holder
-        found.backup_holder = None
-        found.former_complete = no_former_holders or self.former_complete
-        found.set_former([one for one in former if not is_superseded(one, holder)])
-        return found
+        claimed = self.copy()
+        claimed.holder = holder
+        claimed.backup_holder = None
+        claimed.former_complete = no_former_holders or self.former_complete
+        claimed.set_former([one for one in former if not is_superseded(one, holder)])
+        return claimed
 
     def with_backup_holder(
         self, backup_holder: HostIncarnation | None
     ) -> "PrimaryLeaseRecord":
-        """Return the record with another deputy, or with none."""
-        found = self.copy()
-        found.backup_holder = backup_holder
+        """Return the record with another backup holder, or without one."""
+        updated = self.copy()
+        updated.backup_holder = backup_holder
         if self.backup_holder is not None:
             if backup_holder is None or not is_superseded(
                 self.backup_holder, backup_holder
             ):
-                found.set_former([*self.former, self.backup_holder])
-        return found
+                updated.set_former([*self.former, self.backup_holder])
+        return updated
 
     def without_former(self) -> "PrimaryLeaseRecord":
-        """Return the record once no earlier holder can use the primary."""
-        found = self.copy()
-        found.former = []
-        found.former_complete = True
-        return found
+        """Return the record without former holders."""
+        updated = self.copy()
+        updated.former = []
+        updated.former_complete = True
+        return updated
 
     def with_primary(
         self, primary: TargetAnnouncement, term: int
     ) -> "PrimaryLeaseRecord":
-        """Return the record with the target that leads now."""
-        found = self.copy()
-        found.primary, found.primary_started_at_ms, found.term = (
+        """Return the record with a new primary and without a successor."""
+        updated = self.copy()
+        updated.primary, updated.primary_started_at_ms, updated.term = (
             primary.target,
             primary.started_at_ms,
             term,
         )
-        found.successor, found.successor_started_at_ms = "", 0
-        return found
+        updated.successor, updated.successor_started_at_ms = "", 0
+        return updated
 
     def with_successor(self, successor: TargetAnnouncement) -> "PrimaryLeaseRecord":
-        """Return the record with the target that is to lead."""
-        found = self.copy()
-        found.successor = successor.target
-        found.successor_started_at_ms = successor.started_at_ms
-        return found
+        """Return the record with the target to be promoted."""
+        updated = self.copy()
+        updated.successor = successor.target
+        updated.successor_started_at_ms = successor.started_at_ms
+        return updated
 
     def with_primary_of(self, other: "PrimaryLeaseRecord") -> "PrimaryLeaseRecord":
-        """Return the record with what another one says of the primary."""
-        found = self.copy()
-        found.primary, found.primary_started_at_ms, found.term = (
+        """Return the record with primary, term and successor of another one."""
+        updated = self.copy()
+        updated.primary, updated.primary_started_at_ms, updated.term = (
             other.primary,
             other.primary_started_at_ms,
             other.term,
         )
-        found.successor = other.successor
-        found.successor_started_at_ms = other.successor_started_at_ms
-        return found
+        updated.successor = other.successor
+        updated.successor_started_at_ms = other.successor_started_at_ms
+        return updated
 
     def set_former(self, former: list[HostIncarnation]) -> None:
-        """Name earlier holders, each once; too many are not named."""
+        """Set the former holders, without duplicates; keep only the latest ones."""
         unique = list(dict.fromkeys(former))
         self.former_complete = (
             self.former_complete and len(unique) <= MAX_FORMER_HOLDERS
@@ -180,17 +182,17 @@
         self.former = unique[-MAX_FORMER_HOLDERS:]
 
     def copy(self) -> "PrimaryLeaseRecord":
-        """Return a record that may be changed."""
+        """Return a shallow copy."""
         return PrimaryLeaseRecord(*self.values())
 
     def with_revision(self, revision: int) -> "PrimaryLeaseRecord":
-        """Return the record as it stands in the store at `revision`."""
-        found = self.copy()
-        found.revision = revision
-        return found
+        """Return the record with its revision in the store."""
+        updated = self.copy()
+        updated.revision = revision
+        return updated
 
     def to_json(self) -> Json:
-        """Return the record as it stands in the store."""
+        """Return the stored form."""
         return {
             "holder": self.holder.to_json(),
             "deputy": (
@@ -206,7 +208,7 @@
         }
 
     def encoded(self) -> bytes:
-        """Return the value that stands in the store."""
+        """Return the encoded value for the store."""
         return encode(self.to_json())
 
     @classmethod
@@ -214,12 +216,15 @@
     def from_json(
         cls, service: str, message: Json, revision: int
     ) -> "PrimaryLeaseRecord":
-        """Read a record."""
-        deputy = message["deputy"]
+        """Decode the stored form.
+
+        :raises WireError: if it is malformed.
+        """
+        backup_holder = message["deputy"]
         return cls(
             service,
             HostIncarnation.from_json(message["holder"]),
-            None if deputy is None else HostIncarnation.from_json(deputy),
+            None if backup_holder is None else HostIncarnation.from_json(backup_holder),
             [HostIncarnation.from_json(one) for one in message["former"]],
             bool(message["complete"]),
             message["primary"],
@@ -232,7 +237,7 @@
 
     @classmethod
     def from_item(cls, item: Item) -> "PrimaryLeaseRecord":
-        """Read a record from the store.
+        """Decode an item of the store.
 
         :raises WireError: if it is malformed.
         """
@@ -241,10 +246,10 @@
 
 
 def is_superseded(old: HostIncarnation, new: HostIncarnation) -> bool:
-    """Say whether the life of `new` proves that of `old` over."""
+    """Return whether `new` is on the same host, so that `old` has ended."""
     return old.ref.host == new.ref.host
 
 
 def lease_key(service: str) -> str:
-    """Return the key of the record of a service."""
+    """Return the store key of the lease record of a service."""
     return LEASE_KEY_PREFIX + service
--- a/src/reedhook/process/primary_lease/lease_registry.py
+++ b/src/reedhook/process/primary_lease/lease_registry.py
@@ -1,4 +1,4 @@
-"""The newest lead records that this host has heard of."""
+"""Latest known lease record of each service."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
 
 
 class PrimaryLeaseRegistry:
-    """Keep the newest record of each service, from the store or other hosts.
+    """Keep the latest record of each service, from the store or other hosts.
 
-    :ivar on_change: called with each record that is news.
+    :ivar on_change: callbacks that receive each new or newer record.
     """
 
     def __init__(self, announcements: Announcements, decisions: DecisionLog) -> None:
@@ -22,7 +22,7 @@
         announcements.on_host_item.append(self.handle_item)
 
     def handle_item(self, item: Item) -> None:
-        """Take over what the store tells."""
+        """Process a changed item of the store; ignore other keys."""
         if not item.key.startswith(LEASE_KEY_PREFIX) or item.value is None:
             return
         try:
@@ -31,7 +31,7 @@
             self.decisions.record("item_malformed", key=item.key, error=str(error))
 
     def update(self, record: PrimaryLeaseRecord, source: str) -> bool:
-        """Keep a record if it is newer; return whether it is."""
+        """Keep a record if it is newer than the known one; return whether it is."""
         known = self.records.get(record.service)
         if known is not None and known.revision >= record.revision:
             return False
@@ -52,24 +52,24 @@
         return True
 
     def get(self, service: str) -> PrimaryLeaseRecord | None:
-        """Return the newest record that is known."""
+        """Return the latest known record of a service, or None."""
         return self.records.get(service)
 
     def to_json(self) -> Json:
-        """Return all records for another host."""
+        """Return all records in the form sent to other hosts."""
         return {
             service: [record.revision, record.to_json()]
             for service, record in self.records.items()
         }
 
     def merge(self, message: Json, source: str) -> None:
-        """Take over what another host knows.
+        """Merge the records received from another host.
 
         :raises WireError: if it is malformed.
         """
         for service, pair in message.items():
             if not isinstance(pair, list) or len(pair) != 2:
-                raise WireError("a revision and a record are expected")
+                raise WireError("lease entry is not a [revision, record] pair")
             self.update(
                 PrimaryLeaseRecord.from_json(service, pair[1], int(pair[0])), source
             )
--- a/src/reedhook/process/primary_lease/lease_validity.py
+++ b/src/reedhook/process/primary_lease/lease_validity.py
@@ -1,4 +1,4 @@
-"""The permission to use a primary, which ends by itself unless it is renewed."""
+"""Expiry of a primary lease, which must be renewed from the store."""
 
 from typing import Final
 
@@ -6,26 +6,23 @@
 from ...request.refusal import RefusalReason, not_run
 
 LEASE_VALIDITY_SECONDS: Final = 12.0
-"""Seconds for which a look at the store permits the use of a primary. Longer
-than the store is silent for at a time (9 s) with a renewal before; a successor
-that gets no word from its predecessor waits as long before it promotes."""
+"""Longer than a store outage of 9 s plus a renewal interval. A new holder waits as
+long before a promotion if its predecessor does not confirm that it has stopped."""
 
 RENEWAL_INTERVAL_SECONDS: Final = 2.5
-"""Seconds between two looks; each is one reading call."""
 
 EXPIRY_MARGIN_SECONDS: Final = 0.5
-"""Seconds by which a successor waits longer, for statements on their way."""
+"""Extra wait of a new holder, for statements still in flight."""
 
 RETRY_MS: Final = 100
-"""When to come back to a host that lost its permission, in milliseconds."""
 
 
 class LeaseValidity:
-    """Keep until when this host may use a primary, by `Clock.elapsed`.
+    """Track until when this host may use a primary, as a `Clock.boottime` time.
 
-    The look that permits it was sent at a moment when the record named this
-    host; whoever takes the record over later does not promote before the time
-    is over, or this host has said that it has stopped.
+    The lease counts from when the read that found this host named was sent. A host
+    that claims the record later promotes no target until that lease has expired or
+    this host has confirmed that it stopped.
     """
 
     __slots__ = ("clock", "expires_at", "revoked")
@@ -36,26 +33,26 @@
         self.revoked = False
 
     def extend(self, requested_at: float) -> None:
-        """Take note that a question sent at `asked` found this host named."""
+        """Extend the lease after a request sent at `requested_at` confirmed it."""
         if not self.revoked:
             self.expires_at = max(
                 self.expires_at, requested_at + LEASE_VALIDITY_SECONDS
             )
 
     def revoke(self) -> None:
-        """Give the permission up for good, whatever a later look finds."""
+        """End the lease permanently; later extensions have no effect."""
         self.revoked = True
         self.expires_at = float("-inf")
 
     @property
     def valid(self) -> bool:
-        """Say whether the primary may be used right now."""
+        """Return whether the lease is valid now."""
         return self.clock.boottime() < self.expires_at
 
     def check(self) -> None:
-        """Raise unless the primary may be used right now.
+        """Check that the lease is valid now.
 
-        :raises Refusal: not run.
+        :raises RefusalError: if it has expired; nothing ran.
         """
         if not self.valid:
             raise not_run(
--- a/src/reedhook/process/primary_lease/other_holders.py
+++ b/src/reedhook/process/primary_lease/other_holders.py
@@ -1,4 +1,4 @@
-"""Who else may still use the primary of a service, as its holder knows it."""
+"""Other hosts that may still use the primary of a service, seen from its holder."""
 
 import asyncio
 from typing import Final
@@ -15,18 +15,18 @@
 from .lease_validity import EXPIRY_MARGIN_SECONDS, LEASE_VALIDITY_SECONDS
 
 STOP_CONFIRMATION_TIMEOUT_SECONDS: Final = 0.5
-"""Seconds in which a former holder says that it has stopped."""
+"""Timeout for a former holder to confirm that it has stopped."""
 
 LEASE_STATUS_PATH: Final = "lead"
 INCARNATION_PATH: Final = "life"
 
 
 class OtherHolders:
-    """Name the deputy, and have former holders and deputies stop.
+    """Choose the backup holder, and stop former holders and the backup holder.
 
-    :ivar former_at: when somebody last became a former holder.
-    :ivar stopped_incarnations: lives of former holders that have said that they
-        stopped.
+    :ivar former_at: `Clock.boottime` when the latest host became a former holder.
+    :ivar stopped_incarnations: incarnations of former holders that have confirmed that
+        they stopped.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
     async def stop_all(self) -> bool:
         """Have all others stop; return whether none can use the primary.
 
-        The deputy may do so at any time and is always asked.
+        The backup holder may become active at any time, so it is always asked.
         """
         record = self.claim.record
         asked = [
@@ -63,24 +63,26 @@
             asked = []
         elif not record.former_complete:
             return False
-        deputy = record.backup_holder
-        if deputy is not None:
-            asked.append(deputy)
-        words = await asyncio.gather(*(self.confirm_stopped(one) for one in asked))
-        if deputy is not None and not words[-1]:
-            # It cannot be told apart from one that acts until its time is over.
+        backup = record.backup_holder
+        if backup is not None:
+            asked.append(backup)
+        confirmations = await asyncio.gather(
+            *(self.confirm_stopped(one) for one in asked)
+        )
+        if backup is not None and not confirmations[-1]:
+            # It may be active until its lease expires, so it becomes a former holder.
             await self.set_backup_holder(None)
-        return all(words)
+        return all(confirmations)
 
     def former_expired(self) -> bool:
-        """Say whether the permission of each former holder has ended by itself."""
+        """Return whether the leases of all former holders have expired."""
         return (
             self.clock.boottime() - self.former_at
             >= LEASE_VALIDITY_SECONDS + EXPIRY_MARGIN_SECONDS
         )
 
     async def confirm_stopped(self, former: HostIncarnation) -> bool:
-        """Ask a former holder whether it has stopped, or is another life."""
+        """Return whether a former holder confirms that it stopped or has restarted."""
         record = self.claim.record
         body = {
             "service": self.service,
@@ -114,31 +116,31 @@
         return stopped
 
     async def update_backup_holder(self, home: SessionTargetHome) -> None:
-        """Have a living host in a third zone stand in, should this one be lost."""
-        deputy = self.claim.record.backup_holder
+        """Set a live host as the backup holder, in a third zone where possible."""
+        current = self.claim.record.backup_holder
         chosen = self.ranking.deputy(self.service, home.entry)
-        if deputy is not None and not self.failure_detector.is_lost(deputy.ref):
-            if chosen is None or deputy.ref.zone == chosen.zone:
-                chosen = deputy.ref
+        if current is not None and not self.failure_detector.is_lost(current.ref):
+            if chosen is None or current.ref.zone == chosen.zone:
+                chosen = current.ref
         if chosen is None:
             return
-        life = await self.query_incarnation(chosen)
-        if life is not None:
-            await self.set_backup_holder(HostIncarnation(chosen, life))
+        incarnation = await self.query_incarnation(chosen)
+        if incarnation is not None:
+            await self.set_backup_holder(HostIncarnation(chosen, incarnation))
 
     async def query_incarnation(self, host: HostRef) -> str | None:
-        """Ask a host for the life of its process; None without an answer."""
+        """Return the incarnation of a host, or None if it does not respond."""
         try:
             answer = await self.peers.call(
                 host, INCARNATION_PATH, {}, STOP_CONFIRMATION_TIMEOUT_SECONDS
             )
         except (PeerError, RefusalError):
             return None
-        life = answer.get("life")
-        return life if isinstance(life, str) else None
+        incarnation = answer.get("life")
+        return incarnation if isinstance(incarnation, str) else None
 
     async def set_backup_holder(self, backup_holder: HostIncarnation | None) -> None:
-        """Write down who stands in from now on."""
+        """Record the backup holder; the previous one becomes a former holder."""
         record = self.claim.record
         if backup_holder == record.backup_holder:
             return
@@ -146,7 +148,7 @@
             self.former_at = self.clock.boottime()
 
     async def forget_former(self) -> None:
-        """Write down that nobody but the deputy can still use the primary."""
+        """Remove former holders from the record once their leases have expired."""
         record = self.claim.record
         if (record.former or not record.former_complete) and self.former_expired():
             await self.claim.write(record.without_former())
--- a/src/reedhook/process/primary_lease/primary_client.py
+++ b/src/reedhook/process/primary_lease/primary_client.py
@@ -1,4 +1,4 @@
-"""A host's use of the primary of one service, while it is permitted."""
+"""Use of the primary of one service while its lease is valid."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class HomeFactory(Protocol):
-    """Make the home of a target; see `MemberHome` for what is given."""
+    """Make the home of a target; see `SessionTargetHome` for the parameters."""
 
     def __call__(
         self,
@@ -43,35 +43,32 @@
 
 
 PROBE_TIMEOUT_SECONDS: Final = 0.25
-"""Seconds in which a target answers what needs no slot."""
+"""Timeout of a position probe, which needs no slot."""
 
 MAX_DOUBT_SECONDS: Final = 1.5
-"""Seconds from the first doubt in which a primary answers again or its successor
-is decided on; later statements are refused at once."""
+"""Time for which statements wait for a doubtful primary to recover or its successor
+to be chosen; later statements are refused at once."""
 
 PRIMARY_WAIT_LIMIT_SECONDS: Final = 0.45
-"""Seconds for which a statement waits for a primary that is being promoted;
-half of the shortest timeout of a statement, so that it can run afterwards."""
+"""Maximum wait of a statement for a promotion; half of the shortest statement
+timeout, so that the statement can still run."""
 
 DRAIN_POLL_SECONDS: Final = 0.05
-"""Seconds between two looks at what is still in progress."""
 
 RETRY_MS: Final = 150
-"""When to come back while another primary is promoted, in milliseconds."""
 
 
 class PrimaryClient:
     """Run statements at the primary of one service.
 
-    :param claim: names this host as the holder or the deputy.
-    :ivar ready: set while the primary may be used as far as is known.
-    :ivar home: of the primary; None before it is known.
-    :ivar highest_position: the highest position that the primary holds, as far as is
-        known.
-    :ivar highest_answered: the highest position that it has answered statements with.
-    :ivar leadership_questioned: whether something says that it leads no more; it is
-        asked.
-    :ivar draining: whether no new work is taken any more.
+    :param claim: names this host as the holder or the backup holder.
+    :ivar ready: set while the primary is believed to be usable.
+    :ivar home: home of the primary; None before it is known.
+    :ivar highest_position: highest known position of the primary.
+    :ivar highest_answered: highest position in its replies.
+    :ivar leadership_questioned: whether the primary may have lost its role or its
+        data, so that its status is to be queried.
+    :ivar draining: whether new statements are refused.
     """
 
     def __init__(
@@ -107,13 +104,13 @@
 
     @property
     def validity(self) -> LeaseValidity:
-        """Return until when the primary may be used."""
+        """Return the validity of the lease."""
         return self.claim.validity
 
     async def execute(self, work: SessionStatement) -> SessionStatementResult:
         """Run a statement at the primary.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with the outcome of the statement.
         """
         home = self.home
         if home is not None and work.transaction in home.transactions:
@@ -124,30 +121,32 @@
     async def run_at(
         self, home: SessionTargetHome, work: SessionStatement
     ) -> SessionStatementResult:
-        """Run a statement at a home and add what is known of the position."""
+        """Run a statement at a home and add the latest position proof."""
         reply = await home.run(work)
         if reply.fault is StatementFault.READ_ONLY and home is self.home:
             self.leadership_questioned = True
         return SessionStatementResult(home.entry.target, reply, self.proof)
 
     async def wait_for_primary(self, work: SessionStatement) -> SessionTargetHome:
-        """Return the home of the primary, waiting a little for one.
+        """Return the home of the primary, after a limited wait for one.
 
-        :raises Refusal: not run.
+        :raises RefusalError: if there is no usable primary; nothing ran.
         """
         if not self.ready.is_set() and not self.draining and self.expects_primary():
             wait = min(PRIMARY_WAIT_LIMIT_SECONDS, work.remaining / 2)
-            begun = self.clock.monotonic()
+            started_at = self.clock.monotonic()
             try:
                 async with asyncio.timeout(wait):
                     await self.ready.wait()
             except TimeoutError:
-                # Refused below, since nothing has become usable.
+                # Refused below, since no primary has become usable.
                 pass
-            work.subtract_elapsed(self.clock.monotonic() - begun)
+            work.subtract_elapsed(self.clock.monotonic() - started_at)
         if self.draining:
             raise not_run(
-                RefusalReason.WRONG_HOME, "another host takes the lead", RETRY_MS
+                RefusalReason.WRONG_HOME,
+                "another host takes over the primary lease",
+                RETRY_MS,
             )
         if self.home is None or not self.ready.is_set():
             raise not_run(
@@ -158,19 +157,21 @@
         return self.home
 
     def expects_primary(self) -> bool:
-        """Say whether a primary is likely to be there soon."""
+        """Return whether a usable primary is expected soon."""
         return self.clock.monotonic() - self.doubted_at < MAX_DOUBT_SECONDS
 
     def check_permitted(self) -> None:
-        """Raise unless the primary may be used right now."""
+        """Check that the lease is valid now.
+
+        :raises RefusalError: if it has expired; nothing ran.
+        """
         self.validity.check()
 
     def record_position(self, position: Position, requested_at: float) -> None:
-        """Take note of the primary's position.
+        """Record the primary's position and use it as the proof if it is newer.
 
-        It covers what was acknowledged before the question was sent, and no
-        more: a host that has taken the lead over may use the primary, too,
-        before this one has heard of it.
+        It covers only commits acknowledged before the request was sent: a host that
+        has claimed the lease may use the primary before this one is notified.
         """
         if self.highest_position is None or self.highest_position < position:
             self.highest_position = position
@@ -182,12 +183,12 @@
             self.position_updated.set()
 
     def check_opened_connection(self, position: Position | None) -> None:
-        """Look at the position that the primary states on a new connection.
+        """Check the position that the primary reports on a new connection.
 
-        A process that has started again under the id of the primary holds less
-        than that had answered with; what it says would pass for fresh.
+        A process restarted under the primary's ID holds less than the primary had
+        replied with, and its positions would be accepted as fresh.
 
-        :raises MemberReborn: if the target is not to be used.
+        :raises SessionTargetDataLossError: if the position is lower or missing.
         """
         if self.highest_answered is None or self.draining:
             return
@@ -201,37 +202,41 @@
             position=None if position is None else position.to_json(),
             answered=self.highest_answered.to_json(),
         )
-        raise SessionTargetDataLossError(f"{self.record.primary} has lost what it held")
+        raise SessionTargetDataLossError(
+            f"{self.record.primary} has lost acknowledged data"
+        )
 
     async def prove(self, not_before: float) -> PositionProof:
-        """Return a proof of the primary's position that is young enough.
+        """Return a proof of the primary's position that is recent enough.
 
-        :param not_before: a moment by `Clock.elapsed`.
-        :raises Refusal: if there is none; nothing ran.
+        :param not_before: the earliest acceptable time, by `Clock.boottime`.
+        :raises RefusalError: if there is none; nothing ran.
         """
         if self.proof is None or self.proof.as_of < not_before:
             await self.query_position()
         if self.proof is None or self.proof.as_of < not_before:
             raise not_run(
-                RefusalReason.AGE_UNPROVED, "the primary gives no position", RETRY_MS
+                RefusalReason.AGE_UNPROVED,
+                "the primary did not report its position",
+                RETRY_MS,
             )
         return self.proof
 
     async def query_position(self) -> None:
-        """Ask the primary for its position, once for all who wait for it."""
+        """Query the position of the primary; concurrent calls share one query."""
         if self.probe_task is None or self.probe_task.done():
             loop = asyncio.get_running_loop()
             self.probe_task = loop.create_task(self.probe())
         await asyncio.shield(self.probe_task)
 
     async def probe(self) -> None:
-        """Ask the primary for its position, if it may be used."""
+        """Query the position of the primary if it may be used."""
         home = self.home
         if home is None or not self.ready.is_set() or not self.validity.valid:
             return
         try:
             if home.connections.exhausted():
-                # The next answer to a statement tells as well.
+                # The next reply to a statement carries the position as well.
                 self.position_updated.clear()
                 async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                     await self.position_updated.wait()
@@ -250,7 +255,7 @@
     def use_primary(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> None:
-        """Make the home of a primary."""
+        """Create the home of a primary and admit statements to it."""
         self.home = self.make_home(
             entry,
             self.check_permitted,
@@ -270,17 +275,17 @@
         self.ready.set()
 
     async def until_quiet(self, home: SessionTargetHome, timeout: float) -> None:
-        """Let open transactions end for a while, then end the rest."""
+        """Wait up to `timeout` seconds for open transactions, then end the rest."""
         deadline = self.clock.monotonic() + timeout
         while not home.is_idle() and self.clock.monotonic() < deadline:
             await self.clock.sleep(DRAIN_POLL_SECONDS)
-        home.transactions.end_all("the primary changes")
+        home.transactions.end_all("the primary is being replaced")
 
     async def release(self, timeout: float) -> None:
-        """Take no new work, let transactions end, and use the primary no more.
+        """Refuse new statements, drain transactions, and stop using the primary.
 
-        At a primary that gives no answer none can end, and a promotion waits
-        for the word that this host has stopped.
+        Transactions at an unresponsive primary cannot end and are not waited for,
+        since a promotion waits for the confirmation that this host has stopped.
         """
         self.draining = True
         usable = self.ready.is_set()
@@ -294,9 +299,9 @@
         self.log_released()
 
     def log_released(self) -> None:
-        """Tell that the primary is used no more."""
+        """Record that the lease is released."""
         self.decisions.record("lead_given_up", service=self.service)
 
     def stop(self) -> None:
-        """End the tasks."""
+        """Cancel the background tasks."""
         self.background.cancel()
--- a/src/reedhook/process/primary_lease/primary_replacement.py
+++ b/src/reedhook/process/primary_lease/primary_replacement.py
@@ -1,4 +1,4 @@
-"""A change of primary: who follows, written down first, ordered and awaited."""
+"""Replacement of a primary: choose a successor, record it, then promote it."""
 
 from collections.abc import Callable
 from typing import Final
@@ -15,22 +15,19 @@
 from .target_status import TargetStatusClient
 
 CATCH_UP_TIMEOUT_SECONDS: Final = 2.0
-"""Seconds for which a planned change waits for a replica to hold everything."""
+"""Time that a planned change waits for a replica to catch up."""
 
 LEADING_TIMEOUT_SECONDS: Final = 3.0
-"""Seconds in which an ordered promotion takes effect; it needs 0.3 to 0.6."""
+"""Timeout for an ordered promotion to take effect."""
 
 CATCH_UP_POLL_SECONDS: Final = 0.05
-"""Seconds between two looks at how far replicas are before a planned change."""
 
 LEADING_POLL_SECONDS: Final = 0.02
-"""Seconds between two questions whether an ordered promotion has taken effect, in
-which all writes of the service wait. With 0.05 they wait 0.03 s longer, in the mean
-of 49 simulated losses; 15 to 30 questions of under 1 KB each go to one target."""
+"""Short, since all writes of the service wait for the promotion."""
 
 
 class LeadingTarget(Record):
-    """Name a target that leads now, with its state."""
+    """Carry a promoted target with its status."""
 
     __slots__ = ("entry", "status")
 
@@ -66,13 +63,13 @@
         planned: bool,
         highest_position: Position | None,
     ) -> bool:
-        """Choose a successor and write it down; return whether that was done.
+        """Choose a successor and record it; return whether it is stored.
 
-        Nothing is lost by a planned change: a replica holds everything first.
+        A planned change waits for a replica to catch up, so that no commit is lost.
 
+        :param cause: recorded with the decision.
         :param planned: whether the primary still serves.
-        :param highest_position: the highest position that the primary has answered
-            with.
+        :param highest_position: highest known position of the primary.
         """
         if not await self.others.stop_all():
             return False
@@ -92,10 +89,11 @@
     async def choose_successor(
         self, old: TargetAnnouncement, planned: bool, highest_position: Position | None
     ) -> TargetAnnouncement | None:
-        """Return the target that holds the most of those that answer.
+        """Return the responding target with the highest position, or None.
 
-        One that holds nothing has started again; it is left out unless all answer
-        and none holds more, since what was acknowledged may be at the others.
+        Targets without commits have restarted. If only such targets respond, none is
+        chosen unless all targets respond, since the others may hold acknowledged
+        commits.
         """
         deadline = self.clock.monotonic() + (
             CATCH_UP_TIMEOUT_SECONDS if planned else 0.0
@@ -121,7 +119,7 @@
     async def required_position(
         self, old: TargetAnnouncement, highest_position: Position | None
     ) -> Position:
-        """Return what a successor must hold, as far as it can be known."""
+        """Return the position that a successor must reach, as far as known."""
         status = await self.states.status(old)
         if status is not None:
             return status.received
@@ -130,10 +128,10 @@
     def fitness(
         self, pair: tuple[TargetAnnouncement, SessionTargetStatus]
     ) -> tuple[Position, bool]:
-        """Return the order in which targets are preferred as primary.
+        """Return the sort key of a candidate; the highest one is preferred.
 
-        A primary in another availability zone than its user can be told from
-        a cut-off zone, and replaced, by whichever side lives on.
+        Among equal positions, a target outside the holder's availability zone is
+        preferred: the loss of one zone then takes the primary or its holder, not both.
         """
         entry, status = pair
         return status.received, entry.zone != self.claim.me.ref.zone
@@ -141,17 +139,17 @@
     async def execute(
         self, should_continue: Callable[[], bool]
     ) -> LeadingTarget | None:
-        """Have the successor that is written down ordered, and wait for it.
+        """Order the promotion of the recorded successor, and wait for it.
 
-        :param should_continue: whether to go on waiting.
-        :returns: None while it does not lead; to be tried again then.
+        :param should_continue: whether to keep waiting.
+        :returns: None if it is not primary yet; the caller retries.
         """
         target = self.claim.record.successor
         entry = self.states.last_entry(target)
         if entry is not None and not entry.is_incarnation(
             self.claim.record.successor_started_at_ms
         ):
-            # It holds nothing by now, and was chosen since it held the most.
+            # It has restarted and lost the data for which it was chosen.
             self.decisions.record(
                 "successor_reborn", target=target, born=entry.started_at_ms
             )
@@ -162,7 +160,7 @@
             await self.choose_again()
             return None
         if entry is None:
-            # The order may have taken effect; another target would be wrong.
+            # The promotion may have taken effect, so no other target is chosen.
             self.decisions.record("successor_unknown", target=target)
             return None
         deadline = self.clock.monotonic() + LEADING_TIMEOUT_SECONDS
@@ -176,7 +174,7 @@
         return None
 
     async def choose_again(self) -> None:
-        """Decide on another target after one that was found not to run."""
+        """Record another successor if the recorded one does not run."""
         record = self.claim.record
         found = await self.states.all(self.states.announced(self.service))
         usable = [pair for pair in found if pair[0].target != record.successor]
@@ -188,7 +186,7 @@
     def record_promoted(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> LeadingTarget:
-        """Take note of the new primary; it is yet to be written down."""
+        """Set the new primary in the record, which is still to be written."""
         self.decisions.record(
             "primary_promoted",
             service=self.service,
@@ -201,5 +199,5 @@
 
 
 def has_commits(pair: tuple[TargetAnnouncement, SessionTargetStatus]) -> bool:
-    """Say whether anything was ever committed in the log of a target."""
+    """Return whether the log of a target holds any commit."""
     return pair[1].received.index > 0
--- a/src/reedhook/process/primary_lease/promotion_coordinator.py
+++ b/src/reedhook/process/primary_lease/promotion_coordinator.py
@@ -1,4 +1,8 @@
-"""The duty to order promotions, which one host has at a time."""
+"""Promotion coordinator role, held by one host at a time.
+
+Only the coordinator orders promotions from the platform. Its fencing token is the
+revision of the store item that names it.
+"""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -18,25 +22,26 @@
 PROMOTE_PATH: Final = "promote"
 
 RESPONSE_TIMEOUT_SECONDS: Final = 1.0
-"""Seconds for an answer of the store or of the platform's promotion call."""
+"""Timeout of a call to the store or of the platform's promotion call."""
 
 ORDER_TIMEOUT_SECONDS: Final = 2.5
-"""Seconds for the holder of the duty to look at the store and to order."""
+"""Timeout for the coordinator to read the store and order the promotion; exceeds two
+times RESPONSE_TIMEOUT_SECONDS."""
 
 MAX_READ_AGE_SECONDS: Final = 0.5
-"""Seconds for which the look that finds this host named permits an order."""
+"""Age of the store read beyond which this host must not order a promotion."""
 
 REPLACE_SILENT_HOLDER_SECONDS: Final = 1.5
-"""Seconds for which a holder that is not known to be gone must have been silent
-before another host takes the duty."""
+"""Time without a response after which another host may replace a coordinator that
+is not known to be gone."""
 
 TAKEOVER_DELAY_SECONDS: Final = 1.5
-"""Seconds for which a new holder orders nothing unless its predecessor is
-known to be gone: an order of its may be on the way since its last look."""
+"""Time in which a new coordinator orders nothing, unless its predecessor is known to
+be gone: an order of the predecessor may still be in flight."""
 
 
 class OrderOutcome(str, Enum):
-    """Name what became of an order to promote."""
+    """Name the outcome of a promotion order."""
 
     DONE = "done"
     NOT_RUNNING = "not_running"
@@ -44,24 +49,25 @@
 
 
 class Promoter(ABC):
-    """Order promotions at the platform."""
+    """Order promotions from the platform."""
 
     @abstractmethod
     async def promote(
         self, service: str, target: str, holder: str, token: int, timeout: float
     ) -> OrderOutcome:
-        """Order that `target` leads `service`.
+        """Order the promotion of `target` to primary of `service`.
 
-        :param holder: the host that has the duty.
-        :param token: the fencing token, which rises with each holder.
+        :param holder: the coordinator's host.
+        :param token: fencing token, which increases with each coordinator.
         :param timeout: seconds.
         """
 
 
 class PromotionCoordinator:
-    """Order promotions for all hosts, or have the holder of the duty do it.
+    """Order promotions as the coordinator, or through the host that holds the role.
 
-    :ivar ended_incarnations: lives of holders whose hosts have said that they are over.
+    :ivar not_before: `Clock.boottime` before which this host orders nothing.
+    :ivar ended_incarnations: incarnations of coordinators that are known to have ended.
     """
 
     def __init__(
@@ -88,28 +94,30 @@
         self.silent_since = 0.0
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the peer handler."""
         routes.add(PROMOTE_PATH, self.handle_promote)
 
     async def handle_promote(self, body: Json) -> Json:
         """Order a promotion for another host.
 
-        :raises Refusal: if this host does not have the duty.
+        :raises RefusalError: if this host is not the coordinator.
         """
         outcome = await self.order_here(
             string_field(body, "service"), string_field(body, "target")
         )
         if outcome is None:
-            raise not_run(RefusalReason.WRONG_HOME, "this host does not have the duty")
+            raise not_run(
+                RefusalReason.WRONG_HOME, "this host is not the promotion coordinator"
+            )
         return {"outcome": outcome.value}
 
     async def order(self, service: str, target: str) -> OrderOutcome:
-        """Order that `target` leads `service`.
+        """Order the promotion of `target` to primary of `service`.
 
-        The duty stays where it is while its holder lives: holders that take
-        turns would send fencing tokens in the wrong order.
+        The role stays with a live coordinator: alternating coordinators would send
+        fencing tokens out of order.
         """
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             item = await self.keyspace.get(
                 PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
@@ -120,7 +128,7 @@
         holder = None if item is None else read_holder(item)
         if holder == self.me and item is not None:
             async with self.lock:
-                return await self.order_by(item, asked, service, target)
+                return await self.order_by(item, requested_at, service, target)
         if holder is not None and not self.gone(holder):
             outcome = await self.order_at(holder, service, target)
             if outcome is not None:
@@ -132,14 +140,14 @@
         return await self.order_here(service, target) or OrderOutcome.UNANSWERED
 
     def is_silent_too_long(self, holder: HostIncarnation) -> bool:
-        """Say whether a holder has given no answer for long enough to replace it."""
+        """Return whether a coordinator has been silent long enough to replace it."""
         now = self.clock.monotonic()
         if self.silent != holder:
             self.silent, self.silent_since = holder, now
         return now - self.silent_since >= REPLACE_SILENT_HOLDER_SECONDS
 
     def gone(self, holder: HostIncarnation) -> bool:
-        """Say whether that life of a host is known to be over."""
+        """Return whether an incarnation of a host is known to have ended."""
         if (
             holder.ref.host == self.me.ref.host
             or holder.incarnation in self.ended_incarnations
@@ -151,7 +159,7 @@
     async def order_at(
         self, holder: HostIncarnation, service: str, target: str
     ) -> OrderOutcome | None:
-        """Have the holder order; None if it is not the holder, or is lost."""
+        """Order through the coordinator; None if it is unreachable or refuses."""
         body: Json = {"service": service, "target": target}
         try:
             answer = await self.peers.call(
@@ -159,7 +167,7 @@
             )
             return OrderOutcome(answer["outcome"])
         except RefusalError as refusal:
-            # The store names that life, and the process there is another one.
+            # The store names an earlier incarnation of the process at that host.
             if refusal.reason is RefusalReason.WRONG_HOME:
                 self.ended_incarnations.add(holder.incarnation)
             cause = refusal.detail
@@ -169,9 +177,9 @@
         return None
 
     async def order_here(self, service: str, target: str) -> OrderOutcome | None:
-        """Order as the holder; None if this host is not the holder."""
+        """Order as the coordinator; None if this host is not the coordinator."""
         async with self.lock:
-            asked = self.clock.boottime()
+            requested_at = self.clock.boottime()
             try:
                 item = await self.keyspace.get(
                     PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
@@ -181,14 +189,14 @@
                 return OrderOutcome.UNANSWERED
             if item is None or read_holder(item) != self.me:
                 return None
-            return await self.order_by(item, asked, service, target)
+            return await self.order_by(item, requested_at, service, target)
 
     async def order_by(
         self, item: Item, read_at: float, service: str, target: str
     ) -> OrderOutcome:
-        """Order by an item that names this host, if it was read just now.
+        """Order under an item that names this host, unless it was read too long ago.
 
-        :param read_at: when the question that found it was sent.
+        :param read_at: `Clock.boottime` when the read was sent.
         """
         wait = self.not_before - self.clock.boottime()
         if wait > 0.0 or self.clock.boottime() - read_at > MAX_READ_AGE_SECONDS:
@@ -197,7 +205,7 @@
         return await self.send(service, target, item.revision)
 
     async def send(self, service: str, target: str, token: int) -> OrderOutcome:
-        """Send an order to the platform."""
+        """Send an order to the platform with fencing token `token`."""
         holder = self.me.ref.host
         outcome = await self.promoter.promote(
             service, target, holder, token, RESPONSE_TIMEOUT_SECONDS
@@ -212,10 +220,9 @@
         return outcome
 
     async def claim_role(self, item: Item | None) -> bool:
-        """Take the duty from who is named; return whether this host has it now.
+        """Claim the role from the named host; return whether this host holds it.
 
-        Each try has a value of its own, so that a lost answer is resolved by
-        the next look.
+        If the response is lost, the next read of the item shows the outcome.
         """
         before = None if item is None else read_holder(item)
         revision = 0 if item is None else item.revision
@@ -236,7 +243,7 @@
 
 
 def read_holder(item: Item) -> HostIncarnation | None:
-    """Return the holder that an item names, or None if it is malformed."""
+    """Return the coordinator that an item names, or None if it is malformed."""
     try:
         return HostIncarnation.from_json(decode(item.value or b""))
     except WireError:
--- a/src/reedhook/process/primary_lease/target_status.py
+++ b/src/reedhook/process/primary_lease/target_status.py
@@ -1,4 +1,4 @@
-"""The targets of a service, and what they say of themselves when asked."""
+"""Status queries to the targets of a service."""
 
 import asyncio
 from typing import Final
@@ -14,12 +14,11 @@
 from ..discovery.announcements import Announcements
 
 STATUS_TIMEOUT_SECONDS: Final = 0.4
-"""Seconds to connect to a target and to learn its state; both wait for a slot
-behind statements of 9 to 110 ms."""
+"""Timeout to connect and to read the status; both may queue for a slot."""
 
 
 class TargetStatusClient:
-    """Ask targets for their states, each on a connection of its own."""
+    """Query the status of targets, each on a new connection."""
 
     def __init__(
         self, announcements: Announcements, driver: SessionTargetDriver
@@ -28,18 +27,18 @@
         self.driver = driver
 
     def last_entry(self, target: str) -> TargetAnnouncement | None:
-        """Return what a target announces, or announced last; None if never."""
+        """Return the latest announcement of a target, or None if it never had one."""
         return self.announcements.last_entry(target)
 
     def announced(self, service: str) -> list[TargetAnnouncement]:
-        """Return the targets of a service that announce themselves."""
+        """Return the currently announced targets of a service."""
         found = self.announcements.targets.values()
         return [one for one in found if one.service == service]
 
     async def all(
         self, entries: list[TargetAnnouncement]
     ) -> list[tuple[TargetAnnouncement, SessionTargetStatus]]:
-        """Return the targets that answer, with their state."""
+        """Return the targets that respond, with their status."""
         answers = await asyncio.gather(*(self.status(entry) for entry in entries))
         return [
             (entry, answer)
@@ -48,7 +47,7 @@
         ]
 
     async def status(self, entry: TargetAnnouncement) -> SessionTargetStatus | None:
-        """Ask one target for its state; None if it gives no answer."""
+        """Return the status of one target, or None if it does not respond."""
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
                 connection = await self.driver.connect(entry, STATUS_TIMEOUT_SECONDS)
@@ -62,7 +61,7 @@
     async def is_reachable(
         self, entry: TargetAnnouncement, timeout: float = CONNECT_TIMEOUT_SECONDS
     ) -> bool:
-        """Say whether a target accepts a new connection from here in time."""
+        """Return whether a target accepts a new connection within `timeout` seconds."""
         try:
             connection = await self.driver.connect(entry, timeout)
         except SessionTargetUnreachableError:
--- a/src/reedhook/process/rates/operation_allowance.py
+++ b/src/reedhook/process/rates/operation_allowance.py
@@ -13,7 +13,7 @@
     """Keep what may be admitted of one workspace.
 
     :ivar left: operations.
-    :ivar until: when they are void, by `Clock.elapsed`.
+    :ivar until: when they are void, by `Clock.boottime`.
     :ivar limited_until: until when nothing more is to be had.
     :ivar owner_unreachable: whether that is so since no host answers that counts.
     :ivar demand: operations per second of late.
--- a/src/reedhook/process/rates/rate_owner.py
+++ b/src/reedhook/process/rates/rate_owner.py
@@ -189,7 +189,7 @@
         return bucket
 
     def is_sole(self, name: str) -> bool:
-        """Say whether no other host is expected to count the workspace."""
+        """Return whether no other host is expected to count the workspace."""
         first = self.first(name)
         if first is not None and first != self.directory.me:
             # Who asks here has found the first one silent.
--- a/src/reedhook/process/rates/workspace_rate_limiter.py
+++ b/src/reedhook/process/rates/workspace_rate_limiter.py
@@ -70,7 +70,7 @@
     async def admit(self, name: str) -> None:
         """Admit one operation of a workspace.
 
-        :raises Refusal: not run, if it is beyond the rate.
+        :raises RefusalError: not run, if it is beyond the rate.
         """
         workspace = self.owner.workspaces().by_name.get(name)
         if workspace is None or workspace.rate is None:
@@ -95,7 +95,7 @@
     ) -> None:
         """Wait for a grant and take one operation of it.
 
-        :raises Refusal: not run, if there is none.
+        :raises RefusalError: not run, if there is none.
         """
         allowance.waiting += 1
         try:
@@ -207,7 +207,7 @@
         """Return what a host grants.
 
         :raises PeerError: if it gives no answer.
-        :raises Refusal: if it refuses.
+        :raises RefusalError: if it refuses.
         :raises WireError: if its answer has another form.
         """
         if host.host == self.me.host:
