--- a/src/reedhook/process/discovery/__init__.py
+++ b/src/reedhook/process/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators, the targets and the hosts announce in the platform's store."""
+"""Discovery of configuration, targets and hosts through the platform's store."""
--- a/src/reedhook/process/discovery/announcements.py
+++ b/src/reedhook/process/discovery/announcements.py
@@ -1,4 +1,4 @@
-"""What is announced in the store, as this host knows it."""
+"""Local view of the configuration and announcements in the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,36 +13,35 @@
 from .store_value_parser import StoreValueParser
 
 SYSTEM_KEY_PREFIX: Final = "reedhook/"
-"""Begins the keys that hosts of the system write."""
+"""Prefix of keys written by hosts."""
 
 HOSTS_KEY_PREFIX: Final = f"{SYSTEM_KEY_PREFIX}hosts/"
-"""Begins the keys under which hosts announce themselves."""
+"""Prefix of host announcements."""
 
 RELAY_GRACE_SECONDS: Final = 1.0
-"""Seconds without the store after which others no longer learn from a host. They
-then ask the store themselves: of 195 hosts 180 more, each with calls of its own."""
+"""Time without the store before other hosts stop using this one as a relay and query
+the store themselves, which multiplies its load."""
 
 MAX_ERROR_CHARACTERS: Final = 200
-"""Characters of what is logged of a value that cannot be read; others may have
-written anything there, up to 1 MB."""
+"""Limit of the logged error, since a malformed value may be up to 1 MB long."""
 
 
 class Announcements:
-    """Keep what is announced, as new as it could be learned.
-
-    :ivar table: the configuration in force; it never gets older.
-    :ivar table_value: its value without callers' keys, for other hosts.
-    :ivar targets: what targets announce, by id.
-    :ivar missing_since: when targets that were known were found to be gone,
-        by `Clock.boottime`.
-    :ivar malformed: keys whose values cannot be read now; each is logged once.
-    :ivar host_items: the newest items that hosts of the system wrote, by key.
-    :ivar mirror: all items but configurations, for other hosts.
-    :ivar updated: set, and replaced by another, once there is news.
-    :ivar store_reached: whether the store answered when it was last asked, by this host
-        or by the one that it learns from.
-    :ivar on_host_item: called with each item of a host of the system that is news.
-    :ivar on_update: called once after items that came together.
+    """Keep the latest known announcements, and notify listeners of changes.
+
+    :ivar table: the configuration in force; its version never decreases.
+    :ivar table_value: its encoded value without callers' keys, for other hosts.
+    :ivar targets: current target announcements by target ID.
+    :ivar missing: last announcements of targets that are gone, by target ID.
+    :ivar missing_since: `Clock.boottime` when each of these was found gone.
+    :ivar malformed: keys with malformed values; each is logged once.
+    :ivar host_items: latest items written by hosts, by key.
+    :ivar mirror: all items except configurations, for other hosts.
+    :ivar updated: set, and replaced by a new event, on each update.
+    :ivar store_reached: whether the last store query succeeded, by this host or by
+        its relay.
+    :ivar on_host_item: callbacks that receive each changed item of a host.
+    :ivar on_update: callbacks after each batch of changed items.
     """
 
     def __init__(
@@ -71,7 +70,7 @@
         self.on_update: list[Callable[[], None]] = []
 
     def mark_store_lost(self, error: Exception) -> None:
-        """Take note that the store gives no answer."""
+        """Record that the store does not respond."""
         if self.store_reached:
             self.lost_at = self.clock.boottime()
             self.decisions.record("store_lost", error=str(error))
@@ -79,10 +78,10 @@
 
     @property
     def usable_as_relay(self) -> bool:
-        """Return whether others may go on learning from this host.
+        """Return whether other hosts may keep using this host as a relay.
 
-        A store that breaks its connections, or has dropped its history, answers
-        again within tenths of a second.
+        Short interruptions are tolerated, such as closed connections or a compacted
+        history.
         """
         return (
             self.store_reached
@@ -90,7 +89,7 @@
         )
 
     def mark_store_reached(self) -> None:
-        """Take note that the store answers."""
+        """Record that the store responds."""
         now = self.clock.boottime()
         if not self.store_reached:
             self.reached_since = now
@@ -98,24 +97,24 @@
         self.store_reached = True
 
     def replace(self, found: Items) -> None:
-        """Take over all that is announced, and that the rest is gone."""
+        """Apply a full listing; other items count as deleted."""
         self.apply_changes(found)
         self.keep_only({item.key for item in found.items})
 
     def keep_only(self, keys: set[str]) -> None:
-        """Take note that only these keys are left."""
+        """Delete all items except those with these keys."""
         self.process_updates(
             self.mirror.apply(Items(self.mirror.missing(keys), self.mirror.revision))
         )
 
     def apply_changes(self, found: Items) -> None:
-        """Take changes over."""
+        """Apply changes of the store."""
         self.process_updates(self.mirror.apply(self.without_tables(found)))
 
     def without_tables(self, found: Items) -> Items:
-        """Take configurations over and return the other items.
+        """Apply configurations and return the other items.
 
-        Other hosts get those in another way, since they may be long.
+        Configurations may be large; `RouteTableServer` sends them to other hosts.
         """
         others = []
         for item in found.items:
@@ -126,11 +125,11 @@
         return Items(others, found.revision)
 
     def last_entry(self, target: str) -> TargetAnnouncement | None:
-        """Return what a target announces, or announced last; None if never."""
+        """Return the latest announcement of a target, or None if it never had one."""
         return self.targets.get(target) or self.missing.get(target)
 
     def process_updates(self, news: list[Item]) -> None:
-        """Act on items that are news, and wake those that wait for some."""
+        """Process new items and wake waiting tasks."""
         if not news:
             return
         for item in news:
@@ -140,7 +139,7 @@
             callback()
 
     def try_process_item(self, item: Item) -> None:
-        """Act on one item."""
+        """Process one item; log it if it is malformed."""
         try:
             self.process_item(item)
             self.malformed.discard(item.key)
@@ -148,15 +147,15 @@
             self.cannot_read(item, error)
 
     def notify_waiters(self) -> None:
-        """Wake those that wait for news."""
+        """Wake the tasks that wait for an update."""
         self.updated.set()
         self.updated = asyncio.Event()
 
     def cannot_read(self, item: Item, error: WireError) -> None:
-        """Take note of a value that another writer may have left.
+        """Log a malformed value, which another writer may have stored.
 
-        The entry of a target names none then, nor does the one that stood there
-        before; a configuration in force stays.
+        A target with a malformed announcement counts as gone. The configuration in
+        force stays.
         """
         if item.key not in self.malformed:
             self.malformed.add(item.key)
@@ -171,17 +170,20 @@
             self.remove_target(self.parser.target_of(item.key))
 
     def process_item(self, item: Item) -> None:
-        """Take one item over by what it is about."""
-        documents = self.parser
+        """Apply one item according to its key.
+
+        :raises WireError: if its value is malformed.
+        """
+        parser = self.parser
         if item.key.startswith(SYSTEM_KEY_PREFIX):
             self.apply_host_item(item)
-        elif documents.is_table(item.key) and item.value is not None:
-            self.apply_table(documents.without_keys(item.value))
-        elif documents.is_target(item.key):
+        elif parser.is_table(item.key) and item.value is not None:
+            self.apply_table(parser.without_keys(item.value))
+        elif parser.is_target(item.key):
             self.apply_target(item)
 
     def apply_table(self, value: bytes) -> None:
-        """Put a configuration in force unless a newer one is.
+        """Put a configuration in force if it is newer than the present one.
 
         :param value: without callers' keys.
         :raises WireError: if it is malformed.
@@ -200,7 +202,10 @@
             callback(table)
 
     def apply_target(self, item: Item) -> None:
-        """Take over what a target announces."""
+        """Apply the announcement of a target, or its deletion.
+
+        :raises WireError: if it is malformed.
+        """
         target = self.parser.target_of(item.key)
         if item.value is None:
             self.remove_target(target)
@@ -208,7 +213,7 @@
         entry = self.parser.read_target(item.key, item.value)
         known = self.last_entry(target)
         if known is not None and entry.is_older_than(known):
-            # A write that was late, of a process that ended or went on since.
+            # A delayed write: the target has announced a newer state since.
             self.decisions.record(
                 "target_entry_old",
                 target=target,
@@ -238,7 +243,7 @@
     def handle_restart(
         self, before: TargetAnnouncement, entry: TargetAnnouncement
     ) -> None:
-        """Tell that a target has started again and holds nothing of before."""
+        """Notify listeners that a target has restarted without its previous data."""
         self.decisions.record(
             "target_reborn",
             target=entry.target,
@@ -249,7 +254,7 @@
             callback(entry)
 
     def remove_target(self, target: str) -> None:
-        """Take note that a target announces itself no more."""
+        """Record that a target no longer announces itself."""
         entry = self.targets.pop(target, None)
         if entry is None:
             return
@@ -259,12 +264,12 @@
         self.targets_changed()
 
     def targets_changed(self) -> None:
-        """Tell that a target came, changed or went."""
+        """Notify listeners that a target was added, changed or removed."""
         for callback in self.on_targets:
             callback()
 
     def apply_host_item(self, item: Item) -> None:
-        """Take over an item that a host of the system wrote."""
+        """Apply an item written by a host if it is newer."""
         known = self.host_items.get(item.key)
         if known is not None and known.revision >= item.revision:
             return
--- a/src/reedhook/process/discovery/configuration_freshness.py
+++ b/src/reedhook/process/discovery/configuration_freshness.py
@@ -1,4 +1,4 @@
-"""How old what this host knows of the operators' configuration may be at most."""
+"""Upper bound on the age of this host's configuration."""
 
 import math
 from typing import Final
@@ -14,16 +14,16 @@
 
 
 class ConfigurationFreshness:
-    """Keep the moment before which all that the store acknowledged is known here.
+    """Track the time up to which all acknowledged writes to the store are known here.
 
-    A linearizable read of the store proves the moment at which it was asked for,
-    and so does another host whose configuration is not newer than this one's. What
-    another host states is an age; it is dated from when this one asked, so that
-    neither the way nor a pause of either host makes it look younger.
+    A linearizable read of the store proves the time at which it was requested. So does
+    a response of another host whose configuration is not newer than this one's. Hosts
+    report ages, which are subtracted from the time of the request, so that neither
+    network delay nor a pause of either host makes a proof look more recent.
 
-    :ivar as_of: that moment, by `Clock.boottime`.
-    :ivar source: where the proof came from.
-    :ivar pending: a proof of a version that is not in force here yet, by version.
+    :ivar as_of: that time, by `Clock.boottime`.
+    :ivar source: `STORE_SOURCE` or the ID of the host that gave the proof.
+    :ivar pending: proofs of versions that are not in force here yet, by version.
     """
 
     def __init__(self, announcements: Announcements, clock: Clock) -> None:
@@ -35,19 +35,19 @@
         announcements.on_table.append(lambda table: self.apply_pending_proofs())
 
     def age(self) -> float:
-        """Return for how many seconds something may have changed unnoticed."""
+        """Return the seconds in which the configuration may have changed unnoticed."""
         return self.clock.boottime() - self.as_of
 
     def record_proof(self, as_of: float, source: str = STORE_SOURCE) -> None:
-        """Take note that all is known here that was acknowledged before a moment."""
+        """Record that all writes acknowledged before `as_of` are known here."""
         if as_of > self.as_of:
             self.as_of = as_of
             self.source = source
 
     def record_version_proof(self, version: int, as_of: float, source: str) -> None:
-        """Take note that a version was the newest at a moment.
+        """Record that a version was the newest one at `as_of`.
 
-        A version that this host lacks proves nothing before it is in force here.
+        If this host lacks the version, the proof is pending until it is in force.
         """
         if version <= self.announcements.table.version:
             self.record_proof(as_of, source)
@@ -57,18 +57,19 @@
             self.pending[version] = (as_of, source)
 
     def apply_pending_proofs(self) -> None:
-        """Use the proofs of versions that are in force now."""
+        """Record the pending proofs of versions that are in force now."""
         version = self.announcements.table.version
         for one in [known for known in self.pending if known <= version]:
             self.record_proof(*self.pending.pop(one))
 
     def add_age(self, answer: Json, received_at: float) -> None:
-        """Add the age to an answer that states the version in force.
+        """Add the age to a response that states the version in force.
 
-        It goes with answers only: who asked dates it from the question. So it is
-        the age at which the question arrived, below 0 if the answer waited since.
+        Only responses carry it, since the requester subtracts it from the time of its
+        request. It is the age when the request arrived, and negative if a proof was
+        recorded while the response was held.
 
-        :param received_at: when the question arrived, by `Clock.boottime`.
+        :param received_at: when the request arrived, by `Clock.boottime`.
         """
         if self.as_of > -math.inf:
             age = received_at - self.as_of
@@ -77,16 +78,16 @@
     def read_age(
         self, answer: Json, version: int, requested_at: float, source: str
     ) -> None:
-        """Take over what the answer of another host proves.
+        """Record what the response of another host proves.
 
-        :param version: in force at that host.
-        :param requested_at: when it was asked, by `Clock.boottime`.
-        :raises WireError: if the age has another form.
+        :param version: version in force at that host.
+        :param requested_at: when the request was sent, by `Clock.boottime`.
+        :raises WireError: if the age is not an integer.
         """
         age = answer.get(AGE_FIELD)
         if age is None:
             return
         if type(age) is not int:
-            raise WireError("an age in milliseconds is expected")
-        at = min(requested_at - age / MS_PER_SECOND, self.clock.boottime())
-        self.record_version_proof(version, at, source)
+            raise WireError("configuration age is not an integer of milliseconds")
+        as_of = min(requested_at - age / MS_PER_SECOND, self.clock.boottime())
+        self.record_version_proof(version, as_of, source)
--- a/src/reedhook/process/discovery/freshness_prover.py
+++ b/src/reedhook/process/discovery/freshness_prover.py
@@ -1,4 +1,4 @@
-"""Questions whose answers prove how new the configuration of this host is."""
+"""Queries that keep the age bound of this host's configuration low."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -11,43 +11,42 @@
 from .key_value_store import KeyValueStore, KeyValueStoreError
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
-"""Seconds between two looks at the age of what is known."""
 
 QUERY_AGE_SECONDS: Final = 1.0
-"""Seconds of age from which on the first host of all asks the store, and relays ask
-that host; all others are told with heartbeats."""
+"""Age from which on the first host queries the store and relays query that host. Other
+hosts receive proofs with heartbeats."""
 
 AGE_JITTER_FRACTION: Final = 0.5
-"""Share of the age by which hosts wait differently long."""
+"""Jitter of the age limit, as a share of it."""
 
 FALLBACK_AGE_SECONDS: Final = 2.5
-"""Seconds of age from which on a host asks itself that is no relay: it has heard
-nothing of those that are."""
+"""Age from which on a host that is not a relay sends queries itself, since it gets no
+proofs from the relays."""
 
 RETRY_PAUSE_SECONDS: Final = 1.0
-"""Seconds between two questions of a host that got no answer."""
+"""Pause after a failed query."""
 
 RESPONSE_TIMEOUT_SECONDS: Final = 0.5
-"""Seconds for an answer; a slow store takes 240 ms."""
+"""Timeout of a call to the store."""
 
 EMPTY_PREFIX: Final = "reedhook/none/"
-"""Begins no key, so that the answer holds the store's revision only."""
+"""Matches no key, so that the response holds only the store's revision."""
 
 
 class FreshnessProver:
-    """Have proved what is known before it gets old, by the store or another host.
+    """Renew the proof of configuration freshness, from the store or another host.
 
-    A question for changes is held for seconds, and proves no more than the moment
-    at which it was asked. The store's revision is told at once. It is a proof as soon
-    as everything up to it is known here. One host asks the store so, as long as the
-    relays of the zones hear from it.
+    A held request for changes proves only the time at which it was sent. The store's
+    revision is returned at once and proves the time of its request as soon as this
+    host knows everything up to it. One host queries the store, and the relays of the
+    zones query that host.
 
     :param me: this host.
-    :param first_host: returns the host that asks the store.
-    :param is_relay: says whether this host follows the store for its zone.
-    :param query_host: has another host tell how old at most its configuration is.
-    :ivar awaited: the revision of the last answer that is not known up to here yet,
-        and when it was asked for.
+    :param first_host: returns the host that queries the store.
+    :param is_relay: returns whether this host follows the store for its zone.
+    :param query_host: queries the configuration age of another host.
+    :ivar awaited: revision of the last response that is not applied here yet, and
+        when it was requested.
     """
 
     def __init__(
@@ -74,7 +73,7 @@
         self.awaited: tuple[int, float] | None = None
 
     async def run(self) -> None:
-        """Keep what is known proved until cancelled."""
+        """Renew the proof whenever it gets too old, until cancelled."""
         limit = self.limit()
         while True:
             await self.clock.sleep(CHECK_INTERVAL_SECONDS)
@@ -92,22 +91,22 @@
         return bool(self.announcements.table.workspaces.by_name)
 
     def waits(self) -> bool:
-        """Return whether the last answer may still become a proof worth waiting for."""
+        """Return whether the last response may still become a recent proof."""
         if self.awaited is None:
             return False
         return self.clock.boottime() - self.awaited[1] < QUERY_AGE_SECONDS
 
     def limit(self) -> float:
-        """Return the age at which to ask next."""
-        least = (
+        """Return the age at which to send the next query, with jitter."""
+        base_age = (
             QUERY_AGE_SECONDS
             if self.is_relay() or self.first_host() == self.me
             else FALLBACK_AGE_SECONDS
         )
-        return least * self.random.uniform(1.0, 1.0 + AGE_JITTER_FRACTION)
+        return base_age * self.random.uniform(1.0, 1.0 + AGE_JITTER_FRACTION)
 
     async def query(self) -> bool:
-        """Ask the first host, or the store in its place; return whether that helped."""
+        """Query the first host, else the store; return whether one responded."""
         first = self.first_host()
         if first is not None and first != self.me:
             await self.query_host(first)
@@ -116,8 +115,8 @@
         return await self.query_store()
 
     async def query_store(self) -> bool:
-        """Ask for the store's revision; return whether there was an answer."""
-        asked = self.clock.boottime()
+        """Query the store's revision; return whether the store responded."""
+        requested_at = self.clock.boottime()
         try:
             found = await self.keyspace.list(EMPTY_PREFIX, RESPONSE_TIMEOUT_SECONDS)
         except KeyValueStoreError as error:
@@ -127,15 +126,15 @@
                 error=str(error),
             )
             return False
-        self.awaited = (found.revision, asked)
+        self.awaited = (found.revision, requested_at)
         self.apply_awaited_proof()
         return True
 
     def apply_awaited_proof(self) -> None:
-        """Use the last answer once everything up to its revision is known."""
+        """Record the awaited proof once everything up to its revision is known."""
         if self.awaited is None:
             return
-        revision, asked = self.awaited
+        revision, requested_at = self.awaited
         if self.announcements.mirror.revision >= revision:
-            self.freshness.record_proof(asked)
+            self.freshness.record_proof(requested_at)
             self.awaited = None
--- a/src/reedhook/process/discovery/host_capacities.py
+++ b/src/reedhook/process/discovery/host_capacities.py
@@ -1,4 +1,4 @@
-"""How much work hosts can bear, as they announce it."""
+"""Announced capacities of hosts."""
 
 from typing import Final
 
@@ -7,26 +7,27 @@
 from .key_value_store import Item
 
 LINK_MBPS_PER_CORE: Final = 20.0
-"""Mbit/s that one core can fill: it passes on about 600 statements a second, each
-with 2 KB each way, and half of the link is left for what is sent again."""
+"""Link bandwidth for the statements that one core forwards, with half of the link
+reserved for retransmissions."""
 
 WEAK_FRACTION: Final = 0.5
-"""Share of the strongest host's capacity below which a host is weak."""
+"""Share of the highest capacity below which a host is weak."""
 
 
 def capacity(cores: float, link_mbps: float) -> float:
-    """Return what a host can bear, in cores."""
+    """Return the capacity of a host in cores, limited by its link."""
     return min(cores, link_mbps / LINK_MBPS_PER_CORE)
 
 
 class HostCapacities:
-    """Tell which hosts are weak.
+    """Keep the capacities of hosts and determine which hosts are weak.
 
-    The home of a busy target does the work of many hosts. Weak ones are homes,
-    or use a primary, only where no other can: in a deployment of mixed hosts a
-    weak one at its limit makes all that depends on it late.
+    The home of a busy target runs statements for many hosts, and delays all of them
+    when overloaded. Weak hosts are therefore homes, or hold a primary lease, only
+    where no other host can.
 
-    :ivar known: capacities of hosts by name, in cores.
+    :ivar known: capacities in cores, by host ID.
+    :ivar most: the highest of them.
     """
 
     def __init__(self, announcements: Announcements) -> None:
@@ -35,20 +36,20 @@
         announcements.on_host_item.append(self.handle_item)
 
     def handle_item(self, item: Item) -> None:
-        """Take over what a host announces.
+        """Apply the announcement of a host.
 
-        One that has gone keeps its figure: it mostly comes back.
+        The capacity of a host that is gone is kept, since most hosts come back.
         """
         if not item.key.startswith(HOSTS_KEY_PREFIX) or item.value is None:
             return
         try:
-            found = float(decode(item.value)["capacity"])
+            announced = float(decode(item.value)["capacity"])
         except (WireError, LookupError, TypeError, ValueError):
-            # An entry without a figure leaves the host unknown.
+            # Without a valid capacity the host stays unknown.
             return
-        self.known[item.key[len(HOSTS_KEY_PREFIX) :]] = found
+        self.known[item.key[len(HOSTS_KEY_PREFIX) :]] = announced
         self.most = max(self.known.values())
 
     def is_weak(self, host: str) -> bool:
-        """Return whether others bear more than twice as much."""
+        """Return whether a host has less than half of the highest capacity."""
         return self.known.get(host, self.most) < WEAK_FRACTION * self.most
--- a/src/reedhook/process/discovery/host_registration.py
+++ b/src/reedhook/process/discovery/host_registration.py
@@ -1,4 +1,4 @@
-"""This host's entry in the store, and those of the others."""
+"""Registration of this host in the store, and discovery of the others."""
 
 from random import Random
 from typing import Final
@@ -16,27 +16,26 @@
 )
 
 STORE_LEASE_SECONDS: Final = 60.0
-"""Seconds after which the entry of a host that is gone vanishes; other hosts
-know long before from heartbeats, so that it only tells newcomers."""
+"""Lifetime of the entry of a host that is gone. Running hosts detect its loss earlier
+by heartbeats; the entry only serves newly started ones."""
 
 RENEWAL_INTERVAL_SECONDS: Final = 15.0
-"""Seconds between renewals, each a tenth of a call; three may fail."""
+"""A quarter of STORE_LEASE_SECONDS, so that three renewals may fail."""
 
 RESPONSE_TIMEOUT_SECONDS: Final = 1.5
-"""Seconds for an answer of the store."""
 
 WITHDRAW_TIMEOUT_SECONDS: Final = 0.5
-"""Seconds for the last call of a host, which is killed soon."""
+"""Short, since the host is about to be stopped."""
 
 RETRY_SECONDS: Final = 0.5
-"""Seconds until the next try after a failure."""
 
 
 class HostRegistration:
-    """Announce this host and learn where the others are.
+    """Announce this host and track the announced addresses of others.
 
-    :param capacity: what this host can bear, in cores.
-    :ivar refs: the hosts that announce themselves, by key.
+    :param capacity: capacity of this host in cores.
+    :ivar refs: announced hosts by key.
+    :ivar fresh: whether `refs` has changed since `pop_new_addresses` was last called.
     """
 
     def __init__(
@@ -63,7 +62,7 @@
         announcements.on_host_item.append(self.handle_item)
 
     async def run(self) -> None:
-        """Announce this host until cancelled."""
+        """Keep this host announced until cancelled."""
         while True:
             try:
                 await self.renew()
@@ -77,9 +76,9 @@
             await self.clock.sleep(pause * self.random.uniform(0.8, 1.2))
 
     async def renew(self) -> None:
-        """Keep the entry, or write it again if it was taken away.
+        """Renew the lease of the entry, and write the entry if it is missing.
 
-        :raises KeyValueStoreError: if the store does not do so.
+        :raises KeyValueStoreError: if a call to the store fails.
         """
         if self.lease is not None:
             await self.keyspace.renew_lease(self.lease, RESPONSE_TIMEOUT_SECONDS)
@@ -95,17 +94,17 @@
         )
 
     async def withdraw(self) -> None:
-        """Take the entry away, as this host ends."""
+        """Remove the entry before this host shuts down."""
         if self.lease is None:
             return
         try:
             await self.keyspace.revoke_lease(self.lease, WITHDRAW_TIMEOUT_SECONDS)
         except KeyValueStoreError as error:
-            # The lease runs out by itself.
+            # The lease expires by itself.
             self.decisions.record("registration_unanswered", error=str(error))
 
     def handle_item(self, item: Item) -> None:
-        """Take note of where a host is, or that it has gone."""
+        """Apply the announcement of a host, or its deletion."""
         if not item.key.startswith(HOSTS_KEY_PREFIX):
             return
         ref = read_host(item)
@@ -116,14 +115,14 @@
             self.fresh = True
 
     def pop_new_addresses(self) -> list[str]:
-        """Return `addresses` if there are any that were not returned before."""
+        """Return `addresses` if a host was added or changed since the last call."""
         fresh, self.fresh = self.fresh, False
         return self.addresses() if fresh else []
 
     def addresses(self) -> list[str]:
-        """Return where the hosts are that announce themselves.
+        """Return the addresses of the announced hosts.
 
-        Those of this zone come first, each part in a random order.
+        Hosts of this zone come first; within each group the order is random.
         """
         refs = list(self.refs.values())
         self.random.shuffle(refs)
@@ -132,7 +131,7 @@
 
 
 def read_host(item: Item) -> HostRef | None:
-    """Return the host of an entry, or None if it is malformed or was deleted."""
+    """Return the host of an entry, or None if it is malformed or deleted."""
     try:
         return HostRef.from_json(decode(item.value or b"")["host"])
     except (WireError, LookupError, TypeError):
--- a/src/reedhook/process/discovery/key_value_store.py
+++ b/src/reedhook/process/discovery/key_value_store.py
@@ -1,4 +1,4 @@
-"""Interface of a store with conditions, leases and a history of changes."""
+"""Interface of a key-value store with conditional writes, leases and a change log."""
 
 from abc import ABC, abstractmethod
 
@@ -6,33 +6,33 @@
 
 
 class KeyValueStoreError(Exception):
-    """Say that the store gave no usable answer; base of the errors below."""
+    """A call to the store failed; base class of the errors below."""
 
 
 class StoreUnansweredError(KeyValueStoreError):
-    """Say that no answer came; a change may take effect, also later."""
+    """No response; a write may have taken effect or may still do so."""
 
 
 class StoreRejectedError(KeyValueStoreError):
-    """Say that the store was asked and has done nothing."""
+    """The store rejected the call; nothing was done."""
 
 
 class RevisionConflictError(StoreRejectedError):
-    """Say that the key's revision was not the expected one."""
+    """The revision of the key was not the expected one."""
 
 
 class StoreLeaseExpiredError(StoreRejectedError):
-    """Say that there is no such lease any more."""
+    """The lease has expired or was revoked."""
 
 
 class HistoryCompactedError(StoreRejectedError):
-    """Say that the changes asked for are no longer kept."""
+    """The requested changes are no longer in the history."""
 
 
 class Item(Record):
-    """Carry a key with its value; a value of None says that it was deleted.
+    """Carry a key with its value; the value is None if the key was deleted.
 
-    :param revision: of its last change.
+    :param revision: revision of its last change.
     """
 
     __slots__ = ("key", "value", "revision")
@@ -44,9 +44,9 @@
 
 
 class Items(Record):
-    """Carry items as they stood at a revision of the whole store.
+    """Carry items as of a revision of the whole store.
 
-    :param transfer_seconds: seconds from their first byte to the last.
+    :param transfer_seconds: time between the first and the last byte received.
     """
 
     __slots__ = ("items", "revision", "transfer_seconds")
@@ -60,29 +60,29 @@
 
 
 class KeyValueStore(ABC):
-    """Read and change keys; timeouts are in seconds.
+    """Read and write keys; timeouts are in seconds.
 
-    An answer that arrives bit by bit is waited for as long as it goes on. All
-    methods raise `KeyspaceError`.
+    A response in progress does not time out while data keeps arriving. All methods
+    may raise `KeyValueStoreError`.
     """
 
     @abstractmethod
     async def get(self, key: str, timeout: float) -> Item | None:
-        """Return the item as it is now, or None."""
+        """Return the current item, or None if there is none."""
 
     @abstractmethod
     async def list(self, prefix: str, timeout: float) -> Items:
-        """Return all items whose keys begin so, oldest state of `at`."""
+        """Return all items whose keys begin with `prefix`."""
 
     @abstractmethod
     async def changes(
         self, prefix: str, after: int, hold: float, margin: float
     ) -> Items:
-        """Return the changes after a revision, at the latest after `hold`.
+        """Return the changes after revision `after`, waiting for one if necessary.
 
-        :param hold: seconds for which the store is to wait for a change.
-        :param margin: seconds beyond them after which its silence is a failure.
-        :raises HistoryGone: if they are no longer kept.
+        :param hold: seconds for which the store waits for a change.
+        :param margin: seconds after `hold` before a missing response is a failure.
+        :raises HistoryCompactedError: if the changes are no longer kept.
         """
 
     @abstractmethod
@@ -94,27 +94,28 @@
         timeout: float,
         lease: int = 0,
     ) -> int:
-        """Write if the key's revision is `expected`; return the new one.
+        """Write a key if its revision is `expected`; return the new revision.
 
-        :param expected: 0 for a key that must not exist, None for any state.
-        :raises Conflict: if the revision differs; nothing was done.
+        :param expected: 0 if the key must not exist, None for an unconditional write.
+        :param lease: ID of the lease that the key is attached to, or 0.
+        :raises RevisionConflictError: if the revision differs; nothing was done.
         """
 
     @abstractmethod
     async def grant_lease(self, seconds: float, timeout: float) -> int:
-        """Return a new lease that ends unless it is kept."""
+        """Create a lease that expires unless it is renewed; return its ID."""
 
     @abstractmethod
     async def renew_lease(self, lease: int, timeout: float) -> None:
         """Renew a lease.
 
-        :raises LeaseEnded: if it has ended.
+        :raises StoreLeaseExpiredError: if it has expired.
         """
 
     @abstractmethod
     async def revoke_lease(self, lease: int, timeout: float) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close the connections."""
--- a/src/reedhook/process/discovery/route_table_transfer.py
+++ b/src/reedhook/process/discovery/route_table_transfer.py
@@ -1,4 +1,4 @@
-"""The operators' configuration between hosts: who fetches it, and from whom."""
+"""Transfer of the operators' configuration between hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,41 +18,36 @@
 TABLE_PATH: Final = "table"
 
 RESPONSE_TIMEOUT_SECONDS: Final = 2.0
-"""Seconds for an answer: a portion takes 0.13 s over a link of 1 Mbit/s, and shares
-it with another one and with statements."""
+"""Timeout for one portion on a slow link shared with statements."""
 
 MAX_PORTION_CHARACTERS: Final = 16384
-"""Characters of one answer. A long difference is fetched portion by portion, so that
-none of it is sent twice where a link is slow: in one piece, 130 KB for each of
-16 hosts of a zone came too late over 1 Mbit/s, and were asked for again."""
+"""Limit of one response. A long delta is sent in portions, so that it is not sent
+again as a whole after a timeout on a slow link."""
 
 RETRY_PAUSE_SECONDS: Final = 0.15
-"""Seconds until another host is asked after one that was busy or silent; within a
-second a version is at hosts enough for all others."""
+"""Pause before trying another host after a busy or unresponsive one."""
 
 MAX_TRIES: Final = 12
-"""Hosts that are asked in turn; the next heartbeat of any host starts anew."""
+"""Attempts of one fetch; the next heartbeat of any host starts a new one."""
 
 MAX_KEPT_TABLES: Final = 4
-"""Configurations from which differences are made; in a series of versions most
-hosts are at one of the last few."""
+"""Configurations kept as bases of deltas; most hosts have one of the last versions."""
 
 MAX_CONCURRENT_TRANSFERS: Final = 2
-"""Hosts to which a long difference is sent at once. One that is sent fast is soon
-passed on: what 16 hosts get at a time each has after 16 times as long."""
+"""Limit of concurrent transfers of long deltas: fewer transfers finish sooner, and
+their receivers can then serve other hosts."""
 
 TRANSFER_IDLE_SECONDS: Final = 1.0
-"""Seconds after which a host that asks for no further portion makes room."""
+"""Time without a request after which a transfer no longer counts as active."""
 
 
 class RouteTableServer:
-    """Give the configuration in force to other hosts, as a difference if possible.
+    """Serve the configuration in force to other hosts, as a delta if possible.
 
     :ivar kept: values of the last configurations by digest, the newest last.
-    :ivar packed: differences to the configuration in force, by the digest of what
-        they start from.
-    :ivar sending: hosts to which a long difference is sent, with the time of their
-        last question.
+    :ivar packed: deltas to the configuration in force, by the digest of their base.
+    :ivar sending: active transfers of long deltas: the monotonic time of the last
+        request, by host ID.
     """
 
     def __init__(self, announcements: Announcements, clock: Clock) -> None:
@@ -64,32 +59,34 @@
         announcements.on_table.append(self.keep)
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the peer handler."""
         routes.add(TABLE_PATH, self.handle_request)
 
     def keep(self, table: RouteTable) -> None:
-        """Keep the value of a configuration that came into force."""
+        """Keep the value of a new configuration as a base of later deltas."""
         value = self.announcements.table_value
         self.kept[digest(value)] = value
         while len(self.kept) > MAX_KEPT_TABLES:
-            # The empty one stays, for those that have none of the others.
+            # The empty base stays, for hosts that have no kept configuration.
             del self.kept[list(self.kept)[1]]
         self.packed.clear()
 
     async def handle_request(self, body: Json) -> Json:
-        """Return a portion of the configuration in force, as a difference.
+        """Return a portion of the delta to the configuration in force.
 
-        `host` asks, has the configuration `version` with the `digest`, and wants
-        the portion that begins at `start`. An answer without a difference says that
-        this host is busy, or has nothing newer.
+        The body holds the requesting `host`, the `version` and `digest` of its
+        configuration, and the `start` of the portion. A response without a delta
+        means that this host is busy or has no newer configuration.
         """
         version = self.announcements.table.version
         if version <= non_negative_int_field(body, "version"):
             return {"version": version}
-        known, start = string_field(body, "digest"), non_negative_int_field(
+        base_digest, start = string_field(body, "digest"), non_negative_int_field(
             body, "start"
         )
-        delta = self.difference(known if known in self.kept else EMPTY_DIGEST)
+        delta = self.difference(
+            base_digest if base_digest in self.kept else EMPTY_DIGEST
+        )
         size = len(delta.packed)
         end = start + MAX_PORTION_CHARACTERS
         if size > MAX_PORTION_CHARACTERS and not self.admits(
@@ -100,16 +97,16 @@
         return {"version": version, "delta": portion.to_json(), "size": size}
 
     def difference(self, known: str) -> Delta:
-        """Return the difference from a configuration that is kept."""
+        """Return the delta from a kept configuration to the one in force."""
         if known not in self.packed:
             value = self.announcements.table_value
             self.packed[known] = make_delta(value, self.kept[known])
         return self.packed[known]
 
     def admits(self, host: str, ends: bool) -> bool:
-        """Return whether a portion of a long difference is sent to a host now.
+        """Return whether a portion of a long delta may be sent to a host now.
 
-        :param ends: whether it is the last one.
+        :param ends: whether it is the last portion.
         """
         now = self.clock.monotonic()
         self.sending = {
@@ -126,11 +123,11 @@
 
 
 class RouteTableFetcher:
-    """Fetch configurations that other hosts have and this one lacks.
+    """Fetch newer configurations from other hosts.
 
-    :param holders: returns the hosts that are known to have a version, those of
+    :param holders: returns the hosts known to have a version or a newer one, those of
         this zone first.
-    :ivar wanted: the newest version that is known of.
+    :ivar wanted: the newest version known to exist.
     """
 
     def __init__(
@@ -155,17 +152,17 @@
         self.fetching: asyncio.Task[None] | None = None
 
     def request_version(self, peer: HostRef, version: int) -> None:
-        """Fetch a version that a host says it has, if it is newer."""
+        """Fetch a version that a host reports, unless a fetch is running."""
         self.wanted = max(self.wanted, version)
         if self.fetching is None or self.fetching.done():
             self.fetching = self.background.spawn(self.fetch(peer))
 
     def close(self) -> None:
-        """Fetch nothing any more."""
+        """Cancel the fetch in progress."""
         self.background.cancel()
 
     async def fetch(self, peer: HostRef) -> None:
-        """Ask one host after the other until the wanted version is in force."""
+        """Try one host after the other until the wanted version is in force."""
         for _ in range(MAX_TRIES):
             wanted = self.wanted
             if self.announcements.table.version >= wanted:
@@ -181,12 +178,12 @@
         )
 
     def next(self, peer: HostRef) -> HostRef:
-        """Return whom to ask next."""
+        """Return the host to try next."""
         holders = self.holders(self.announcements.table.version + 1)
         return self.random.choice(holders) if holders else peer
 
     async def fetch_from(self, peer: HostRef) -> bool:
-        """Ask a host; return whether a newer configuration came into force."""
+        """Fetch from one host; return whether a newer configuration is in force."""
         value = self.announcements.table_value
         before = self.announcements.table.version
         try:
@@ -206,15 +203,16 @@
         return self.announcements.table.version > before
 
     async def collect(self, peer: HostRef, version: int, known: str) -> Delta | None:
-        """Fetch a difference, portion by portion.
+        """Fetch a delta, portion by portion.
 
-        :param version: that this host has, with the digest `known`.
-        :returns: None if the host is busy, or goes on to another version.
-        :raises PeerError: if it gives no answer.
+        :param version: version of this host's configuration.
+        :param known: digest of this host's configuration.
+        :returns: None if the peer is busy, or changed to another version meanwhile.
+        :raises PeerError: if it does not respond.
         :raises RefusalError: if it refuses.
-        :raises WireError: if it gives a malformed answer.
+        :raises WireError: if its response is malformed.
         """
-        packed, found = "", ""
+        packed, target_digest = "", ""
         while True:
             body: Json = {
                 "host": self.me.host,
@@ -228,11 +226,11 @@
             if "delta" not in answer:
                 return None
             portion = Delta.from_json(answer["delta"])
-            if packed and portion.digest != found:
+            if packed and portion.digest != target_digest:
                 return None
-            found = portion.digest
+            target_digest = portion.digest
             packed += portion.packed
             if len(packed) >= non_negative_int_field(answer, "size"):
-                return Delta(portion.base, found, packed)
+                return Delta(portion.base, target_digest, packed)
             if not portion.packed:
-                raise WireError("a portion is empty")
+                raise WireError("portion of a configuration delta is empty")
--- a/src/reedhook/process/discovery/store_mirror.py
+++ b/src/reedhook/process/discovery/store_mirror.py
@@ -1,4 +1,4 @@
-"""The store's items as one host knows them, for those that learn from it."""
+"""Local copy of the store's items, from which other hosts are updated."""
 
 from collections import OrderedDict
 from typing import Final
@@ -6,19 +6,19 @@
 from .key_value_store import HistoryCompactedError, Item, Items
 
 KEPT_DELETIONS: Final = 4096
-"""Deletions that are kept; all hosts of the largest deployment may leave and come
-back a few times, each with one entry, before those that follow have asked again."""
+"""Must cover a few restarts of all hosts, each with one entry, between two requests
+of a follower."""
 
 
 class StoreMirror:
-    """Keep items as they stand, and which keys were deleted.
+    """Keep the current items and recent deletions.
 
-    Who asks for what is new since a revision gets the present state of each key
-    that has changed, so that nothing that is superseded is handed on.
+    Changes since a revision consist of the current state of each changed key, without
+    superseded states.
 
-    :ivar revision: the revision up to which everything is known; 0 for nothing.
-    :ivar newest: the highest revision of any item or deletion.
-    :ivar deletions_since: the revision from which on all deletions are known.
+    :ivar revision: revision up to which everything is known; 0 if nothing is known.
+    :ivar newest: highest revision of any item or deletion.
+    :ivar deletions_since: revision from which on all deletions are known.
     """
 
     def __init__(self) -> None:
@@ -29,25 +29,25 @@
         self.deletions_since = 0
 
     def missing(self, keys: set[str]) -> list[Item]:
-        """Return deletions of all items but those with these keys."""
+        """Return deletions of all items except those with these keys."""
         return [Item(key, None, self.revision) for key in self.items.keys() - keys]
 
     def apply(self, found: Items) -> list[Item]:
-        """Take changes over and return those that are news.
+        """Apply changes and return those that are new.
 
-        An older state of a key changes nothing.
+        States older than the known state of a key are ignored.
         """
         if not self.revision:
             self.deletions_since = found.revision
-        news = [item for item in found.items if self.apply_item(item)]
+        changed = [item for item in found.items if self.apply_item(item)]
         self.revision = max(self.revision, found.revision)
         while len(self.deleted) > KEPT_DELETIONS:
             _, oldest = self.deleted.popitem(last=False)
             self.deletions_since = max(self.deletions_since, oldest.revision)
-        return news
+        return changed
 
     def apply_item(self, item: Item) -> bool:
-        """Take one change over; return whether it is news."""
+        """Apply one change; return whether it is new."""
         known = self.items.get(item.key) or self.deleted.get(item.key)
         if known is not None and known.revision >= item.revision:
             return False
@@ -66,16 +66,18 @@
         return self.newest > after
 
     def changes(self, after: int) -> list[Item]:
-        """Return what has changed after a revision.
+        """Return the changes after a revision.
 
-        :raises HistoryGone: if deletions since then may be unknown.
+        :raises HistoryCompactedError: if later deletions may be unknown.
         """
         if after < self.deletions_since:
-            raise HistoryCompactedError(f"deletions after {after} are not known")
+            raise HistoryCompactedError(
+                f"deletions after revision {after} are no longer kept"
+            )
         return self.written(after) + [
             item for item in self.deleted.values() if item.revision > after
         ]
 
     def written(self, after: int) -> list[Item]:
-        """Return the items that were written after a revision."""
+        """Return the items written after a revision."""
         return [item for item in self.items.values() if item.revision > after]
--- a/src/reedhook/process/discovery/store_value_parser.py
+++ b/src/reedhook/process/discovery/store_value_parser.py
@@ -1,4 +1,4 @@
-"""Interface of what reads the values that others keep in the store."""
+"""Interface of parsers for values that the platform keeps in the store."""
 
 from abc import ABC, abstractmethod
 
@@ -6,7 +6,7 @@
 
 
 class StoreValueParser(ABC):
-    """Read the values that others keep in the store."""
+    """Parse values that operators and targets write to the store."""
 
     @abstractmethod
     def is_table(self, key: str) -> bool:
@@ -14,31 +14,31 @@
 
     @abstractmethod
     def is_target(self, key: str) -> bool:
-        """Return whether the key holds what a target announces."""
+        """Return whether the key holds the announcement of a target."""
 
     @abstractmethod
     def target_of(self, key: str) -> str:
-        """Return the id of the target that announces itself under the key."""
+        """Return the ID of the target that announces itself under the key."""
 
     @abstractmethod
     def without_keys(self, value: bytes) -> bytes:
         """Return a configuration with digests in place of callers' keys.
 
-        Only this form is kept, and given to other hosts; `read_table` reads both.
+        Only this form is kept and sent to other hosts; `read_table` accepts both.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
 
     @abstractmethod
     def read_table(self, value: bytes) -> RouteTable:
-        """Read the operators' configuration.
+        """Parse the operators' configuration.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
 
     @abstractmethod
     def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
-        """Read what a target announces.
+        """Parse the announcement of a target.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
--- a/src/reedhook/process/discovery/store_watcher.py
+++ b/src/reedhook/process/discovery/store_watcher.py
@@ -1,4 +1,4 @@
-"""How a host learns what is announced: from the store, or from another host."""
+"""Watch of the store's announcements, directly or through another host."""
 
 from abc import ABC, abstractmethod
 from random import Random
@@ -16,59 +16,53 @@
 
 HOLD_SECONDS: Final = 2.0
 HOLD_MARGIN_SECONDS: Final = 0.5
-"""Seconds for which a question for changes is held, and beyond them, after which
-the store's silence is a failure. Questions can end without a word while a
-configuration is written, which has 3 s to be in force; each is a call."""
+"""Hold time of a request for changes, and the time after it before a missing response
+is a failure. Their sum must stay below the 3 s for a configuration to take effect."""
 
 MIN_HOLD_FRACTION: Final = 0.6
-"""Least share of the hold that a host asks for: one change answers the questions
-of all hosts at once, and the next must not all end together again."""
+"""Minimum share of the hold time. One change ends the requests of all hosts at once;
+jitter keeps their next requests from ending together."""
 
 BATCH_DELAY_SECONDS: Final = 0.6
-"""Seconds between an answer and the next question, so that changes that come
-together cost one call a host; a configuration has 3 s to be in force, and hosts
-tell each other of new leads as soon as a statement depends on it."""
+"""Pause before the next request, so that concurrent changes share one call."""
 
 RESPONSE_TIMEOUT_SECONDS: Final = 1.5
-"""Seconds for an answer of a store that takes 4 ms, or 240 ms when slow."""
 
 SLOW_TRANSFER_SECONDS: Final = 1.0
-"""Seconds for an answer with a configuration after which what was written meanwhile
-is skipped: asked for by its history, each version would cross a link that is too
-thin for one. At 1 Mbit/s, 250 KB take 2.7 s."""
+"""Transfer time of a configuration beyond which intermediate versions are skipped: the
+change log would send each of them over the slow link."""
 
 MIN_RETRY_SECONDS: Final = 0.1
 MAX_RETRY_SECONDS: Final = 1.0
-"""Seconds of the first and the longest pause after a failure; the store is
-back about 2 s before what depends on it counts."""
+"""Limits of the exponential delay after a failure."""
 
 PARTIAL_ANSWER_LIMIT: Final = 100
-"""Changes from which on an answer may hold only a part of them; it proves nothing
-then of the moment at which it was asked for."""
+"""Number of changes from which on a response may be partial, and then does not prove
+freshness as of its request."""
 
 ALL_KEYS_PREFIX: Final = ""
 
 
 class UpdateSource(ABC):
-    """Give news of the store that others have learned."""
+    """Provide store updates from other hosts."""
 
     @abstractmethod
     async def fetch_updates(self) -> bool:
-        """Learn the next news.
+        """Wait for the next updates and apply them.
 
-        :returns: False if this host is to follow the store itself.
+        :returns: False if this host must follow the store itself.
         """
 
 
 class StoreWatcher:
     """Keep the announcements of a host up to date.
 
-    A few hosts of each availability zone follow the store, the others learn from
-    them: each question is a call, and each change crosses the links of all that ask.
+    A few hosts of each availability zone follow the store and relay updates to the
+    others, which limits calls to the store and traffic on its links.
 
-    :param source: gives news from another host.
-    :param freshness: is told what the answers of the store prove.
-    :ivar synchronized: whether everything was read, so that changes suffice.
+    :param source: provides updates from another host.
+    :param freshness: records what the responses of the store prove.
+    :ivar synchronized: whether all items were read, so that changes suffice.
     """
 
     def __init__(
@@ -89,7 +83,7 @@
         self.synchronized = False
 
     async def run(self) -> None:
-        """Learn what is announced until cancelled."""
+        """Apply updates until cancelled, with exponential delays after failures."""
         pause = MIN_RETRY_SECONDS
         while True:
             try:
@@ -101,14 +95,14 @@
                 self.synchronized = False
             except KeyValueStoreError as error:
                 self.announcements.mark_store_lost(error)
-            spread = self.random.uniform(0.5, 1.0)
-            await self.clock.sleep(pause * spread)
+            jitter = self.random.uniform(0.5, 1.0)
+            await self.clock.sleep(pause * jitter)
             pause = min(2 * pause, MAX_RETRY_SECONDS)
 
     async def update(self) -> None:
-        """Learn the next news.
+        """Wait for the next updates and apply them.
 
-        :raises KeyValueStoreError: if the store gives no answer.
+        :raises KeyValueStoreError: if the store does not respond.
         """
         if not self.synchronized:
             await self.read_all()
@@ -119,34 +113,34 @@
             await self.clock.sleep(BATCH_DELAY_SECONDS)
 
     async def read_all(self) -> None:
-        """Read everything anew."""
-        asked = self.clock.boottime()
+        """Read all items from the store."""
+        requested_at = self.clock.boottime()
         found = await self.keyspace.list(ALL_KEYS_PREFIX, RESPONSE_TIMEOUT_SECONDS)
         before = self.announcements.table.version
         self.announcements.mark_store_reached()
         self.announcements.replace(found)
-        self.freshness.record_proof(asked)
+        self.freshness.record_proof(requested_at)
         self.synchronized = True
         self.skip(found, before)
 
     async def follow_store(self) -> None:
         """Wait for the next changes in the store."""
-        at = self.announcements.mirror.revision
-        asked = self.clock.boottime()
+        revision = self.announcements.mirror.revision
+        requested_at = self.clock.boottime()
         found = await self.keyspace.changes(
-            ALL_KEYS_PREFIX, at, self.hold(), HOLD_MARGIN_SECONDS
+            ALL_KEYS_PREFIX, revision, self.hold(), HOLD_MARGIN_SECONDS
         )
         before = self.announcements.table.version
         self.announcements.mark_store_reached()
         self.announcements.apply_changes(found)
         if len(found.items) < PARTIAL_ANSWER_LIMIT:
-            self.freshness.record_proof(asked)
+            self.freshness.record_proof(requested_at)
         self.skip(found, before)
 
     def skip(self, found: Items, before: int) -> None:
-        """Have everything read next if a configuration took long to arrive.
+        """Read all items next if the transfer of a configuration was slow.
 
-        :param before: the version in force before it.
+        :param before: the version in force before the response.
         """
         version = self.announcements.table.version
         if found.transfer_seconds > SLOW_TRANSFER_SECONDS and version > before:
@@ -158,5 +152,5 @@
             self.synchronized = False
 
     def hold(self) -> float:
-        """Return for how long to hold a question."""
+        """Return the hold time of the next request, with jitter."""
         return HOLD_SECONDS * self.random.uniform(MIN_HOLD_FRACTION, 1.0)
--- a/src/reedhook/process/discovery/update_source.py
+++ b/src/reedhook/process/discovery/update_source.py
@@ -1,4 +1,4 @@
-"""News of the store between hosts of an availability zone."""
+"""Propagation of store updates between hosts of an availability zone."""
 
 import asyncio
 from base64 import b64decode, b64encode
@@ -19,29 +19,28 @@
 UPDATES_PATH: Final = "news"
 
 HOLD_SECONDS: Final = 2.0
-"""Seconds for which a question for news is held, and after which its answer shows
-that the host asked still lives."""
+"""Hold time of an update request without updates; the response then shows that the
+relay is alive."""
 
 MAX_HOLD_SECONDS: Final = 10.0
-"""Seconds for which a question is held at most, whatever the asker wishes."""
+"""Upper limit of the hold time that a requester may set."""
 
 HOLD_MARGIN_SECONDS: Final = 0.5
-"""Seconds beyond the hold after which a silent host is not asked for a while; a
-target that leaves is to be known in 7 s, both hosts of a zone silent."""
+"""Time after the hold before a missing response is a failure. A leaving target must be
+known within 7 s even if both relays of a zone are unresponsive."""
 
 AVOID_SECONDS: Final = 3.0
-"""Seconds for which a host is not asked that was silent, or does not reach the
-store itself."""
+"""Time for which an unresponsive relay, or one without access to the store, is not
+used."""
 
 BATCH_DELAY_SECONDS: Final = 0.1
-"""Seconds between two answers to one asker, so that changes that come together
-make one answer."""
+"""Pause between requests, so that concurrent changes share one response."""
 
 MS_PER_SECOND: Final = 1000.0
 
 
 class UpdateServer:
-    """Tell other hosts what is new in the store, and how surely it is all."""
+    """Serve store updates to other hosts, with the age of the configuration."""
 
     def __init__(
         self,
@@ -54,16 +53,16 @@
         self.freshness = freshness
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the peer handler."""
         routes.add(UPDATES_PATH, self.handle_request)
 
     async def handle_request(self, body: Json) -> Json:
-        """Return news once there is some, or what stands after the hold.
+        """Return updates as soon as there are any, or an empty response after the hold.
 
-        `after` is the revision that the asker knows, `version` its configuration,
-        `hold_ms` how long the answer may wait.
+        The body holds `after`, the revision known to the requester, `version`, its
+        configuration version, and `hold_ms`, the hold time.
         """
-        received = self.clock.boottime()
+        received_at = self.clock.boottime()
         after, version = non_negative_int_field(body, "after"), non_negative_int_field(
             body, "version"
         )
@@ -75,21 +74,21 @@
                 while not self.has_updates(after, version):
                     await self.announcements.updated.wait()
         except TimeoutError:
-            # Nothing new, as mostly: the answer shows that this host lives.
+            # No updates: the response only shows that this host is alive.
             pass
         answer = self.message(after)
-        self.freshness.add_age(answer, received)
+        self.freshness.add_age(answer, received_at)
         return answer
 
     def has_updates(self, after: int, version: int) -> bool:
-        """Return whether this host knows something that the asker does not."""
+        """Return whether there are updates for a requester with this state."""
         known = self.announcements
         return known.table.version > version or known.mirror.changed_after(after)
 
     def message(self, after: int) -> Json:
-        """Return what is new after a revision.
+        """Return the response with the updates after a revision.
 
-        Where deletions since then are not known, `keys` says what is left.
+        If deletions since then are not known, `keys` lists the remaining keys.
         """
         known = self.announcements
         keys = None
@@ -109,11 +108,13 @@
 
 
 class PeerUpdateSource(UpdateSource):
-    """Learn from the hosts that follow the store for this one's zone.
+    """Fetch store updates from the relays of this host's zone.
 
-    :param relays: returns those hosts, this one perhaps among them.
-    :param on_version: is told of a host and the version of its configuration.
-    :ivar avoided: until when a host is not asked, by monotonic time.
+    :param relays: returns the hosts that follow the store for the zone; may include
+        this one.
+    :param on_version: receives a host with a newer configuration and its version.
+    :ivar avoided: monotonic time until which a relay is not used, by host ID.
+    :ivar last: the relay used last.
     """
 
     def __init__(
@@ -149,48 +150,48 @@
             "version": self.announcements.table.version,
             "hold_ms": int(HOLD_SECONDS * MS_PER_SECOND),
         }
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             answer = await self.peers.call(
                 relay, UPDATES_PATH, body, HOLD_SECONDS + HOLD_MARGIN_SECONDS
             )
             reached = self.apply_response(relay, answer)
             version = non_negative_int_field(answer, "version")
-            self.freshness.read_age(answer, version, asked, relay.host)
+            self.freshness.read_age(answer, version, requested_at, relay.host)
         except (PeerError, RefusalError, WireError) as error:
             self.avoid(relay, str(error))
             return True
         if not reached:
-            self.avoid(relay, "it does not reach the store")
+            self.avoid(relay, "relay does not reach the store")
         await self.clock.sleep(BATCH_DELAY_SECONDS)
         return True
 
     def choose(self) -> HostRef | None:
-        """Return the host to ask; None if this one follows the store.
+        """Return the relay to use; None if this host follows the store.
 
-        Half of the zone asks each of two, and stays there.
+        A random relay is chosen and kept, so that requests spread over the relays.
         """
         relays = self.relays()
         if self.me in relays:
             return None
         now = self.clock.monotonic()
-        left = [ref for ref in relays if self.avoided.get(ref.host, now) <= now]
-        if not left:
+        usable = [ref for ref in relays if self.avoided.get(ref.host, now) <= now]
+        if not usable:
             return None
-        if self.last not in left:
-            self.last = self.random.choice(left)
+        if self.last not in usable:
+            self.last = self.random.choice(usable)
         return self.last
 
     def avoid(self, relay: HostRef, cause: str) -> None:
-        """Ask a host for nothing for a while, not as long as others do."""
+        """Do not use a relay for a while, with jitter between hosts."""
         pause = AVOID_SECONDS * self.random.uniform(0.5, 1.0)
         self.avoided[relay.host] = self.clock.monotonic() + pause
         self.decisions.record("news_unanswered", relay=relay.host, cause=cause)
 
     def apply_response(self, relay: HostRef, answer: Json) -> bool:
-        """Take news over; return whether they come from the store.
+        """Apply a response; return whether the relay reaches the store.
 
-        :raises WireError: if they are malformed.
+        :raises WireError: if it is malformed.
         """
         self.announcements.apply_changes(decode_items(answer))
         keys = answer.get("keys")
@@ -206,16 +207,16 @@
 
 
 def encode_item(item: Item) -> list[Any]:
-    """Return an item as it stands between hosts."""
+    """Return the form of an item sent to other hosts."""
     value = None if item.value is None else b64encode(item.value).decode()
     return [item.key, item.revision, value]
 
 
 @wraps_decode_errors
 def decode_items(message: Json) -> Items:
-    """Read items from another host.
+    """Decode items of another host.
 
-    :raises WireError: if they have another form.
+    :raises WireError: if they are malformed.
     """
     items = []
     for key, revision, value in message["items"]:
--- a/src/reedhook/process/rates/operation_allowance.py
+++ b/src/reedhook/process/rates/operation_allowance.py
@@ -1,28 +1,27 @@
-"""What the home of a target may admit of one workspace's operations."""
+"""Operations of one workspace that this host may admit."""
 
 import asyncio
 import math
 from typing import Final
 
 DEMAND_AVERAGE_SECONDS: Final = 3.0
-"""Seconds over which the demand of a workspace is averaged; longer than most grants
-last, so that one operation is not taken for a stream of them."""
+"""Time constant of the demand average; longer than most grants last, so that one
+operation does not count as a steady stream."""
 
 
 class OperationAllowance:
-    """Keep what may be admitted of one workspace.
+    """Track the granted operations of one workspace.
 
-    :ivar left: operations.
-    :ivar until: when they are void, by `Clock.boottime`.
-    :ivar limited_until: until when nothing more is to be had.
-    :ivar owner_unreachable: whether that is so since no host answers that counts.
-    :ivar demand: operations per second of late.
-    :ivar waiting: operations that wait for a grant.
-    :ivar owner: the host that granted last.
-    :ivar unreported: operations that others have granted since, by host that has
-        granted
-        some before.
-    :ivar request_task: the question in progress.
+    :ivar left: granted operations that are not used yet.
+    :ivar until: when they expire, by `Clock.boottime`.
+    :ivar limited_until: until when no further grant is requested.
+    :ivar owner_unreachable: whether that is because no owner responded.
+    :ivar demand: recent operations per second.
+    :ivar waiting: number of operations waiting for a grant.
+    :ivar owner: ID of the host that made the last grant.
+    :ivar unreported: by earlier granting host, operations that other hosts have
+        granted since its last grant.
+    :ivar request_task: the grant request in progress.
     """
 
     __slots__ = (
@@ -51,27 +50,27 @@
         self.request_task: asyncio.Task[None] | None = None
 
     def record_operation(self, now: float) -> None:
-        """Take note of an operation."""
-        fading = math.exp((self.seen_at - now) / DEMAND_AVERAGE_SECONDS)
-        self.demand = self.demand * fading + 1.0 / DEMAND_AVERAGE_SECONDS
+        """Add an operation to the demand average."""
+        decay = math.exp((self.seen_at - now) / DEMAND_AVERAGE_SECONDS)
+        self.demand = self.demand * decay + 1.0 / DEMAND_AVERAGE_SECONDS
         self.seen_at = now
 
     def try_admit(self, now: float) -> bool:
-        """Admit an operation; return whether one was left."""
+        """Use one granted operation; return False if none is left."""
         if self.left < 1 or now > self.until:
             return False
         self.left -= 1
         return True
 
     def discard_expired(self, now: float) -> int:
-        """Return how many of those left are void now, which are given up."""
+        """Discard expired operations and return their number."""
         if now <= self.until:
             return 0
         unused, self.left = self.left, 0
         return unused
 
     def add_grant(self, owner: str, count: int, until: float) -> None:
-        """Take a portion over."""
+        """Add the operations of a grant."""
         self.left += count
         self.until = until
         self.owner = owner
--- a/src/reedhook/process/rates/rate_owner.py
+++ b/src/reedhook/process/rates/rate_owner.py
@@ -1,4 +1,4 @@
-"""The one host that counts the operations of a workspace, and grants them."""
+"""Owner side of workspace rate limits: count operations and grant them."""
 
 import math
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 RATE_PATH: Final = "rate"
 
 RESTRICTED_FRACTION: Final = 0.1
-"""Share of a rate that a host grants which may not be the only one to count. Two
-that count grant that much more together, which the slack of a window bears."""
+"""Share of the rate that a host grants while another one may be the owner as well.
+The excess of two owners must fit into the slack of a window."""
 
 SOLE_OWNER_SECONDS: Final = 2.5
-"""Seconds after which a host that heard nothing of the store, and sees no more than
-half of the hosts, may have been replaced unnoticed, and grants the restricted share."""
+"""Configuration age above which an owner that sees only a minority of hosts may have
+been replaced, and grants only the restricted share."""
 
 MAX_REQUESTED_OPERATIONS: Final = 100_000
 MS_PER_SECOND: Final = 1000.0
 
 
 class GrantRequest(Record):
-    """Carry the question of a home for the next operations of a workspace.
+    """Request operations of a workspace from its owner.
 
-    :param count: operations that are asked for.
-    :param unused: operations of the host asked that are void now and were not used.
-    :param elsewhere: operations that other hosts have granted since it was asked.
+    :param count: requested operations.
+    :param unused: operations granted by this owner that expired unused.
+    :param elsewhere: operations granted by other hosts since this owner's last grant.
     """
 
     __slots__ = ("workspace", "count", "unused", "elsewhere")
@@ -48,13 +48,16 @@
         self.elsewhere = elsewhere
 
     def to_json(self) -> Json:
-        """Return the question as it stands between hosts."""
+        """Return the form sent to other hosts."""
         return {name: getattr(self, name) for name in self.__slots__}
 
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "GrantRequest":
-        """Read a question of another host."""
+        """Decode a request of another host.
+
+        :raises WireError: if it is malformed.
+        """
         counts = [non_negative_int_field(message, name) for name in cls.__slots__[1:]]
         return cls(
             string_field(message, "workspace"),
@@ -63,10 +66,10 @@
 
 
 class Grant(Record):
-    """Carry an answer of the host that counts.
+    """Carry the owner's response to a grant request.
 
-    :param count: operations that may be admitted.
-    :param wait: seconds after which to ask again, if they are fewer than asked for.
+    :param count: granted operations.
+    :param wait: seconds after which to retry if fewer were granted than requested.
     """
 
     __slots__ = ("count", "wait")
@@ -76,13 +79,16 @@
         self.wait = wait
 
     def to_json(self) -> Json:
-        """Return the grant as it stands between hosts."""
+        """Return the form sent to other hosts."""
         return {"count": self.count, "wait_ms": math.ceil(self.wait * MS_PER_SECOND)}
 
     @classmethod
     @wraps_decode_errors
     def from_json(cls, message: Json) -> "Grant":
-        """Read a grant of another host."""
+        """Decode a grant of another host.
+
+        :raises WireError: if it is malformed.
+        """
         return cls(
             non_negative_int_field(message, "count"),
             non_negative_int_field(message, "wait_ms") / MS_PER_SECOND,
@@ -90,16 +96,16 @@
 
 
 class RateOwner:
-    """Count the operations of workspaces for which this host is the first in rank.
+    """Count and grant operations of workspaces that this host owns.
 
-    Nothing is kept beyond a life of the process. A host that begins to count starts
-    with a part of the slack, so that what another granted before it is within bounds.
+    Counts are not persisted. A new owner starts with a part of the slack only, so that
+    its grants and those of the previous owner together stay within the tolerance.
 
-    :param cut_off: says whether no other availability zone is reached.
-    :param sees_most: says whether most hosts are seen to live.
-    :param report_silent: has a host looked at that others found silent.
-    :ivar buckets: what is left to grant, by workspace.
-    :ivar restricted: workspaces of which others may count the rate as well.
+    :param cut_off: returns whether no other availability zone is reachable.
+    :param sees_most: returns whether a majority of hosts is seen alive.
+    :param report_silent: has a host probed that did not respond to others.
+    :ivar buckets: token buckets by workspace.
+    :ivar restricted: workspaces that another host may own as well.
     """
 
     def __init__(
@@ -127,26 +133,26 @@
         self.restricted: set[str] = set()
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Add the peer handler."""
         routes.add(RATE_PATH, self.handle_request)
 
     async def handle_request(self, body: Json) -> Json:
-        """Grant operations of a `workspace` to the home of a target.
+        """Grant operations to the home of a target.
 
-        See `Ask` for the body.
+        :param body: the form of a `GrantRequest`.
         """
         return self.grant(GrantRequest.from_json(body)).to_json()
 
     def owners(self, name: str) -> list[HostRef]:
-        """Return the hosts that may count the operations of a workspace, in rank."""
+        """Return the hosts that may own a workspace, in rank."""
         return self.directory.ranked(f"{RATE_PATH} {name}", "")
 
     def first(self, name: str) -> HostRef | None:
-        """Return the host that counts the operations of a workspace."""
+        """Return the owner of a workspace, as known here."""
         return self.directory.home(f"{RATE_PATH} {name}", "")
 
     def grant(self, request: GrantRequest) -> Grant:
-        """Grant as many operations of a workspace as there are left."""
+        """Grant as many of the requested operations as are available."""
         workspace = self.workspaces().by_name.get(request.workspace)
         if workspace is None or workspace.rate is None or workspace.rate <= 0.0:
             return Grant(0, 1.0)
@@ -160,14 +166,14 @@
         )
 
     def reset(self, cause: str) -> None:
-        """Begin to count anew, since another host may have counted meanwhile."""
+        """Discard all counts, since another host may have been the owner meanwhile."""
         if self.buckets:
             self.decisions.record("rates_reset", cause=cause, count=len(self.buckets))
         self.buckets.clear()
         self.restricted.clear()
 
     def bucket(self, workspace: Workspace, rate: float, now: float) -> TokenBucket:
-        """Return what is left to grant, by the rate that holds here now."""
+        """Return the token bucket of a workspace, set to the rate to apply now."""
         name = workspace.name
         start = self.tolerance.start(workspace, rate)
         sole = self.is_sole(name)
@@ -189,10 +195,10 @@
         return bucket
 
     def is_sole(self, name: str) -> bool:
-        """Return whether no other host is expected to count the workspace."""
+        """Return whether no other host is expected to own the workspace."""
         first = self.first(name)
         if first is not None and first != self.directory.me:
-            # Who asks here has found the first one silent.
+            # The requesting host got no response from the first owner.
             self.report_silent(first.host)
             return False
         if self.cut_off():
--- a/src/reedhook/process/rates/rate_tolerance.py
+++ b/src/reedhook/process/rates/rate_tolerance.py
@@ -1,4 +1,4 @@
-"""How strictly the rates of workspaces are held."""
+"""Tolerance of workspace rate limits, and the limits derived from it."""
 
 from typing import Final
 
@@ -6,27 +6,27 @@
 from ...version.workspace import Workspace
 
 MAX_GRANT_SECONDS: Final = 2.0
-"""Seconds for which operations that were granted may be admitted at the most."""
+"""Maximum lifetime of a grant."""
 
 GRANT_SLACK_FRACTION: Final = 0.5
-"""Share of the slack that grants which are not used at once may take up."""
+"""Share of the slack for unused grants, which may be used in the next window."""
 
 INITIAL_SLACK_FRACTION: Final = 0.25
-"""Share of the slack that a host may grant at once as it begins to count: what the
-one before it has granted of late is not known to it."""
+"""Share of the slack that a new owner may grant at once, since it does not know what
+the previous owner granted recently."""
 
 BURST_SLACK_FRACTION: Final = 0.2
-"""Share of the slack by which the host that counts allows more at once, since what
-it grants is not used at once everywhere."""
+"""Share of the slack added to the burst at the owner, since hosts do not use their
+grants at once."""
 
 
 class RateTolerance(Record):
-    """Say by how much a workspace may exceed its rate in any window.
+    """Define by how much a workspace may exceed its rate in any window.
 
     In a window, (rate * window + burst) * (1 + overshoot) + slack operations may run.
 
     :param window: seconds.
-    :param overshoot: share of what the rate and the burst allow.
+    :param overshoot: fraction of the operations that rate and burst allow.
     :param slack: operations.
     """
 
@@ -42,18 +42,18 @@
         return (rate * self.window + workspace.burst) * self.overshoot + self.slack
 
     def start(self, workspace: Workspace, rate: float) -> float:
-        """Return the operations that a host may grant as it begins to count."""
+        """Return the operations that a new owner may grant at once."""
         return INITIAL_SLACK_FRACTION * self.spare(workspace, rate)
 
     def burst_limit(self, workspace: Workspace, rate: float) -> float:
-        """Return the operations that may be granted at once after a pause."""
+        """Return the operations that may be granted at once after idle time."""
         extra = BURST_SLACK_FRACTION * self.spare(workspace, rate)
         return max(workspace.burst + extra, self.start(workspace, rate), 1.0)
 
     def grant_seconds(self, workspace: Workspace, rate: float) -> float:
-        """Return the seconds for which a grant may be used.
+        """Return the lifetime of a grant in seconds.
 
-        What is granted in a window and used in the next one is beyond the rate there.
+        Operations granted in one window and used in the next exceed the rate there.
         """
         return min(
             MAX_GRANT_SECONDS, GRANT_SLACK_FRACTION * self.spare(workspace, rate) / rate
@@ -61,4 +61,4 @@
 
 
 DEFAULT_TOLERANCE: Final = RateTolerance(5.0, 0.1, 20.0)
-"""Hold where the platform states nothing else."""
+"""Applies unless the platform specifies another tolerance."""
--- a/src/reedhook/process/rates/workspace_rate_limiter.py
+++ b/src/reedhook/process/rates/workspace_rate_limiter.py
@@ -1,4 +1,4 @@
-"""What the home of a target may admit of each workspace's operations."""
+"""Admission of operations at homes, within the rate limits of workspaces."""
 
 import asyncio
 import math
@@ -17,24 +17,23 @@
 from .rate_tolerance import RateTolerance
 
 REQUEST_TIMEOUT_SECONDS: Final = 0.15
-"""Seconds for the answer of the host that counts, which takes some 3 ms."""
+"""Timeout of a grant request to the owner."""
 
 AVOID_SECONDS: Final = 1.0
-"""Seconds for which a silent host is not asked; until then it is known to be lost."""
+"""Time for which an unresponsive host gets no requests; membership detects its loss
+within that time."""
 
 MAX_TRIES: Final = 2
-"""Hosts in rank that are asked for one grant."""
+"""Hosts tried for one grant, in rank."""
 
 PREFETCH_OPERATIONS: Final = 2.0
-"""Operations expected in the life of a grant from which on the next one is asked
-for before it is needed."""
+"""Expected operations per grant from which on the next grant is requested early."""
 
 MIN_PAUSE_SECONDS: Final = 0.02
 MAX_PAUSE_SECONDS: Final = 0.5
-"""Seconds after which a host that had nothing to grant is asked again."""
+"""Limits of the pause after an owner had nothing to grant."""
 
 MIN_RETRY_MS: Final = 50
-"""The least time after which callers come back, in milliseconds."""
 
 MS_PER_SECOND: Final = 1000.0
 
@@ -42,9 +41,8 @@
 class WorkspaceRateLimiter:
     """Admit operations at the homes of this host, each counted once.
 
-    Operations are granted in portions by the host that counts a workspace. They
-    follow the demand here, and are void soon after they were asked for, so that
-    those which are not used anywhere stay within the slack.
+    The owner of a workspace grants operations in portions sized by the local demand.
+    Grants expire soon after the request, so that unused ones stay within the slack.
     """
 
     def __init__(
@@ -70,7 +68,7 @@
     async def admit(self, name: str) -> None:
         """Admit one operation of a workspace.
 
-        :raises RefusalError: not run, if it is beyond the rate.
+        :raises RefusalError: if it exceeds the rate or no owner responds; nothing ran.
         """
         workspace = self.owner.workspaces().by_name.get(name)
         if workspace is None or workspace.rate is None:
@@ -93,9 +91,9 @@
     async def wait(
         self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> None:
-        """Wait for a grant and take one operation of it.
+        """Wait for a grant and use one operation of it.
 
-        :raises RefusalError: not run, if there is none.
+        :raises RefusalError: if there is none; nothing ran.
         """
         allowance.waiting += 1
         try:
@@ -113,29 +111,32 @@
             allowance.waiting -= 1
 
     def give_back(self, name: str) -> None:
-        """Take back an operation that has reached no target."""
+        """Return an admitted operation that did not reach a target."""
         allowance = self.by_name.get(name)
         if allowance is not None:
             allowance.left += 1
 
     def limited(self, name: str, wait: float) -> RefusalError:
-        """Return the refusal of an operation beyond the rate."""
+        """Return the refusal of an operation that exceeds the rate."""
         detail = f"the workspace {name} exceeds its rate"
         return self.refusal(RefusalReason.RATE_LIMITED, detail, wait)
 
     def unknown(self, name: str, wait: float) -> RefusalError:
-        """Return the refusal of an operation that nobody counts."""
-        detail = f"no host answers that counts the operations of {name}"
+        """Return the refusal of an operation for which no owner responds."""
+        detail = f"no host that counts the operations of {name} responded"
         return self.refusal(RefusalReason.RATE_UNKNOWN, detail, wait)
 
     def refusal(self, reason: RefusalReason, detail: str, wait: float) -> RefusalError:
-        """Return a refusal, with when to come back."""
+        """Count a refusal and return it with a retry delay.
+
+        :param wait: seconds.
+        """
         self.metrics.increment(reason.value)
-        back = max(MIN_RETRY_MS, math.ceil(wait * MS_PER_SECOND))
-        return not_run(reason, detail, back)
+        retry_ms = max(MIN_RETRY_MS, math.ceil(wait * MS_PER_SECOND))
+        return not_run(reason, detail, retry_ms)
 
     def expected(self, workspace: Workspace, allowance: OperationAllowance) -> float:
-        """Return the operations that are expected in the life of a grant."""
+        """Return the operations expected within the lifetime of a grant."""
         assert workspace.rate
         return allowance.demand * self.tolerance.grant_seconds(
             workspace, workspace.rate
@@ -144,7 +145,7 @@
     def start_request(
         self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> "asyncio.Task[None]":
-        """Ask for the next portion, once for all who wait for it."""
+        """Request the next grant; concurrent calls share one request."""
         if allowance.request_task is None or allowance.request_task.done():
             work = self.refill(workspace, rate, allowance)
             allowance.request_task = self.background.spawn(work)
@@ -153,23 +154,23 @@
     async def refill(
         self, workspace: Workspace, rate: float, allowance: OperationAllowance
     ) -> None:
-        """Ask the host that counts, or the next one in rank if it is silent."""
-        asked = self.clock.boottime()
-        unused = allowance.discard_expired(asked)
+        """Request a grant from the owner, or the next in rank if it is unresponsive."""
+        requested_at = self.clock.boottime()
+        unused = allowance.discard_expired(requested_at)
         count = max(1, allowance.waiting, int(self.expected(workspace, allowance)))
         for _ in range(MAX_TRIES):
             host = self.choose_owner(workspace.name)
             if host is None:
                 break
-            ask = GrantRequest(workspace.name, count)
-            ask.unused = unused if host.host == allowance.owner else 0
-            ask.elsewhere = allowance.unreported.get(host.host, 0)
+            request = GrantRequest(workspace.name, count)
+            request.unused = unused if host.host == allowance.owner else 0
+            request.elsewhere = allowance.unreported.get(host.host, 0)
             try:
-                grant = await self.fetch_grant(host, ask)
+                grant = await self.fetch_grant(host, request)
             except (PeerError, RefusalError, WireError) as error:
                 self.avoid(host, workspace.name, error)
                 continue
-            self.apply_grant(workspace, rate, allowance, host, grant, asked)
+            self.apply_grant(workspace, rate, allowance, host, grant, requested_at)
             return
         allowance.limited_until = self.clock.boottime() + MAX_PAUSE_SECONDS
         allowance.owner_unreachable = True
@@ -183,7 +184,7 @@
         grant: Grant,
         requested_at: float,
     ) -> None:
-        """Use what was granted."""
+        """Add a grant to the allowance, or pause requests if it is empty."""
         now = self.clock.boottime()
         until = requested_at + self.tolerance.grant_seconds(workspace, rate)
         allowance.add_grant(host.host, grant.count, until)
@@ -193,7 +194,7 @@
             allowance.owner_unreachable = False
 
     def choose_owner(self, name: str) -> HostRef | None:
-        """Return the first host in rank that was not silent of late, or None."""
+        """Return the first host in rank that is not avoided, or None."""
         now = self.clock.monotonic()
         first = self.owner.first(name)
         if first is not None and self.avoided.get(first.host, now) <= now:
@@ -204,11 +205,11 @@
         return None
 
     async def fetch_grant(self, host: HostRef, request: GrantRequest) -> Grant:
-        """Return what a host grants.
+        """Request a grant from a host.
 
-        :raises PeerError: if it gives no answer.
+        :raises PeerError: if it does not respond.
         :raises RefusalError: if it refuses.
-        :raises WireError: if its answer has another form.
+        :raises WireError: if its response is malformed.
         """
         if host.host == self.me.host:
             return self.owner.grant(request)
@@ -218,7 +219,7 @@
         return Grant.from_json(answer)
 
     def avoid(self, host: HostRef, name: str, error: Exception) -> None:
-        """Ask a host that gave no answer for nothing for a while."""
+        """Send no requests to an unresponsive host for AVOID_SECONDS."""
         self.avoided[host.host] = self.clock.monotonic() + AVOID_SECONDS
         self.owner.report_silent(host.host)
         self.decisions.record(
@@ -226,11 +227,11 @@
         )
 
     def tidy(self) -> None:
-        """Forget workspaces that have gone."""
+        """Drop the allowances of workspaces that no longer exist."""
         known = self.owner.workspaces().by_name
         for name in [one for one in self.by_name if one not in known]:
             del self.by_name[name]
 
     def close(self) -> None:
-        """End the questions in progress."""
+        """Cancel the requests in progress."""
         self.background.cancel()
