--- a/src/reedhook/process/primary_lease/holder_failure_detector.py
+++ b/src/reedhook/process/primary_lease/holder_failure_detector.py
@@ -30,7 +30,7 @@
 
 
 class HolderFailureDetector:
-    """Probe holders, directly and through other hosts, and tell which are lost.
+    """Probe holders, directly and through other hosts, and determine which are lost.
 
     No host is declared lost if none of the indirect probers responds: this host is
     then more likely to be partitioned itself.
--- a/src/reedhook/process/primary_lease/other_holders.py
+++ b/src/reedhook/process/primary_lease/other_holders.py
@@ -54,20 +54,20 @@
         The backup holder may become active at any time, so it is always asked.
         """
         record = self.claim.record
-        asked = [
+        unconfirmed = [
             one
             for one in record.former
             if one.incarnation not in self.stopped_incarnations
         ]
         if self.former_expired():
-            asked = []
+            unconfirmed = []
         elif not record.former_complete:
             return False
         backup = record.backup_holder
         if backup is not None:
-            asked.append(backup)
+            unconfirmed.append(backup)
         confirmations = await asyncio.gather(
-            *(self.confirm_stopped(one) for one in asked)
+            *(self.confirm_stopped(one) for one in unconfirmed)
         )
         if backup is not None and not confirmations[-1]:
             # It may be active until its lease expires, so it becomes a former holder.
