--- a/src/reedhook/process/fleet/__init__.py
+++ b/src/reedhook/process/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which hosts there are, and which of them is home of what."""
+"""Membership of hosts and the placement of target homes."""
--- a/src/reedhook/process/fleet/gossip_queue.py
+++ b/src/reedhook/process/fleet/gossip_queue.py
@@ -1,17 +1,16 @@
-"""Changes that are still to be passed on with heartbeats."""
+"""Queue of membership changes to piggyback on heartbeats."""
 
 import math
 from typing import Final
 
 MAX_RECORDS_PER_MESSAGE: Final = 10
-# Half of them go out at once, the others with the next heartbeats.
 RETRANSMIT: Final = 8
-# Hosts that join are also found by what they announce, and by pulls.
+# Fewer, since joins also spread by announcements and pulls.
 RETRANSMIT_JOIN: Final = 2
 
 
 class GossipQueue:
-    """Keep changes that are still to be passed on, each a bounded number of times."""
+    """Queue changed hosts, each for a bounded number of transmissions."""
 
     __slots__ = ("remaining_sends",)
 
@@ -19,15 +18,16 @@
         self.remaining_sends: dict[str, int] = {}
 
     def add(self, host: str, hosts: int, joins: bool = False) -> None:
-        """Pass on the record of `host`; `hosts` is how many there are.
+        """Queue the record of `host`.
 
-        :param joins: whether it was not known before.
+        :param hosts: the number of known hosts.
+        :param joins: whether the host was not known before.
         """
         times = RETRANSMIT_JOIN if joins else RETRANSMIT
         self.remaining_sends[host] = times * max(1, math.ceil(math.log10(hosts + 1)))
 
     def next_batch(self) -> list[str]:
-        """Return the hosts to tell of in one message, the newest first."""
+        """Return the hosts whose records go into the next message, newest first."""
         if not self.remaining_sends:
             return []
         newest = sorted(
--- a/src/reedhook/process/fleet/gossip_sender.py
+++ b/src/reedhook/process/fleet/gossip_sender.py
@@ -1,4 +1,4 @@
-"""Urgent news: told to a few hosts at once, within an allowed rate."""
+"""Rate-limited gossip of urgent membership updates."""
 
 import asyncio
 import random
@@ -17,10 +17,10 @@
 
 
 class GossipSender:
-    """Send a heartbeat to a few hosts as soon as there is news.
+    """Send a heartbeat to a few random hosts as soon as there is an update.
 
-    Each host that hears something new does the same, so that news reaches all
-    in a few steps; the heartbeats that follow make up for those missed.
+    Each host that receives a new update does the same, so it reaches all hosts in
+    a few rounds; periodic heartbeats reach those that were missed.
 
     :param probe: sends a heartbeat to one host.
     """
@@ -45,7 +45,7 @@
         self.allowed_at = clock.monotonic()
 
     async def run(self) -> None:
-        """Spread news until cancelled; what comes together goes together."""
+        """Send batched updates until cancelled."""
         while True:
             await self.gossip_pending.wait()
             await self.clock.sleep(BATCH_DELAY_SECONDS)
@@ -54,19 +54,19 @@
             await asyncio.gather(*map(self.probe, self.choose_peers()))
 
     def choose_peers(self) -> list[HostRef]:
-        """Choose hosts to tell, most of them of the own zone."""
+        """Choose the peers of one round, most of them in this zone."""
         live = [ref for ref in self.table.refs() if ref != self.me]
         near = [ref for ref in live if ref.zone == self.me.zone]
         far = [ref for ref in live if ref.zone != self.me.zone]
-        some = self.sample(near, GOSSIP_FANOUT - 1)
-        return some + self.sample(far, GOSSIP_FANOUT - len(some))
+        chosen = self.sample(near, GOSSIP_FANOUT - 1)
+        return chosen + self.sample(far, GOSSIP_FANOUT - len(chosen))
 
     def sample(self, refs: list[HostRef], count: int) -> list[HostRef]:
         """Return up to `count` of `refs` at random."""
         return self.rng.sample(refs, min(count, len(refs)))
 
     async def spend(self) -> None:
-        """Wait until another round of news is within the allowed rate."""
+        """Take a token of the rate limit, waiting for one if necessary."""
         now = self.clock.monotonic()
         gained = (
             (now - self.allowed_at) * MAX_ROUNDS_PER_SECOND / self.health.timeout_factor
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -1,8 +1,8 @@
-"""Heartbeats between hosts: who is asked, how often, and when one is suspected.
+"""Failure detection by heartbeats between hosts.
 
-Each host watches the next few hosts on a ring of its availability zone, asks
-a random host now and then, and spreads urgent news to a few at once. What a
-host sends in an interval does not grow with the number of hosts.
+Each host monitors the next hosts on a ring of its availability zone, periodically
+probes a random host, and gossips urgent updates to a few peers. The number of
+messages that a host sends does not depend on the number of hosts.
 """
 
 import asyncio
@@ -36,10 +36,11 @@
 
     :param seeds: addresses (``IP:port``) at which other hosts may be found.
     :param list_addresses: reads more such addresses from the platform's list.
-    :ivar refusing_hosts: hosts that refused the last connection.
-    :ivar on_answer: is given each answer, with the version that it states, when it
-        was asked for by `Clock.elapsed`, and by whom it was given.
-    :ivar on_presumed_dead: is told why other hosts may have taken this one for lost.
+    :ivar refusing_hosts: hosts that refused the last connection attempt.
+    :ivar on_answer: called with each response, its configuration version, the
+        `Clock.boottime` of the request, and the id of the responding host.
+    :ivar on_presumed_dead: called with the reason why other hosts may have declared
+        this host dead.
     """
 
     def __init__(
@@ -90,21 +91,21 @@
         membership.on_mismatch = self.record_mismatch
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handlers of this host."""
+        """Register the peer request handlers."""
         routes.add("heartbeat", self.answer_heartbeat)
         routes.add("members", self.answer_members)
         routes.add("reach", self.answer_reach)
 
     async def answer_heartbeat(self, body: Json) -> Json:
-        """Merge a heartbeat and answer it."""
+        """Handle a heartbeat request."""
         return self.membership.handle_heartbeat(body)
 
     async def answer_members(self, body: Json) -> Json:
-        """Answer a pull of differing records."""
+        """Handle a pull request for differing records."""
         return self.membership.pull_answer(body)
 
     async def answer_reach(self, body: Json) -> Json:
-        """Ask a host on behalf of another that gets no answer from it."""
+        """Probe a host on behalf of a peer that gets no response from it."""
         record = HostRecord.from_json(body.get("host"))
         return {"alive": await self.probe(record.ref)}
 
@@ -119,25 +120,25 @@
                 await self.discovery.join()
                 await group.create_task(self.probe_random_hosts())
             finally:
-                # Statements that still end may doubt a host; nobody is asked then.
+                # Statements that end after this may still call `request_probe`.
                 self.group = self.discovery.group = None
 
     def some_peers(self, count: int) -> list[HostRef]:
-        """Return up to `count` live hosts chosen at random."""
+        """Return up to `count` random live hosts."""
         return self.sample(self.others(self.table.refs()), count)
 
     async def probe(self, ref: HostRef) -> bool:
-        """Exchange one heartbeat; return whether the host itself answered."""
+        """Exchange one heartbeat; return whether the probed host itself responded."""
         membership = self.membership
         timeout = self.timing.answer_timeout * self.health.timeout_factor
         started = self.clock.monotonic()
-        asked = self.clock.boottime()
+        requested_at = self.clock.boottime()
         try:
             answer = await self.peers.call(
                 ref, "heartbeat", membership.message_to(ref.host), timeout
             )
             sender = membership.merge(answer)
-            self.on_answer(answer, answer["v"], asked, sender.ref.host)
+            self.on_answer(answer, answer["v"], requested_at, sender.ref.host)
             if "died" in answer:
                 membership.handle_death_report(answer["died"])
         except RefusalError as refusal:
@@ -156,11 +157,10 @@
         return ref.host in (UNKNOWN_ID, sender.ref.host)
 
     async def verify_liveness(self, record: HostRecord) -> bool:
-        """Ask a host in all ways before it is suspected.
+        """Probe a host directly and indirectly; suspect it if all probes fail.
 
-        The second question goes out on a new connection, since the transport
-        gives up those on which the first got no answer. At the same time
-        others are asked to reach it.
+        The second direct probe uses a new connection, since the transport closes a
+        connection on which a request timed out. Indirect probes run concurrently.
         """
         host = record.ref.host
         if host in self.asked_now:
@@ -170,11 +170,11 @@
         try:
             if await self.probe(record.ref):
                 return True
-            questions = [self.probe(record.ref)]
-            questions += [
-                self.probe_indirectly(one, record) for one in self.helpers(host)
+            probes = [self.probe(record.ref)]
+            probes += [
+                self.probe_indirectly(helper, record) for helper in self.helpers(host)
             ]
-            answers = await asyncio.gather(*questions)
+            answers = await asyncio.gather(*probes)
         finally:
             self.asked_now.discard(host)
         if any(answers):
@@ -185,11 +185,11 @@
         return False
 
     def heard_since(self, host: str, moment: float) -> bool:
-        """Return whether `host` gave a sign of life after `moment`."""
+        """Return whether a heartbeat from `host` arrived after `moment`."""
         return self.membership.last_contact_at.get(host, -1.0) > moment
 
     async def probe_indirectly(self, helper: HostRef, record: HostRecord) -> bool:
-        """Let `helper` ask a host."""
+        """Ask `helper` to probe a host; return whether that host responded."""
         body: Json = {"host": record.to_json()}
         try:
             answer = await self.peers.call(
@@ -203,7 +203,7 @@
         return answer.get("alive") is True
 
     def helpers(self, host: str) -> list[HostRef]:
-        """Choose hosts to ask on our behalf, the zone of `host` first."""
+        """Choose hosts for indirect probes, one of them in the zone of `host`."""
         zone = self.table.records[host].ref.zone if host in self.table.records else ""
         near = self.others(self.table.refs(zone), host)
         far = self.others(self.table.refs(), host)
@@ -211,15 +211,15 @@
         return chosen + self.sample([ref for ref in far if ref not in chosen], 1)
 
     def others(self, refs: list[HostRef], host: str = "") -> list[HostRef]:
-        """Return `refs` without this host and `host`."""
+        """Return `refs` except this host and `host`."""
         return [ref for ref in refs if ref.host not in (self.me.host, host)]
 
     def sample(self, refs: list[HostRef], count: int) -> list[HostRef]:
-        """Return up to `count` of `refs` at random."""
+        """Return up to `count` random elements of `refs`."""
         return self.rng.sample(refs, min(count, len(refs)))
 
     def request_probe(self, host: str) -> None:
-        """Ask `host` now, since a call to it failed."""
+        """Probe `host` immediately after a call to it failed."""
         record = self.table.get(host)
         if self.group is None or record is None or not record.live:
             return
@@ -227,11 +227,11 @@
             self.group.create_task(self.run_requested_probe(record))
 
     async def run_requested_probe(self, record: HostRecord) -> None:
-        """Check a host that a call failed to."""
+        """Verify the liveness of a host after a failed call."""
         await self.verify_liveness(record)
 
     async def run_maintenance(self) -> None:
-        """Notice a pause of this host, expire suspicions, forget, watch."""
+        """Detect pauses of this host, expire records and update the watchers."""
         before = self.clock.monotonic()
         elapsed = self.clock.boottime()
         epoch = -1
@@ -254,14 +254,16 @@
                 self.watch()
 
     def resume(self, pause: float, now: float) -> None:
-        """Give all hosts a fresh chance after a pause of this one."""
-        log.info("This host was paused for {:.2f} s.", pause)
+        """Restart the timers of suspected and dead hosts after a pause of this host."""
+        log.info(
+            "This host was paused for {:.2f} s; restarting suspicion timers.", pause
+        )
         self.resumed_at = now
         for host in self.table.not_live_hosts:
             self.table.since[host] = now
 
     def expire(self, now: float) -> None:
-        """Declare suspected hosts dead and forget those long gone."""
+        """Declare suspected hosts dead and remove expired records."""
         for host in sorted(self.table.not_live_hosts - {self.me.host}):
             record = self.table.records[host]
             age = now - self.table.since[host]
@@ -283,19 +285,19 @@
                 self.table.forget(host, now)
 
     def refute_timeout(self, record: HostRecord) -> float:
-        """Return how long a suspected host may refute."""
+        """Return the seconds that a suspected host has to refute."""
         near = record.ref.zone == self.me.zone
         bound = (
             self.timing.refute_timeout
             if near
             else self.timing.other_zone_refute_timeout
         )
-        # That nobody listens there is true however slow this host is.
-        sure = record.ref.host in self.refusing_hosts
-        return bound if sure else bound * self.health.timeout_factor
+        # A refused connection does not depend on how slow this host is.
+        refused = record.ref.host in self.refusing_hosts
+        return bound if refused else bound * self.health.timeout_factor
 
     def watch(self) -> None:
-        """Start and stop the tasks that watch single hosts."""
+        """Start and stop the tasks that monitor single hosts."""
         assert self.group is not None
         wanted = watched_hosts(self.me, self.table)
         for host in set(self.watchers) - wanted:
@@ -304,7 +306,7 @@
             self.watchers[host] = self.group.create_task(self.watch_host(host))
 
     async def watch_host(self, host: str) -> None:
-        """Ask `host` again and again, at once more often while suspected."""
+        """Probe `host` periodically, more often while it does not respond."""
         await self.clock.sleep(self.rng.random() * self.timing.watch_interval)
         while True:
             record = self.table.get(host)
@@ -315,7 +317,7 @@
             await self.clock.sleep(pause * self.health.timeout_factor)
 
     async def probe_random_hosts(self) -> None:
-        """Ask a random host each round; now and then far, dead and seed ones."""
+        """Probe random hosts: near ones each round, others every few rounds."""
         while True:
             await self.clock.sleep(
                 self.timing.probe_interval * self.rng.uniform(0.8, 1.2)
@@ -332,7 +334,7 @@
                 await self.discovery.probe_unknown_address()
 
     def next_near(self) -> HostRecord | None:
-        """Return the next host of the own zone, all in turn in a random order."""
+        """Return the next live host of this zone, in shuffled round-robin order."""
         for _ in range(2):
             while self.shuffled:
                 record = self.table.get(self.shuffled.pop())
@@ -345,13 +347,13 @@
         return None
 
     async def probe_other_zone(self) -> None:
-        """Ask a random host of another zone."""
+        """Probe a random host of another zone."""
         far = [ref for ref in self.table.refs() if ref.zone != self.me.zone]
         for ref in self.sample(far, 1):
             await self.verify_liveness(self.table.records[ref.host])
 
     async def probe_dead_host(self) -> None:
-        """Ask a random dead host, so that healed partitions are noticed."""
+        """Probe a random dead host to detect a healed partition."""
         dead = [
             record.ref
             for record in self.table.records.values()
@@ -361,11 +363,11 @@
             await self.probe(ref)
 
     def record_mismatch(self, peer: HostRef) -> None:
-        """Remember a peer whose table differs; `repair` looks into it."""
+        """Record a peer whose table differs, for `repair` to pull from."""
         self.mismatched_peer = peer
 
     async def repair(self) -> None:
-        """Pull differing records once the news had its chance."""
+        """Pull differing records from mismatched peers until cancelled."""
         while True:
             await self.clock.sleep(self.timing.pull_interval)
             peer, self.mismatched_peer = self.mismatched_peer, None
@@ -373,7 +375,7 @@
                 await self.pull(peer)
 
     async def pull(self, peer: HostRef) -> int:
-        """Pull differing records; return how many were new."""
+        """Pull differing records from a peer; return how many were applied."""
         request = self.membership.pull_request()
         try:
             answer = await self.peers.call(
@@ -388,4 +390,4 @@
 
 
 def nothing(answer: Json, version: int, asked: float, host: str) -> None:
-    """Take nothing over from an answer."""
+    """Ignore a heartbeat response."""
--- a/src/reedhook/process/fleet/heartbeat_timing.py
+++ b/src/reedhook/process/fleet/heartbeat_timing.py
@@ -1,25 +1,24 @@
-"""Pace of the heartbeats."""
+"""Intervals and timeouts of the failure detector."""
 
 from ...record import Record
 
 
 class HeartbeatTiming(Record):
-    """Set the pace; all values are in seconds.
+    """Configure the failure detector; all values are in seconds.
 
-    :param watch_interval: between two questions to a watched host.
-    :param answer_timeout: how long an answer may take.
-    :param refute_timeout: how long a suspected host of the own zone may refute.
+    :param watch_interval: interval between probes of a monitored host.
+    :param answer_timeout: timeout of a probe.
+    :param refute_timeout: time a suspected host of this zone has to refute.
     :param other_zone_refute_timeout: the same for a host of another zone.
-    :param probe_interval: between two questions to a random host.
-    :param tick_interval: between two looks at the table.
-    :param pause_threshold: a tick that comes this late means that this host was paused.
-    :param presumed_dead_threshold: after a pause as long, others may have taken this
-        host for lost.
-    :param slow_tick_threshold: a tick that comes this late is a sign that this host is
-        slow.
-    :param pull_interval: between two pulls of differing records.
-    :param gone_retention: how long the record of a host that left is kept.
-    :param dead_retention: how long the record of a dead host is kept.
+    :param probe_interval: mean interval between probes of random hosts.
+    :param tick_interval: interval of the maintenance loop.
+    :param pause_threshold: a tick this late means that this host was paused.
+    :param presumed_dead_threshold: after a pause this long, other hosts may have
+        declared this host dead.
+    :param slow_tick_threshold: a tick this late indicates that this host is slow.
+    :param pull_interval: interval between pulls of differing records.
+    :param gone_retention: time for which the record of a gone host is kept.
+    :param dead_retention: time for which the record of a dead host is kept.
     """
 
     __slots__ = (
--- a/src/reedhook/process/fleet/hostlist.py
+++ b/src/reedhook/process/fleet/hostlist.py
@@ -1,4 +1,4 @@
-"""Interface of the platform's lagging list of live and leaving hosts."""
+"""Interface to the platform's eventually consistent list of hosts."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -7,25 +7,25 @@
 
 
 class ListedState(str, Enum):
-    """Name the state that the platform gives a host."""
+    """State of a host or target in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedKind(str, Enum):
-    """Name what a line of the list stands for."""
+    """Kind of an entry in the platform's list."""
 
     HOST = "host"
     TARGET = "target"
 
 
 class HostListEntry(Record):
-    """Carry one line of the platform's list.
+    """Describe one entry of the platform's list.
 
     :param host: the id of the entry host or target.
     :param zone: its availability zone.
-    :param address: ``IP:port`` where other hosts reach it.
+    :param address: ``IP:port`` for connections from other hosts.
     :param kind: whether it is an entry host or a target.
     """
 
@@ -47,7 +47,7 @@
 
 
 class HostListUnavailableError(Exception):
-    """Say that the list could not be read."""
+    """Signal that the list could not be read."""
 
 
 class HostList(ABC):
@@ -57,9 +57,9 @@
     async def hosts(self, timeout: float) -> list[HostListEntry]:
         """Return the entry hosts and targets listed now.
 
-        :raises HostListUnavailable: if no answer came.
+        :raises HostListUnavailableError: if there is no valid response.
         """
 
     @abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
--- a/src/reedhook/process/fleet/hostlist_http.py
+++ b/src/reedhook/process/fleet/hostlist_http.py
@@ -1,4 +1,4 @@
-"""The platform's list of hosts over HTTP with JSON."""
+"""HTTP client for the platform's host list."""
 
 from aiohttp import (
     ClientError,
@@ -18,7 +18,7 @@
 
 
 class HttpHostList(HostList):
-    """Read the list at `address` (``IP:port``)."""
+    """Read the host list served at `address` (``IP:port``)."""
 
     def __init__(self, address: str) -> None:
         self.url = URL(f"http://{address}/hosts")
@@ -34,9 +34,9 @@
                 for host, zone, address, state, kind in message["hosts"]
             ]
         except (ClientError, OSError, TimeoutError, WireError) as error:
-            raise HostListUnavailableError(f"no answer: {error!r}") from error
+            raise HostListUnavailableError(f"request failed: {error!r}") from error
         except (KeyError, TypeError, ValueError) as error:
-            raise HostListUnavailableError(f"not a list: {error!r}") from error
+            raise HostListUnavailableError(f"malformed list: {error!r}") from error
 
     async def close(self) -> None:
         await self.session.close()
--- a/src/reedhook/process/fleet/hostlist_poller.py
+++ b/src/reedhook/process/fleet/hostlist_poller.py
@@ -1,4 +1,4 @@
-"""What the platform's list says, read by the relays of each zone."""
+"""Polling of the platform's host list by the relays of each zone."""
 
 from collections.abc import Callable
 from random import Random
@@ -24,11 +24,11 @@
 
 MIN_POLL_INTERVAL_SECONDS: Final = 1.0
 MAX_POLL_INTERVAL_SECONDS: Final = 5.0
-# A long list is read more rarely, lest it takes the budget for control.
+# Bounds the bandwidth used for long lists.
 LINES_PER_SECOND: Final = 300
 POLL_TIMEOUT_SECONDS: Final = 1.0
 NOTIFY_TIMEOUT_SECONDS: Final = 0.5
-# The list lags: a line may still speak of an earlier life of a host.
+# The list lags: an entry may still refer to a previous incarnation of a host.
 LEAVING_CONFIRMATION_SECONDS: Final = 10.0
 
 CatalogSource: TypeAlias = Callable[[], Catalog | None]
@@ -37,16 +37,15 @@
 
 
 class HostListPoller:
-    """Poll the list while this host is a relay and pass on who leaves.
+    """Poll the list while this host is a relay and announce leaving hosts.
 
-    Entry hosts that leave are told through the membership, targets through
-    their homes. Both are told again with each poll, so that a lost message
-    is repaired by the next.
+    Leaving entry hosts are announced through the membership, leaving targets to
+    their homes. Each poll repeats the announcements, which makes up for lost messages.
 
-    :ivar was_leaving: whether each listed host was leaving, as of the last poll.
-    :ivar leaving_since: monotonic time since when a host is seen leaving.
-    :ivar on_addresses: called with the addresses of all listed entry hosts.
-    :ivar notified_targets: targets whose homes were told that they leave.
+    :ivar was_leaving: whether each listed host was leaving at the last poll.
+    :ivar leaving_since: monotonic time at which each host was first listed as leaving.
+    :ivar on_addresses: called with the addresses of the listed entry hosts.
+    :ivar notified_targets: targets whose homes were notified that they leave.
     """
 
     def __init__(
@@ -80,12 +79,12 @@
             await self.clock.sleep(self.interval() * self.random.uniform(0.8, 1.2))
 
     def interval(self) -> float:
-        """Return the seconds between two polls of a list as long as the last."""
+        """Return the poll interval in seconds, longer for a longer list."""
         needed = len(self.was_leaving) / LINES_PER_SECOND
         return min(max(MIN_POLL_INTERVAL_SECONDS, needed), MAX_POLL_INTERVAL_SECONDS)
 
     async def poll(self) -> None:
-        """Read the list once and act on it."""
+        """Read the list once and announce leaving hosts and targets."""
         lines = await self.read()
         if lines is None:
             return
@@ -110,9 +109,10 @@
                 await self.notify_home(member, False)
 
     async def addresses(self) -> list[str]:
-        """Return the addresses of all other listed entry hosts, to join by.
+        """Return the addresses of all other listed entry hosts, for joining.
 
-        They come in a random order, so that many do not join by the same one.
+        The order is random so that starting hosts do not all join through the same
+        host.
         """
         lines = await self.read() or []
         addresses = [
@@ -124,26 +124,26 @@
         return addresses
 
     async def read(self) -> list[HostListEntry] | None:
-        """Return the list, or None if it cannot be read."""
+        """Return the list, or None if it is unavailable."""
         try:
             lines = await self.hostlist.hosts(POLL_TIMEOUT_SECONDS)
         except HostListUnavailableError as error:
             if self.reachable:
-                log.warning("The host list does not answer: {}.", error)
+                log.warning("Host list unavailable, retrying: {}.", error)
             self.reachable = False
             return None
         self.reachable = True
         return lines
 
     def update_leaving_host(self, line: HostListEntry) -> None:
-        """Let a host that the platform takes away know that it leaves."""
+        """Mark a host as leaving once its entry is not outdated."""
         if line.state is not ListedState.LEAVING:
             self.leaving_since.pop(line.host, None)
             return
         now = self.clock.monotonic()
         since = self.leaving_since.setdefault(line.host, now)
-        turned = self.was_leaving.get(line.host) is False
-        if not turned and now - since < LEAVING_CONFIRMATION_SECONDS:
+        state_changed = self.was_leaving.get(line.host) is False
+        if not state_changed and now - since < LEAVING_CONFIRMATION_SECONDS:
             return
         record = self.membership.table.get(line.host)
         if record is None or not record.live:
@@ -151,7 +151,7 @@
         self.membership.merge_record(record.in_state(MembershipState.LEAVING), now)
 
     def responsible_targets(self) -> list[Member]:
-        """Return the targets of this zone and of zones without live hosts."""
+        """Return the targets in this zone and in zones without live hosts."""
         catalog = self.catalog()
         if catalog is None:
             return []
@@ -164,7 +164,7 @@
         ]
 
     async def notify_home(self, member: Member, leaving: bool) -> None:
-        """Tell the home of a target whether the platform takes it away."""
+        """Notify the home of a target whether the target is leaving."""
         home = self.directory.home(member.member_id, member.zone)
         if home is None:
             return
@@ -172,7 +172,9 @@
             body = {"member": member.member_id, "leaving": leaving}
             await self.peers.call(home, LEAVING_PATH, body, NOTIFY_TIMEOUT_SECONDS)
         except (PeerError, RefusalError) as error:
-            log.info("{} was not told of {}: {}", home.host, member.member_id, error)
+            log.info(
+                "Notifying {} about {} failed: {}", home.host, member.member_id, error
+            )
             return
         if leaving:
             self.notified_targets.add(member.member_id)
--- a/src/reedhook/process/fleet/leaving_targets.py
+++ b/src/reedhook/process/fleet/leaving_targets.py
@@ -1,4 +1,4 @@
-"""Targets that the platform takes away."""
+"""Draining of targets that leave."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,13 +24,13 @@
 
 
 class LeavingTargetHandler:
-    """Give no new work to targets that leave.
+    """Stop sending new work to targets that leave.
 
-    A primary that leaves first hands the lead over, so that writes pause only
-    shortly; past `HAND_OVER_TIMEOUT` seconds it takes no new work either way.
+    A leaving primary is first replaced, to keep the write outage short. It takes no
+    new work after `HAND_OVER_TIMEOUT_SECONDS` in any case.
 
-    :param find_home: gives the local home of a member, or None.
-    :param find_group: gives the keeper of a group, or None.
+    :param find_home: returns the local home of a member, or None.
+    :param find_group: returns the manager of a group, or None.
     """
 
     def __init__(
@@ -47,18 +47,18 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handler of this host."""
+        """Register the peer request handler."""
         routes.add(LEAVING_PATH, self.handle_leaving)
 
     async def handle_leaving(self, body: Json) -> Json:
-        """Take note that a target leaves, or that it came back.
+        """Handle a notification that a target leaves or no longer leaves.
 
-        :raises Refusal: if its home is not here.
+        :raises RefusalError: if its home is on another host.
         """
         member = body.get("member")
         leaving = body.get("leaving")
         if not isinstance(member, str) or not isinstance(leaving, bool):
-            raise WireError("a target and whether it leaves are expected")
+            raise WireError("leaving notification needs a target id and a flag")
         home = self.find_home(member)
         if home is None:
             raise not_run(RefusalReason.WRONG_HOME, f"the home of {member} is not here")
@@ -71,22 +71,24 @@
         return {}
 
     async def retire(self, home: Home) -> None:
-        """Move the lead away if the target has it, then give it no new work."""
+        """Hand over the primary role of a target if it has it, then drain it."""
         member = home.member.member_id
-        keeper = self.find_group(home.group.name)
+        manager = self.find_group(home.group.name)
         moved = False
-        if keeper is not None and keeper.view.primary == member:
-            moved = await keeper.hand_over(HAND_OVER_TIMEOUT_SECONDS)
+        if manager is not None and manager.view.primary == member:
+            moved = await manager.hand_over(HAND_OVER_TIMEOUT_SECONDS)
         home.leaving = True
         self.timeline.record(EventKind.TARGET_LEAVING, member, moved=moved)
 
     def ended(self, member: str, task: asyncio.Task[None]) -> None:
-        """Forget a task; log what it raised."""
+        """Remove a finished task and log its exception."""
         self.tasks.pop(member, None)
         if not task.cancelled() and task.exception() is not None:
-            log.error("Retiring {} failed: {!r}.", member, task.exception())
+            log.error(
+                "Draining leaving target {} failed: {!r}.", member, task.exception()
+            )
 
     async def close(self) -> None:
-        """Stop what is in progress."""
+        """Cancel all running tasks."""
         for task in list(self.tasks.values()):
             task.cancel()
--- a/src/reedhook/process/fleet/local_health.py
+++ b/src/reedhook/process/fleet/local_health.py
@@ -1,4 +1,4 @@
-"""How far this host can trust its own view of others."""
+"""Estimate of this host's own health, used to scale its timeouts."""
 
 import math
 from typing import Final
@@ -14,11 +14,11 @@
 
 
 class ProbeResult(Record):
-    """Say how the last question to a host ended.
+    """Describe the result of the last probe of a host.
 
-    :param at: monotonic time in seconds.
+    :param at: monotonic time in seconds of the result.
     :param zone: the availability zone of the host.
-    :param took: seconds until the answer; infinite if none came in time.
+    :param took: seconds until the response; infinite after a timeout.
     """
 
     __slots__ = ("at", "zone", "took")
@@ -30,18 +30,17 @@
 
 
 class LocalHealth:
-    """Slow all timers down while this host, or all around it, is slow.
+    """Lengthen timeouts while this host or its network is slow.
 
-    One host without an answer says something of that host, and a zone without
-    answers something of the way there. When two signs more are silent than
-    answer, or timers are late, or others suspect this host wrongly, that says something
-    of this host: it then waits longer before it suspects anyone, and asks
-    less. It goes back to shorter waits once the answers of late would have come
-    within them; tried before that, each try would suspect hosts that live.
+    A single unresponsive host or zone indicates a fault there. Timeouts of most
+    hosts and zones, late timers or wrong suspicions of this host indicate a fault
+    here: timeouts then grow and probes become less frequent, so that live hosts are
+    not suspected. The level falls again once recent responses would have met the
+    shorter timeout.
 
     :param zone: the availability zone of this host.
-    :param answer: seconds that an answer may take while all is well.
-    :ivar level: 0 while all is well; grows with each bad sign.
+    :param answer: the probe timeout in seconds at level 0.
+    :ivar level: 0 while healthy; grows with each sign of a local fault.
     """
 
     def __init__(self, zone: str, answer: float, clock: Clock) -> None:
@@ -54,17 +53,17 @@
 
     @property
     def timeout_factor(self) -> int:
-        """Return how many times longer than usual to wait."""
+        """Return the factor by which to multiply timeouts."""
         return 1 + self.level
 
     def record_timeout(self, ref: HostRef) -> None:
-        """Take note that a host gave no answer in time."""
+        """Record that a probe of a host timed out."""
         self.record_result(ref, math.inf)
         if self.mostly_later_than(math.inf):
             self.worsen()
 
     def record_answer(self, ref: HostRef, took: float) -> None:
-        """Take note of an answer after `took` seconds; trust grows slowly."""
+        """Record a response after `took` seconds; lower the level if due."""
         self.record_result(ref, took)
         now = self.clock.monotonic()
         if self.level == 0 or now - self.changed < MIN_RECOVERY_SECONDS:
@@ -74,28 +73,29 @@
             self.level -= 1
 
     def record_result(self, ref: HostRef, took: float) -> None:
-        """Keep the newest outcomes, a bounded number."""
+        """Store the result of a probe; keep the newest `MAX_RESULTS`."""
         self.last.pop(ref.host, None)
         self.last[ref.host] = ProbeResult(self.clock.monotonic(), ref.zone, took)
         if len(self.last) > MAX_RESULTS:
             del self.last[next(iter(self.last))]
 
     def mostly_later_than(self, limit: float) -> bool:
-        """Say whether two signs more are later than `limit` seconds than within it.
+        """Return whether late results outnumber timely ones by at least two.
 
-        A sign is a host of the own zone that was asked of late, or another zone,
-        which is within the limit if one of its hosts is.
+        Each recently probed host of this zone counts as one result, and so does each
+        other zone, which is timely if any of its hosts responded within `limit`
+        seconds.
         """
         since = self.clock.monotonic() - RESULT_WINDOW_SECONDS
         recent = [one for one in self.last.values() if one.at >= since]
         near = [one.took < limit for one in recent if one.zone == self.zone]
         far = {one.zone for one in recent if one.zone != self.zone}
-        speaking = {one.zone for one in recent if one.took < limit} & far
-        within = near.count(True) + len(speaking)
-        late = near.count(False) + len(far - speaking)
+        responsive = {one.zone for one in recent if one.took < limit} & far
+        within = near.count(True) + len(responsive)
+        late = near.count(False) + len(far - responsive)
         return late > 1 + within
 
     def worsen(self) -> None:
-        """Take note of a bad sign."""
+        """Raise the level after a sign of a local fault."""
         self.level = min(self.level + 1, MAX_LEVEL)
         self.changed = self.clock.monotonic()
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Which hosts there are, learned from heartbeats between them."""
+"""Membership state of this host, merged from heartbeats."""
 
 import math
 import random
@@ -21,8 +21,7 @@
 MIN_FLAP_DEATHS: Final = 2
 MIN_PENALTY_SECONDS: Final = 5.0
 MAX_PENALTY: Final = 6
-# A refutation raises the incarnation by little; a new life begins with the
-# wall clock.
+# A refutation raises the incarnation by 1; a restart sets it from the wall clock.
 MIN_RESTART_INCARNATION_STEP_MS: Final = 500
 UNLISTED_RETENTION_SECONDS: Final = 30.0
 
@@ -30,25 +29,25 @@
 
 
 class Membership:
-    """Hold this host's view of all hosts and merge what others say.
+    """Maintain this host's view of all hosts.
 
-    It sends nothing itself; `Heartbeats` does.
+    This class only builds and merges messages; `Heartbeats` sends them.
 
     :param me: this host.
-    :ivar configuration_version: the version of the configuration in force here.
-    :ivar configuration_versions: the version that each host last stated to this one.
-    :ivar initial_incarnation: the incarnation with which this life began.
-    :ivar last_dead_incarnation: the last incarnation that others declared dead.
-    :ivar last_contact_at: monotonic time in seconds at which each host was last heard.
-    :ivar repairing: whether records are taken over that others know already.
-    :ivar unlisted: when dead hosts were first missing from the platform's list.
-    :ivar on_newer_configuration: called with a peer and its version, if that is newer.
-    :ivar on_answer: adds what only an answer may state, see `Heartbeats.ask`.
-    :ivar on_urgent: called when there is news that others should have soon.
-    :ivar on_declared_dead: called when others had this host for dead.
-    :ivar on_refuted: called when others wrongly suspect this host.
-    :ivar on_leave_requested: called when the platform lists this host as leaving.
-    :ivar on_mismatch: called with a peer whose table differs from ours.
+    :ivar configuration_version: the configuration version active on this host.
+    :ivar configuration_versions: the configuration version last reported by each host.
+    :ivar initial_incarnation: the incarnation at process start.
+    :ivar last_dead_incarnation: the last own incarnation that was declared dead.
+    :ivar last_contact_at: monotonic time in seconds of each host's last heartbeat.
+    :ivar repairing: whether the records being merged come from a pull.
+    :ivar unlisted: when each dead host was first missing from the platform's list.
+    :ivar on_newer_configuration: called with a peer that has a newer version.
+    :ivar on_answer: adds fields that only a heartbeat response carries.
+    :ivar on_urgent: called when an update should be gossiped immediately.
+    :ivar on_declared_dead: called when other hosts declared this host dead.
+    :ivar on_refuted: called when this host refutes a suspicion.
+    :ivar on_leave_requested: called when the platform asks this host to leave.
+    :ivar on_mismatch: called with a peer whose table digest differs.
     """
 
     def __init__(
@@ -83,17 +82,16 @@
         self.table.apply(self.own_record, clock.monotonic())
 
     def set_configuration_version(self, version: int) -> None:
-        """State the version of the configuration that is in force here.
+        """Set the active configuration version and gossip it.
 
-        Some hosts are told at once, and pass it on alike; it rides on all later
-        heartbeats, for those that were missed.
+        All later heartbeats carry it too, so hosts that gossip misses still get it.
         """
         if version > self.configuration_version:
             self.configuration_version = version
             self.on_urgent()
 
     def message(self) -> Json:
-        """Return the body of a heartbeat or of its answer."""
+        """Return the body of a heartbeat request or response."""
         updates = [
             self.table.records[host].to_json()
             for host in self.gossip_queue.next_batch()
@@ -109,7 +107,7 @@
         return message
 
     def message_to(self, host: str) -> Json:
-        """Return a heartbeat for `host`, with what it may have to refute."""
+        """Return a heartbeat for `host`, including a suspicion it can refute."""
         message = self.message()
         record = self.table.get(host)
         if record is not None and record.state in (
@@ -120,7 +118,7 @@
         return message
 
     def handle_heartbeat(self, message: Json) -> Json:
-        """Merge a heartbeat and return the answer to it.
+        """Merge a heartbeat and return the response.
 
         :raises WireError: if the message is malformed.
         """
@@ -137,7 +135,7 @@
         return answer
 
     def merge(self, message: Json) -> HostRecord:
-        """Take over what a peer says; return the peer's record.
+        """Merge a heartbeat request or response; return the sender's record.
 
         :raises WireError: if the message is malformed.
         """
@@ -145,7 +143,7 @@
         updates = [HostRecord.from_json(one) for one in read_list_field(message, "u")]
         version, digest = message.get("v"), message.get("d")
         if type(version) is not int or type(digest) is not int:
-            raise WireError("a heartbeat has a version and a digest")
+            raise WireError("heartbeat version and digest must be integers")
         now = self.clock.monotonic()
         self.merge_record(sender, now)
         self.record_contact(sender.ref, now)
@@ -159,18 +157,18 @@
         return sender
 
     def record_contact(self, ref: HostRef, now: float) -> None:
-        """Note a sign of life."""
+        """Record the time of a heartbeat from a known host."""
         if ref.host in self.table.records:
             self.last_contact_at[ref.host] = now
 
     def merge_record(self, record: HostRecord, now: float) -> bool:
-        """Take over a record unless a better one is known."""
+        """Apply a record if it overrides the known one; return whether it did."""
         if record.ref.host == self.me.host:
             return self.merge_own_record(record, now)
         return self.table.apply(record, now)
 
     def merge_own_record(self, record: HostRecord, now: float) -> bool:
-        """Refute what others wrongly say of this host."""
+        """Refute a record of this host, or leave if the record says so."""
         if not record.overrides(self.own_record):
             return False
         if record.state is MembershipState.LEAVING:
@@ -184,12 +182,12 @@
         return True
 
     def handle_death_report(self, died: Any) -> None:
-        """Take note that a peer had this host for dead.
+        """Handle a peer's report that it had declared this host dead.
 
-        :raises WireError: if what the peer says is malformed.
+        :raises WireError: if the report is malformed.
         """
         if not isinstance(died, list) or not all(type(one) is int for one in died):
-            raise WireError("an incarnation and a penalty are expected")
+            raise WireError("death report must be a list of integers")
         incarnation, penalty = died
         if incarnation < self.initial_incarnation:
             self.inherit_penalty(penalty)
@@ -197,7 +195,7 @@
             self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
     def record_death(self, incarnation: int, now: float) -> bool:
-        """Take a penalty if this host was declared dead repeatedly of late."""
+        """Record a death report; return whether it added a flapping penalty."""
         if incarnation <= self.last_dead_incarnation:
             return False
         self.last_dead_incarnation = incarnation
@@ -212,7 +210,7 @@
         return True
 
     def penalize(self, penalty: int, now: float) -> None:
-        """Rank this host after others until it was steady for long enough."""
+        """Rank this host after others until it has been stable long enough."""
         penalty = min(penalty, MAX_PENALTY)
         self.own_record = HostRecord(
             self.me, self.own_record.incarnation, self.own_record.state, penalty
@@ -220,14 +218,14 @@
         self.steady_at = now + MIN_PENALTY_SECONDS * 2 ** (penalty - 1)
 
     def inherit_penalty(self, penalty: int) -> None:
-        """Take over the penalty of an earlier life that ended unplanned."""
+        """Continue the penalty of a previous incarnation that crashed."""
         if self.own_record.penalty > penalty:
             return
         self.penalize(penalty + 1, self.clock.monotonic())
         self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
     def expire_penalty(self, now: float) -> None:
-        """Drop the penalty once this host was steady for long enough."""
+        """Clear the penalty once this host has been stable long enough."""
         if now < self.steady_at:
             return
         self.steady_at = math.inf
@@ -237,13 +235,13 @@
         self.announce(self.own_record.incarnation + 1, self.own_record.state)
 
     def announce(self, incarnation: int, state: MembershipState) -> None:
-        """Put a new record of this host in force and let others know."""
+        """Apply a new record of this host, which queues it for gossip."""
         penalty = self.own_record.penalty
         self.own_record = HostRecord(self.me, incarnation, state, penalty)
         self.table.apply(self.own_record, self.clock.monotonic())
 
     def farewell(self) -> HostRecord:
-        """Return the record with which this host leaves."""
+        """Return the record that announces that this host leaves."""
         if self.own_record.state is MembershipState.LEAVING:
             return self.own_record
         return HostRecord(
@@ -254,13 +252,13 @@
         )
 
     def leave(self) -> None:
-        """State that this host takes no new work."""
+        """Announce that this host is leaving and takes no new work."""
         farewell = self.farewell()
         if farewell.overrides(self.own_record):
             self.announce(farewell.incarnation, farewell.state)
 
     def suspect(self, record: HostRecord) -> None:
-        """Suspect a host that does not answer; one that leaves is gone."""
+        """Mark an unresponsive host as suspected, or as gone if it was leaving."""
         current = self.table.get(record.ref.host)
         if current is None or current.incarnation != record.incarnation:
             return
@@ -270,9 +268,9 @@
         self.table.apply(current.in_state(state), self.clock.monotonic())
 
     def retire_unlisted(self, listed: Collection[str]) -> None:
-        """Let go of dead hosts that the platform has not listed for a while.
+        """Mark dead hosts as gone once the platform has stopped listing them.
 
-        :param listed: the ids of all hosts that it lists now.
+        :param listed: the ids of all hosts currently listed.
         """
         now = self.clock.monotonic()
         dead = {
@@ -289,7 +287,7 @@
                 )
 
     def handle_record_change(self, change: RecordChange) -> None:
-        """Pass a change on and record it in the time line."""
+        """Record a change in the timeline and queue it for gossip."""
         after = change.after
         if after is None:
             return
@@ -299,14 +297,13 @@
         self.record_event(change.before, after)
         joins = change.before is None
         if joins and self.repairing:
-            # Whoever met it first spreads it. With joins told less often it is
-            # 70 KB in place of 126 that each of 195 hosts sends in the first 5 s.
+            # Joins learned by a pull are already being gossiped by other hosts.
             return
         self.gossip_queue.add(after.ref.host, len(self.table.records), joins)
         self.on_urgent()
 
     def record_event(self, before: HostRecord | None, after: HostRecord) -> None:
-        """Record joins, suspicions and departures."""
+        """Record a join, suspicion or departure in the timeline."""
         host = after.ref.host
         was_live = before is not None and before.live
         if after.state is MembershipState.SUSPECTED:
@@ -318,11 +315,11 @@
             self.timeline.record(EventKind.MEMBER_LEFT, host, state=state)
 
     def pull_request(self) -> Json:
-        """Return the question for records that differ."""
+        """Return a pull request with the bucket digests of this host's table."""
         return {"me": self.own_record.to_json(), "b": list(self.table.buckets)}
 
     def pull_answer(self, message: Json) -> Json:
-        """Return records of buckets that differ, a bounded number.
+        """Return up to `MAX_PULLED_RECORDS` records of the buckets that differ.
 
         :raises WireError: if the message is malformed.
         """
@@ -339,9 +336,9 @@
         }
 
     def take_pulled(self, message: Json) -> int:
-        """Merge the answer to a pull; return how many records were new.
+        """Merge a pull response; return how many records were applied.
 
-        What we know better becomes news, so that the other side learns it.
+        Records that are newer here are queued for gossip to the peer.
 
         :raises WireError: if the message is malformed.
         """
@@ -365,7 +362,7 @@
 
 
 def ended_unplanned(known: HostRecord, sender: HostRecord) -> bool:
-    """Return whether a host died, or restarted before anybody noticed."""
+    """Return whether a host was declared dead, or restarted without leaving first."""
     if sender.incarnation <= known.incarnation:
         return False
     restarted = (
@@ -375,7 +372,7 @@
 
 
 def differing(theirs: list[int], ours: list[int]) -> set[int]:
-    """Return the indexes of the buckets that differ."""
+    """Return the indexes of buckets whose digests differ."""
     return {index for index in range(BUCKETS) if theirs[index] != ours[index]}
 
 
@@ -388,8 +385,8 @@
 
 
 def read_list_field(message: Json, name: str) -> list[Any]:
-    """Return a list from a message; it may be left out."""
+    """Return a list field of a message; an absent field is empty."""
     value = message.get(name, [])
     if not isinstance(value, list):
-        raise WireError(f"{name} is not a list")
+        raise WireError(f"field {name} is not a list")
     return value
--- a/src/reedhook/process/fleet/membership_directory.py
+++ b/src/reedhook/process/fleet/membership_directory.py
@@ -1,4 +1,4 @@
-"""Which host is the home of a target."""
+"""Selection of the home host of each target."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 class RankingCache:
-    """Keep the order of known hosts for each key until the known set changes."""
+    """Cache the ranking of known hosts per key until the set of hosts changes."""
 
     __slots__ = ("table", "epoch", "orders")
 
@@ -24,7 +24,7 @@
         self.orders: dict[tuple[str, str, bool], list[str]] = {}
 
     def ranking(self, key: str, zone: str, inside: bool) -> list[str]:
-        """Return the known hosts inside (or outside) `zone`, best first."""
+        """Return the known hosts inside or outside `zone`, best first."""
         if self.epoch != self.table.known_epoch:
             self.orders.clear()
             self.epoch = self.table.known_epoch
@@ -35,7 +35,7 @@
         return known
 
     def hosts(self, zone: str, inside: bool) -> list[str]:
-        """Return the known hosts inside or outside `zone`, in no order."""
+        """Return the known hosts inside or outside `zone`, unordered."""
         if inside:
             return list(self.table.zones.get(zone, ()))
         return [
@@ -47,12 +47,12 @@
 
 
 class MembershipDirectory(HostDirectory):
-    """Derive homes from the table of known hosts.
+    """Select homes from the membership table.
 
-    Hosts with equal tables give equal answers. Among live hosts, those with a
-    penalty for flapping come last, before them those that are weak.
+    Hosts with equal tables select equal homes. Among live hosts, weak hosts rank
+    after others, and hosts with a flapping penalty rank last.
 
-    :param is_weak: whether the host named is weaker than others.
+    :param is_weak: returns whether a host has less capacity than others.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.callbacks.append(callback)
 
     def notify(self, change: RecordChange) -> None:
-        """Tell the subscribers of changes that can move a home."""
+        """Notify subscribers of a change that can move a home."""
         if change.before and change.after and same_for_homes(change):
             return
         for callback in self.callbacks:
@@ -89,14 +89,14 @@
         return self.live_order(self.orders.ranking(member, zone, False))
 
     def home(self, member: str, zone: str) -> HostRef | None:
-        """Return the home without building the whole ranking."""
+        """Return the home of a member without building the whole ranking."""
         inside = self.first(self.orders.ranking(member, zone, True))
         if inside is not None:
             return inside
         return self.first(self.orders.ranking(member, zone, False))
 
     def first(self, order: list[str]) -> HostRef | None:
-        """Return the first live host, best a strong one without a penalty."""
+        """Return the first live host, preferring one without penalty or weakness."""
         best = None
         for host in order:
             record = self.table.records[host]
@@ -109,24 +109,24 @@
         return None if best is None else best.ref
 
     def demotion_key(self, record: HostRecord) -> tuple[bool, bool]:
-        """Return what speaks against a host as a home, the worst first."""
+        """Return a sort key that ranks penalized hosts last, weak ones before them."""
         return record.penalty > 0, self.is_weak(record.ref.host)
 
     def live(self, key: str, zone: str, inside: bool) -> list[HostRef]:
-        """Return the live hosts inside (or outside) `zone` for a key, best first."""
+        """Return the live hosts inside or outside `zone` for a key, best first."""
         order = self.orders.ranking(key, zone, inside)
         records = [self.table.records[host] for host in order]
         return [record.ref for record in records if record.live]
 
     def live_order(self, order: list[str]) -> list[HostRef]:
-        """Return the live hosts of `order`, those with a drawback last."""
+        """Return the live hosts of `order`, demoted ones last."""
         records = [self.table.records[host] for host in order]
         live = [record for record in records if record.live]
         live.sort(key=self.demotion_key)
         return [record.ref for record in live]
 
     def successor(self, member: str, zone: str) -> HostRef | None:
-        """Return the host that takes over once this one has left."""
+        """Return the host that becomes the home after this host leaves."""
         for inside in (True, False):
             order = self.orders.ranking(member, zone, inside)
             others = [host for host in order if host != self.ref.host]
@@ -144,7 +144,7 @@
         return len(self.table.zones.get(zone, ()))
 
     def relays(self, zone: str) -> list[HostRef]:
-        """Return the hosts that ask the platform on behalf of `zone`."""
+        """Return the hosts that query the platform on behalf of `zone`."""
         return self.live_order(self.orders.ranking(RELAY_KEY, zone, True))[
             :MAX_RELAYS_PER_ZONE
         ]
@@ -168,12 +168,12 @@
 
 
 def same_for_homes(change: RecordChange) -> bool:
-    """Return whether a change of a known host moves no home."""
+    """Return whether a change of a known host cannot move a home."""
     return home_relevant_state(change.before) == home_relevant_state(change.after)
 
 
 def home_relevant_state(record: HostRecord | None) -> tuple[HostRef, bool, bool] | None:
-    """Return what of a record decides on homes."""
+    """Return the parts of a record that affect home selection."""
     if record is None:
         return None
     return record.ref, record.live, record.penalty > 0
--- a/src/reedhook/process/fleet/membership_record.py
+++ b/src/reedhook/process/fleet/membership_record.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another of a host, and which of two records wins."""
+"""Membership records and their precedence."""
 
 from enum import IntEnum
 from typing import Any, Final
@@ -13,7 +13,7 @@
 
 
 class MembershipState(IntEnum):
-    """Name the state of a host; within an incarnation the higher one wins."""
+    """State of a host; within an incarnation the higher state wins."""
 
     LIVE = 0
     SUSPECTED = 1
@@ -23,13 +23,13 @@
 
 
 class HostRecord(Record):
-    """Carry what is known of a host.
+    """Describe the membership state of a host.
 
     :param ref: the host's id, availability zone and address.
-    :param incarnation: chosen by the host itself; wall-clock milliseconds at
-        its start, raised to refute a suspicion.
-    :param penalty: above 0 while the host was declared dead repeatedly of
-        late; it is then ranked after others. Set by the host itself.
+    :param incarnation: set by the host itself: wall-clock milliseconds at its start,
+        incremented to refute a suspicion.
+    :param penalty: set by the host itself: above 0 after it was repeatedly declared
+        dead; the host then ranks after others.
     """
 
     __slots__ = ("ref", "incarnation", "state", "penalty")
@@ -48,7 +48,7 @@
 
     @property
     def live(self) -> bool:
-        """Return whether work may go to the host; a suspected one still counts."""
+        """Return whether the host accepts work; a suspected host still does."""
         return self.state <= MembershipState.SUSPECTED
 
     def overrides(self, other: "HostRecord") -> bool:
@@ -57,14 +57,14 @@
         return mine > (other.incarnation, other.state)
 
     def in_state(self, state: MembershipState) -> "HostRecord":
-        """Return the same incarnation in another state."""
+        """Return a copy of this record in another state."""
         return HostRecord(self.ref, self.incarnation, state, self.penalty)
 
     def digest(self) -> int:
-        """Return a 64-bit digest; 0 for a host that is no longer there.
+        """Return a 64-bit digest; 0 for a dead or gone host.
 
-        A suspicion is short-lived and travels as news only, so that it makes
-        no two tables differ.
+        A suspicion does not change the digest: it is short-lived and spreads by
+        gossip only, so it must not trigger a pull.
         """
         if self.state >= MembershipState.DEAD:
             return 0
@@ -73,7 +73,7 @@
         return xxhash.xxh3_64_intdigest(text.encode())
 
     def to_json(self) -> list[Any]:
-        """Return the record as it stands on the wire."""
+        """Return the record in wire format."""
         return [
             *self.ref.to_json(),
             self.incarnation,
@@ -83,17 +83,17 @@
 
     @classmethod
     def from_json(cls, value: Any) -> "HostRecord":
-        """Read a record from the wire.
+        """Parse a record in wire format.
 
         :raises WireError: if it is malformed.
         """
         if not isinstance(value, list) or len(value) != FIELDS:
-            raise WireError("a host record has six fields")
+            raise WireError("host record must be a list of six fields")
         texts, numbers = value[:3], value[3:]
         if not all(isinstance(text, str) for text in texts):
-            raise WireError("a host record begins with three texts")
+            raise WireError("first three fields of a host record must be strings")
         if not all(type(number) is int and number >= 0 for number in numbers):
-            raise WireError("a host record ends with three numbers")
+            raise WireError("last three fields of a host record must be integers >= 0")
         try:
             state = MembershipState(numbers[1])
         except ValueError as error:
--- a/src/reedhook/process/fleet/membership_table.py
+++ b/src/reedhook/process/fleet/membership_table.py
@@ -1,4 +1,4 @@
-"""The table of known hosts, with digests that change along with it."""
+"""Table of known hosts with incrementally updated digests."""
 
 from collections.abc import Callable, Iterator
 from typing import Final
@@ -13,10 +13,10 @@
 
 
 class RecordChange:
-    """Carry what became of a record.
+    """Describe the replacement or removal of a record.
 
-    :ivar before: the record that was replaced; None for a new host.
-    :ivar after: the record in force; None if the host was forgotten.
+    :ivar before: the previous record; None for a new host.
+    :ivar after: the current record; None if the host was forgotten.
     """
 
     __slots__ = ("before", "after")
@@ -27,15 +27,15 @@
 
 
 class MembershipTable:
-    """Keep the record in force of each known host.
+    """Store the current record of each known host.
 
-    The digest of each bucket is the XOR of its records' digests, so that a
-    change costs the same whatever the number of hosts.
+    The digest of a bucket is the XOR of its records' digests, so an update takes
+    constant time.
 
     :ivar since: monotonic time in seconds of the last change of each host.
-    :ivar not_live_hosts: hosts in any state but live.
-    :ivar epoch: grows with each change of the table.
-    :ivar known_epoch: grows when a host becomes known or is forgotten.
+    :ivar not_live_hosts: hosts in any state other than `MembershipState.LIVE`.
+    :ivar epoch: incremented on each change of the table.
+    :ivar known_epoch: incremented when a host is added, moved or forgotten.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self.listeners: list[Callable[[RecordChange], None]] = []
 
     def apply(self, record: HostRecord, now: float) -> bool:
-        """Take `record` over if it beats what is known; return whether it did."""
+        """Store `record` if it overrides the known one; return whether it did."""
         host = record.ref.host
         before = self.records.get(host)
         if before is not None and not record.overrides(before):
@@ -65,7 +65,7 @@
         return True
 
     def put(self, record: HostRecord, before: HostRecord | None, now: float) -> None:
-        """Store `record` and tell the listeners."""
+        """Store `record` and notify the listeners."""
         host = record.ref.host
         if before is None or before.ref != record.ref:
             self.unlink(before)
@@ -81,7 +81,7 @@
         self.notify(RecordChange(before, record), now)
 
     def retire_previous_at_address(self, record: HostRecord, now: float) -> None:
-        """Declare another host gone that had this address in an earlier life."""
+        """Mark the previous host at this address as gone."""
         previous = self.by_address.get(record.ref.address)
         if not record.live or previous is None:
             return
@@ -95,7 +95,7 @@
             self.put(other.in_state(MembershipState.GONE), other, now)
 
     def forget(self, host: str, now: float) -> None:
-        """Drop the record of `host`."""
+        """Remove the record of `host`."""
         record = self.records.pop(host, None)
         if record is None:
             return
@@ -112,7 +112,7 @@
         self.known_epoch += 1
 
     def unlink(self, record: HostRecord | None) -> None:
-        """Undo `link`."""
+        """Remove a host from the indexes by zone and address."""
         if record is None:
             return
         zone = self.zones[record.ref.zone]
@@ -124,7 +124,7 @@
         self.known_epoch += 1
 
     def notify(self, change: RecordChange, now: float) -> None:
-        """Count the change and tell the listeners."""
+        """Increment the epoch and notify the listeners."""
         self.epoch += 1
         self.changed_at = now
         for listener in self.listeners:
@@ -142,16 +142,16 @@
         return self.records.get(host)
 
     def live(self, host: str) -> bool:
-        """Return whether work may go to `host`."""
+        """Return whether `host` accepts work."""
         record = self.records.get(host)
         return record is not None and record.live
 
     def refs(self, zone: str | None = None) -> list[HostRef]:
-        """Return the live hosts, of one zone if it is given."""
+        """Return the live hosts of `zone`, or of all zones for None."""
         return [one.ref for one in self.in_zone(zone) if one.live]
 
     def sees_majority(self) -> bool:
-        """Say whether more than half of the known hosts are live."""
+        """Return whether more than half of the known hosts are live."""
         return 2 * len(self.not_live_hosts) < len(self.records)
 
     def in_zone(self, zone: str | None) -> Iterator[HostRecord]:
@@ -163,7 +163,7 @@
             yield self.records[host]
 
     def in_buckets(self, indexes: set[int]) -> list[HostRecord]:
-        """Return the records that fall into the buckets."""
+        """Return the records in the given buckets."""
         return [
             record
             for host, record in self.records.items()
@@ -172,5 +172,5 @@
 
 
 def bucket_of(host: str) -> int:
-    """Return the bucket that `host` falls into."""
+    """Return the bucket index of `host`."""
     return score(BUCKET_KEY, host) % BUCKETS
--- a/src/reedhook/process/fleet/rendezvous.py
+++ b/src/reedhook/process/fleet/rendezvous.py
@@ -1,37 +1,36 @@
-"""Rendezvous hashing, and the shares of connections that go with ranks."""
+"""Rendezvous hashing and connection quotas by rank."""
 
 from collections.abc import Iterable
 from typing import Final
 
 import xxhash
 
-# Under a half, so that two hosts that do not know of each other yet and both
-# take themselves for the first stay within a target's connections.
+# Below one half, so that two hosts that both believe to be the home stay within the
+# target's connection limit together.
 HOME_CONNECTION_FRACTION: Final = 0.47
 STANDBY_CONNECTION_FRACTION: Final = 0.27
 THIRD_RANK_CONNECTION_FRACTION: Final = 0.2
 HOME_OPEN_CONNECTION_FRACTION: Final = 0.72
-"""Part of a target's connections that a home may have open, those included that are
-not in use. What is left is for a successor, until the target has found out that the
-connections of one that died are closed."""
+"""Fraction that a home may hold open, idle connections included. The rest is for a
+successor until the target has closed the connections of a dead home."""
 
 
 def score(key: str, host: str) -> int:
-    """Return how well `host` suits `key`; the highest is the best."""
+    """Return the rendezvous score of `host` for `key`; the highest wins."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{host}".encode())
 
 
 def ranked_hosts(key: str, hosts: Iterable[str]) -> list[str]:
-    """Return `hosts` for `key`, best first; all hosts compute the same."""
+    """Return `hosts` ordered by their score for `key`, best first."""
     return sorted(hosts, key=lambda host: (score(key, host), host), reverse=True)
 
 
 def connection_quota(connections: int, rank: int) -> int:
     """Return how many of a target's connections the host of `rank` may open.
 
-    The shares of all ranks sum up to `connections` at most, so that any set
-    of hosts that believe to be the home stays within it together. Every rank
-    gets one connection at least while any are left.
+    The quotas of all ranks add up to at most `connections`, so hosts of different
+    ranks that all act as the home stay within the limit. Each rank gets at least one
+    connection while any are left.
     """
     left = connections
     given = 0
@@ -45,7 +44,7 @@
 
 
 def home_connection_limit(connections: int) -> int:
-    """Return how many of a target's connections its home may have open."""
+    """Return how many connections to a target its home may hold open."""
     return max(
         connection_quota(connections, 0),
         int(connections * HOME_OPEN_CONNECTION_FRACTION),
@@ -53,7 +52,7 @@
 
 
 def connection_fraction(rank: int) -> float:
-    """Return the part of the connections that goes to `rank`."""
+    """Return the fraction of the connections assigned to `rank`."""
     if rank == 0:
         return HOME_CONNECTION_FRACTION
     if rank == 1:
--- a/src/reedhook/process/fleet/ring.py
+++ b/src/reedhook/process/fleet/ring.py
@@ -1,4 +1,4 @@
-"""The ring of a zone's hosts: who watches whom."""
+"""Ring of hosts that determines which hosts monitor which."""
 
 from typing import Final
 
@@ -12,10 +12,10 @@
 
 
 def watched_hosts(me: HostRef, table: MembershipTable) -> set[str]:
-    """Return the hosts that `me` watches.
+    """Return the hosts that `me` monitors.
 
-    Each host is watched by the ones before it on the ring of its zone; the
-    only host of a zone by those before it on the ring of all hosts.
+    Each host is monitored by its predecessors on the ring of its zone. The only host
+    of a zone is monitored by its predecessors on the ring of all hosts.
     """
     wanted = set(successors(me.host, hosts_on_ring(table, me.zone)))
     for zone in table.zones:
@@ -37,7 +37,7 @@
 
 
 def successors(host: str, hosts: list[str]) -> list[str]:
-    """Return the hosts that come next after `host` on the ring."""
+    """Return the next `WATCHED_HOST_COUNT` hosts after `host` on the ring."""
     ring = sorted(hosts, key=lambda one: (score(RING, one), one))
     if host not in ring:
         return []
