--- a/src/reedhook/version/__init__.py
+++ b/src/reedhook/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the configuration."""
+"""Versioned configuration: documents, validation, snapshots and deltas."""
--- a/src/reedhook/version/catalog.py
+++ b/src/reedhook/version/catalog.py
@@ -1,11 +1,11 @@
-"""The configuration in force at one site, as typed objects."""
+"""Typed representation of the active configuration of one site."""
 
 from ..record import Record
 from .workspace import Workspaces
 
 
 class Member(Record):
-    """Describe a member of a group: one target.
+    """Describe one target as a member of a database group.
 
     :param member_id: the member's id.
     :param zone: its availability zone.
@@ -23,9 +23,9 @@
 class Group(Record):
     """Describe a database group.
 
-    :param service: the service it belongs to.
-    :param slots: statements that one target runs at a time.
-    :param connections: connections that one target accepts.
+    :param service: the service that the group belongs to.
+    :param slots: maximum number of concurrent statements per target.
+    :param connections: maximum number of connections per target.
     """
 
     __slots__ = ("name", "service", "members", "slots", "connections")
@@ -46,17 +46,17 @@
 
     @property
     def majority(self) -> int:
-        """Return how many members make a majority."""
+        """Return the number of members in a majority."""
         return len(self.members) // 2 + 1
 
 
 class Limits(Record):
-    """Carry the limits that a site sets.
+    """Describe the limits configured for a site.
 
-    :param deadline_ms: deadline of a statement that states none.
-    :param queue: statements that may wait at one target.
-    :param default_max_age_ms: age accepted by a bounded read that states none.
-    :param drain_s: how long a graceful shutdown waits for work in progress.
+    :param deadline_ms: default deadline of a statement.
+    :param queue: maximum number of queued statements per target.
+    :param default_max_age_ms: default staleness bound of a bounded read.
+    :param drain_s: time that a graceful shutdown waits for running statements.
     :param transaction_idle_ms: idle time after which a transaction is rolled back.
     """
 
@@ -84,10 +84,10 @@
 
 
 class Catalog(Record):
-    """Carry the merged configuration of one site.
+    """Hold the merged configuration of one site.
 
-    :param version: the accepted version; it only ever grows.
-    :param site: the availability zone that it holds for.
+    :param version: the accepted version; versions only increase.
+    :param site: the availability zone that the configuration applies to.
     """
 
     __slots__ = ("version", "site", "groups", "workspaces", "limits")
@@ -107,7 +107,7 @@
         self.limits = limits
 
     def member(self, member: str) -> tuple[Group, Member] | None:
-        """Return the group and description of a member, or None."""
+        """Return a member and its group, or None if it is not configured."""
         for group in self.groups.values():
             for one in group.members:
                 if one.member_id == member:
--- a/src/reedhook/version/delta.py
+++ b/src/reedhook/version/delta.py
@@ -1,8 +1,8 @@
-"""What has to be sent of a document to somebody who has an earlier one.
+"""Deltas between two versions of a document.
 
-A document is cut where an object of JSON ends. A delta is a list of parts: a text
-stands for itself, two numbers for so many pieces of the earlier document from a
-place on. `unpack` gives the document back to the byte, or fails.
+Documents are split into pieces after each end of a JSON object. A delta is a list of
+parts: a string is literal text, and a pair ``[index, count]`` copies pieces of the base
+document. `apply_delta` restores the document byte for byte or raises an error.
 """
 
 import zlib
@@ -19,21 +19,21 @@
 
 OBJECT_END: Final = b"}"
 ENCODING: Final = "latin-1"
-"""Stands for each byte by one character, whatever the document holds."""
+"""Maps each byte to one character, so that any document can be encoded."""
 
 LEVEL: Final = 6
-"""Of the compression: 280 KB of routes take 17 ms and come to a sixth."""
+"""Compression level of zlib."""
 
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
-"""Of a document that is unpacked; a value of the platform's store has 1 MB."""
+"""Maximum size of the decompressed parts of a delta."""
 
 
 class Delta(Record):
-    """Carry what turns one document into another.
+    """Hold the changes that turn one document into another.
 
-    :param base: digest of the document that it starts from.
-    :param digest: of the document that it gives.
-    :param packed: the parts, compressed, in base64.
+    :param base: digest of the base document.
+    :param digest: digest of the resulting document.
+    :param packed: the parts as JSON, compressed with zlib, in base64.
     """
 
     __slots__ = ("base", "digest", "packed")
@@ -44,24 +44,24 @@
         self.packed = packed
 
     def to_json(self) -> list[str]:
-        """Return the delta as it stands on the wire."""
+        """Return the delta in wire format."""
         return [self.base, self.digest, self.packed]
 
     @classmethod
     def from_json(cls, value: Any) -> "Delta":
-        """Read a delta from the wire.
+        """Parse a delta in wire format.
 
         :raises WireError: if it is malformed.
         """
         if not isinstance(value, list) or len(value) != len(cls.__slots__):
-            raise WireError("a delta has three fields")
+            raise WireError("delta must be a list of three fields")
         if not all(isinstance(field, str) for field in value):
-            raise WireError("a delta has three texts")
+            raise WireError("fields of a delta must be strings")
         return cls(*value)
 
 
 def make_delta(document: bytes, base: bytes) -> Delta:
-    """Return what turns `base`, which may be empty, into `document`."""
+    """Return the delta from `base`, which may be empty, to `document`."""
     parts = orjson.dumps(difference(document, base))
     packed = b64encode(zlib.compress(parts, LEVEL)).decode()
     return Delta(digest(base), digest(document), packed)
@@ -69,80 +69,80 @@
 
 @wraps_decode_errors
 def apply_delta(delta: Delta, base: bytes) -> bytes:
-    """Return the document that a delta gives.
+    """Apply a delta to `base` and return the resulting document.
 
-    :raises WireError: if it is malformed, or was made for another base.
+    :raises WireError: if the delta is malformed or was made for another base.
     """
     if delta.base != digest(base):
-        raise WireError("the delta is for another base")
+        raise WireError("digest of the base document does not match the delta")
     raw = decompress(b64decode(delta.packed, validate=True))
     document = joined(orjson.loads(raw), split_pieces(base))
     if delta.digest != digest(document):
-        raise WireError("the delta gives another document")
+        raise WireError("digest of the resulting document does not match the delta")
     return document
 
 
 def digest(document: bytes) -> str:
-    """Return what tells one document from another."""
+    """Return the XXH3 hex digest of a document."""
     return xxhash.xxh3_128_hexdigest(document)
 
 
 EMPTY_DIGEST: Final = digest(b"")
-"""Digest of the document that everybody has."""
+"""Digest of the empty document, which is always available as a base."""
 
 
 def difference(document: bytes, base: bytes) -> list[Part]:
-    """Return the parts of `document`, taken from `base` where it has them."""
-    places = {piece: place for place, piece in enumerate(split_pieces(base))}
+    """Return the parts of `document`, copied from `base` where possible."""
+    positions = {piece: index for index, piece in enumerate(split_pieces(base))}
     parts: list[Part] = []
     for piece in split_pieces(document):
-        place = places.get(piece)
+        index = positions.get(piece)
         last = parts[-1] if parts else None
-        if place is None and isinstance(last, str):
+        if index is None and isinstance(last, str):
             parts[-1] = last + piece.decode(ENCODING)
-        elif place is None:
+        elif index is None:
             parts.append(piece.decode(ENCODING))
-        elif isinstance(last, list) and sum(last) == place:
+        elif isinstance(last, list) and sum(last) == index:
             last[1] += 1
         else:
-            parts.append([place, 1])
+            parts.append([index, 1])
     return parts
 
 
 def split_pieces(document: bytes) -> list[bytes]:
-    """Cut a document; the pieces joined give it back."""
+    """Split a document into pieces; joining them restores it."""
     *whole, rest = document.split(OBJECT_END)
     return [piece + OBJECT_END for piece in whole] + ([rest] if rest else [])
 
 
 def joined(parts: list[Part], base: list[bytes]) -> bytes:
-    """Put a document together.
+    """Join the parts of a delta into a document.
 
-    :raises WireError: if a part names pieces that the base does not have.
+    :raises WireError: if a part refers to pieces that the base lacks.
     """
-    found = []
+    pieces = []
     for part in parts:
         if isinstance(part, str):
-            found.append(part.encode(ENCODING))
+            pieces.append(part.encode(ENCODING))
             continue
-        place, count = part
-        taken = base[place : place + count]
-        if place < 0 or len(taken) != count:
-            raise WireError("the delta names pieces that the base lacks")
-        found += taken
-    return b"".join(found)
+        start, count = part
+        copied = base[start : start + count]
+        if start < 0 or len(copied) != count:
+            raise WireError("delta refers to pieces that the base lacks")
+        pieces += copied
+    return b"".join(pieces)
 
 
 def decompress(packed: bytes) -> bytes:
-    """Return what was compressed.
+    """Decompress the parts of a delta.
 
-    :raises WireError: if it is damaged or too long.
+    :raises WireError: if the data is corrupt or exceeds `MAX_DOCUMENT_BYTES`.
     """
     inflator = zlib.decompressobj()
     try:
         raw = inflator.decompress(packed, MAX_DOCUMENT_BYTES)
     except zlib.error as error:
-        raise WireError(f"the delta is damaged: {error}") from error
+        raise WireError(f"cannot decompress the delta: {error}") from error
     if inflator.unconsumed_tail:
-        raise WireError("the delta is too long")
+        raise WireError("decompressed delta exceeds the size limit")
     return raw
--- a/src/reedhook/version/difference.py
+++ b/src/reedhook/version/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two editions."""
+"""Differences between two versions of the configuration."""
 
 from ..record import Record
 from ..wire import Json
@@ -9,10 +9,10 @@
 
 
 class PathChange(Record):
-    """Carry one path that differs between two versions.
+    """Describe one path that differs between two versions.
 
-    :param file: the document.
-    :param path: the keys that lead to what differs.
+    :param file: the name of the document.
+    :param path: the keys of the differing value, joined by dots.
     """
 
     __slots__ = ("file", "path")
@@ -22,15 +22,15 @@
         self.path = path
 
     def to_json(self) -> Json:
-        """Return the change as it stands on the wire."""
+        """Return the change in wire format."""
         return {"file": self.file, "path": self.path}
 
 
 class VersionChanges(Record):
-    """Carry what one version changed.
+    """Describe the changes made by one version.
 
-    :param manifest: the version's head.
-    :param changes: what it changed; empty if only comments or layout did.
+    :param manifest: the manifest of the version.
+    :param changes: the changed paths; empty if only comments or layout changed.
     """
 
     __slots__ = ("manifest", "changes")
@@ -42,7 +42,7 @@
         self.changes = changes
 
     def to_json(self) -> Json:
-        """Return the changes as they stand on the wire."""
+        """Return the changes in wire format."""
         changes = [change.to_json() for change in self.changes]
         return {**self.manifest.summary(), "changes": changes}
 
@@ -50,7 +50,7 @@
 def changes_between(
     before: ConfigurationDocuments, after: ConfigurationDocuments
 ) -> list[PathChange]:
-    """Return the paths at which two editions differ."""
+    """Return the paths at which two versions differ."""
     ignored: list[ConfigurationError] = []
     texts = {BASE_FILE: (before.base, after.base)}
     for site in sorted({*before.overlays, *after.overlays}):
--- a/src/reedhook/version/document.py
+++ b/src/reedhook/version/document.py
@@ -1,4 +1,4 @@
-"""Documents as operators write them, and their values with line numbers."""
+"""Parsing of YAML configuration documents with line numbers."""
 
 import math
 from typing import Any, Final
@@ -29,10 +29,10 @@
 
 
 class ConfigurationDocuments(Record):
-    """Carry the texts of one edition of the configuration.
+    """Hold the YAML texts of one version of the configuration.
 
-    :param base: the base file, YAML.
-    :param overlays: an overlay, YAML, for each site.
+    :param base: the text of the base file.
+    :param overlays: the text of the overlay of each site.
     """
 
     __slots__ = ("base", "overlays")
@@ -42,31 +42,31 @@
         self.overlays = overlays
 
     def to_json(self) -> Json:
-        """Return the documents as they stand on the wire."""
+        """Return the documents in wire format."""
         return {"base": self.base, "overlays": self.overlays}
 
     @classmethod
     def from_json(cls, message: Json) -> "ConfigurationDocuments":
-        """Read documents from the wire.
+        """Parse documents in wire format.
 
-        :raises WireError: if the message has another form.
+        :raises WireError: if the message is malformed.
         """
         base = message.get("base")
         overlays = message.get("overlays", {})
         if not isinstance(base, str) or not isinstance(overlays, dict):
-            raise WireError("base must be a text and overlays an object of texts")
+            raise WireError("base must be a string and overlays an object of strings")
         if not all(isinstance(text, str) for text in overlays.values()):
-            raise WireError("overlays must be an object of texts")
+            raise WireError("overlays must be an object of strings")
         return cls(base, overlays)
 
 
 class ParsedDocument(Record):
-    """Carry the values of a document and the line of each path.
+    """Hold the values of a document and the line of each path.
 
     :param file: the document's name.
-    :param content: its values, as plain dicts, lists and scalars.
+    :param content: the values as plain dicts, lists and scalars.
     :param lines: the line of each path, counted from 1.
-    :ivar readable: whether the document is a mapping in YAML, or empty.
+    :ivar readable: whether the document is a YAML mapping or empty.
     """
 
     __slots__ = ("file", "content", "lines", "readable")
@@ -78,21 +78,21 @@
         self.readable = False
 
     def locate(self, path: KeyPath) -> SourceLocation:
-        """Return where `path`, or the nearest mapping around it, is stated."""
+        """Return the location of `path` or of its nearest enclosing mapping."""
         while path and path not in self.lines:
             path = path[:-1]
         return SourceLocation(self.file, self.lines.get(path))
 
 
 def overlay_file(site: str) -> str:
-    """Return the name of the overlay of `site`."""
+    """Return the file name of the overlay of `site`."""
     return f"overlays/{site}.yaml"
 
 
 def parse_document(
     file: str, text: str, faults: list[ConfigurationError]
 ) -> ParsedDocument:
-    """Read one document; append what is wrong with it to `faults`."""
+    """Parse one document; append its errors to `faults`."""
     parsed = ParsedDocument(file, {}, {})
     if len(text) > MAX_DOCUMENT_CHARACTERS:
         reason = f"longer than {MAX_DOCUMENT_CHARACTERS} characters"
@@ -110,7 +110,7 @@
 
 
 def syntax_error(file: str, error: yaml.YAMLError) -> ConfigurationSyntaxError:
-    """Return a fault that says what the YAML parser found."""
+    """Convert an error of the YAML parser."""
     mark = getattr(error, "problem_mark", None)
     line = None if mark is None else mark.line + 1
     reason = getattr(error, "problem", None) or "not readable as YAML"
@@ -118,7 +118,7 @@
 
 
 class DocumentReader:
-    """Turn the nodes of one YAML document into plain values with lines."""
+    """Convert the nodes of one YAML document to plain values with lines."""
 
     __slots__ = ("parsed", "faults", "loader", "seen")
 
@@ -130,9 +130,9 @@
         self.seen: set[int] = set()
 
     def read(self, text: str) -> None:
-        """Fill in the values and lines.
+        """Parse `text` and fill in the values and lines.
 
-        :raises yaml.YAMLError: if `text` is not YAML.
+        :raises yaml.YAMLError: if `text` is not valid YAML or nested too deeply.
         """
         check_nesting_depth(text)
         self.loader = Loader(text)
@@ -145,7 +145,7 @@
         finally:
             self.loader.dispose()
         if not isinstance(values, dict):
-            self.add_error(node, (), "a mapping is expected")
+            self.add_error(node, (), "expected a mapping")
             return
         self.parsed.content = values
         self.parsed.readable = True
@@ -153,7 +153,7 @@
     def value(self, node: yaml.Node, path: KeyPath) -> Any:
         """Return the plain value of `node`."""
         self.parsed.lines.setdefault(path, node.start_mark.line + 1)
-        # An alias may repeat its anchor without bound, so none is followed.
+        # Nested aliases can expand exponentially, so none are accepted.
         if id(node) in self.seen:
             self.add_error(node, path, "aliases are not accepted")
             return None
@@ -173,31 +173,31 @@
                 continue
             if not path and key in RENAMED_KEYS:
                 key = self.current_key(key)
-            place = (*path, key)
+            key_path = (*path, key)
             line = key_node.start_mark.line + 1
             if key in values:
-                reason = f"stated twice; first in line {self.parsed.lines[place]}"
+                reason = f"stated twice; first in line {self.parsed.lines[key_path]}"
                 mark = SourceLocation(self.parsed.file, line)
-                self.faults.append(DuplicateKeyError(mark, place, reason))
+                self.faults.append(DuplicateKeyError(mark, key_path, reason))
                 continue
-            self.parsed.lines[place] = line
-            values[key] = self.value(value_node, place)
+            self.parsed.lines[key_path] = line
+            values[key] = self.value(value_node, key_path)
         return values
 
     def current_key(self, key: str) -> str:
-        """Return what a section is called now; its former name is still read."""
+        """Return the current name of a renamed section and log a warning."""
         name = RENAMED_KEYS[key]
         file = self.parsed.file
-        log.warning("{} states {}, which is called {} now.", file, key, name)
+        log.warning("{} uses {}, which was renamed to {}.", file, key, name)
         return name
 
     def key(self, node: yaml.Node, path: KeyPath) -> str | None:
-        """Return a key, or None if it is not a text."""
+        """Return a key, or None if it is not a string."""
         if isinstance(node, yaml.ScalarNode):
             key = self.construct_scalar(node)
             if isinstance(key, str):
                 return key
-        self.add_error(node, path, "keys must be texts; put quotes around it")
+        self.add_error(node, path, "keys must be strings; quote the key")
         return None
 
     def sequence(self, node: yaml.SequenceNode, path: KeyPath) -> list[Any]:
@@ -211,7 +211,7 @@
         """Return the plain value of a scalar."""
         value = self.construct_scalar(node)
         if value is UNSUPPORTED_SCALAR:
-            reason = "a text, number or truth value is expected; quote other texts"
+            reason = "expected a string, number or boolean; quote other values"
             self.add_error(node, path, reason)
             return None
         if isinstance(value, float) and not math.isfinite(value):
@@ -220,7 +220,7 @@
         return value
 
     def construct_scalar(self, node: yaml.Node) -> Any:
-        """Return what YAML makes of a scalar, or `UNACCEPTED`."""
+        """Return the value of a scalar, or `UNSUPPORTED_SCALAR`."""
         if node.tag == f"{TAG}str":
             return node.value
         if node.tag not in NUMBER_TAGS:
@@ -231,15 +231,15 @@
             return UNSUPPORTED_SCALAR
 
     def add_error(self, node: yaml.Node, path: KeyPath, reason: str) -> None:
-        """Take note of a fault at `node`."""
+        """Append an error at `node`."""
         mark = SourceLocation(self.parsed.file, node.start_mark.line + 1)
         self.faults.append(ConfigurationSyntaxError(mark, path, reason))
 
 
 class NestingTooDeepError(yaml.YAMLError):
-    """Say that a document nests beyond what is accepted.
+    """Signal that a document is nested deeper than `MAX_DEPTH`.
 
-    :param problem_mark: where, as the YAML parser's own errors have it.
+    :param problem_mark: the location, as in the errors of the YAML parser.
     """
 
     def __init__(self, problem_mark: Any) -> None:
@@ -249,9 +249,11 @@
 
 
 def check_nesting_depth(text: str) -> None:
-    """Raise `DeepNesting` if `text` nests beyond what is accepted.
+    """Check that `text` is nested at most `MAX_DEPTH` levels deep.
 
-    The composer recurses, so that the depth is bounded before it runs.
+    The YAML composer is recursive, so the depth must be checked before it runs.
+
+    :raises NestingTooDeepError: if the limit is exceeded.
     """
     depth = 0
     for event in yaml.parse(text, Loader=Loader):
--- a/src/reedhook/version/errors.py
+++ b/src/reedhook/version/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration, and where."""
+"""Errors in configuration documents and their locations."""
 
 from collections.abc import Sequence
 from typing import TypeAlias
@@ -10,10 +10,10 @@
 
 
 class SourceLocation(Record):
-    """Name a place in a document.
+    """Identify a location in a document.
 
-    :param file: the document, as operators name it.
-    :param line: the line, counted from 1; None if there is none.
+    :param file: the name of the document.
+    :param line: the line, counted from 1; None if unknown.
     """
 
     __slots__ = ("file", "line")
@@ -27,11 +27,11 @@
 
 
 class ConfigurationError(Exception):
-    """Say what is wrong at one place; base of the faults below.
+    """Describe an error at one location; base class of the errors below.
 
-    :param location: the place in the document.
-    :param path: the keys that lead there.
-    :param reason: one clause for the operator.
+    :param location: the location in the document.
+    :param path: the keys that lead to the value.
+    :param reason: a one-line explanation for the operator.
     """
 
     def __init__(self, location: SourceLocation, path: KeyPath, reason: str) -> None:
@@ -42,7 +42,7 @@
         self.reason = reason
 
     def to_json(self) -> Json:
-        """Return the fault as it stands on the wire."""
+        """Return the error in wire format."""
         return {
             "file": self.location.file,
             "line": self.location.line,
@@ -52,42 +52,42 @@
 
 
 class ConfigurationSyntaxError(ConfigurationError):
-    """Say that a document is not the plain YAML that is expected."""
+    """Signal invalid YAML or an unsupported YAML feature."""
 
 
 class DuplicateKeyError(ConfigurationError):
-    """Say that a mapping states a key twice."""
+    """Signal a duplicate key in a mapping."""
 
 
 class SchemaViolationError(ConfigurationError):
-    """Say that a value or key does not fit the schema."""
+    """Signal a key or value that violates the schema."""
 
 
 class InvalidReferenceError(ConfigurationError):
-    """Say that a name refers to nothing, or that two things share one name."""
+    """Signal an undefined reference, an invalid name or a duplicate name."""
 
 
 class OverlayConflictError(ConfigurationError):
-    """Say that an overlay changes what all sites must agree on."""
+    """Signal that an overlay changes a value that must be equal at all sites."""
 
 
 class InvalidConfigurationError(ExceptionGroup[ConfigurationError]):
-    """Report all faults of a configuration at once."""
+    """Report all errors of a configuration together."""
 
     def derive(  # type: ignore[override]
         self, excs: Sequence[ConfigurationError]
     ) -> "InvalidConfigurationError":
-        """Return a group of some of the faults, as `split` and `subgroup` need."""
+        """Return a group of some of the errors, for `split` and `subgroup`."""
         return InvalidConfigurationError(self.message, excs)
 
     def to_json(self) -> list[Json]:
-        """Return the faults as they stand on the wire."""
+        """Return the errors in wire format."""
         faults = [one for one in self.exceptions if isinstance(one, ConfigurationError)]
         return [fault.to_json() for fault in faults]
 
 
 def raise_errors(faults: list[ConfigurationError]) -> None:
-    """Raise `InvalidConfiguration` if there are faults, each named once."""
+    """Raise `InvalidConfigurationError` if there are errors, without duplicates."""
     unique = {str(fault): fault for fault in faults}
     if unique:
         raise InvalidConfigurationError(
--- a/src/reedhook/version/merge.py
+++ b/src/reedhook/version/merge.py
@@ -1,4 +1,4 @@
-"""Merging the base file with the overlay of a site."""
+"""Merging of the base file with the overlay of a site."""
 
 from typing import Any
 
@@ -9,9 +9,9 @@
 
 
 class MergedConfiguration(Record):
-    """Carry the merged values of one site and where each was stated.
+    """Hold the merged values of one site and their source documents.
 
-    :param site: the availability zone; None stands for the base alone.
+    :param site: the availability zone; None for the base without an overlay.
     """
 
     __slots__ = ("site", "content", "base", "overlay")
@@ -30,12 +30,12 @@
 
     @property
     def files(self) -> tuple[str, ...]:
-        """Return the names of the documents that were merged."""
+        """Return the names of the merged documents."""
         overlay = () if self.overlay is None else (self.overlay.file,)
         return (self.base.file, *overlay)
 
     def locate(self, path: KeyPath) -> SourceLocation:
-        """Return where the value at `path`, or the nearest around it, is stated."""
+        """Return the location of `path` or of its nearest enclosing value."""
         while path:
             if self.overlay is not None and path in self.overlay.lines:
                 return self.overlay.locate(path)
@@ -48,16 +48,16 @@
 def merge_site(
     site: str, base: ParsedDocument, overlay: ParsedDocument
 ) -> MergedConfiguration:
-    """Return what holds at `site`."""
+    """Return the merged configuration of `site`."""
     return MergedConfiguration(
         site, merge(base.content, overlay.content), base, overlay
     )
 
 
 def merge(base: Any, overlay: Any) -> Any:
-    """Merge recursively: mappings by key, anything else is replaced.
+    """Merge recursively: mappings by key; other values are replaced.
 
-    Parts that the overlay leaves alone are shared with `base`, not copied.
+    Unchanged parts are shared with `base`, not copied.
     """
     if not isinstance(base, dict) or not isinstance(overlay, dict):
         return overlay
@@ -68,7 +68,7 @@
 
 
 def changed_paths(old: Any, new: Any, path: KeyPath = ()) -> list[KeyPath]:
-    """Return the paths at which two documents differ, each as deep as possible."""
+    """Return the most specific paths at which two documents differ."""
     if old == new and type(old) is type(new):
         return []
     if not isinstance(old, dict) or not isinstance(new, dict):
--- a/src/reedhook/version/route_table.py
+++ b/src/reedhook/version/route_table.py
@@ -1,4 +1,4 @@
-"""Routes of callers and targets of services, as the operators announce them."""
+"""Routes of databases to services, and the announcements of targets."""
 
 from enum import Enum
 from typing import Final
@@ -7,11 +7,11 @@
 from .workspace import Workspaces
 
 DEFAULT_TARGET_SLOTS: Final = 2
-"""Slots of a target that states none."""
+"""Slots of a target that announces none."""
 
 
 class RouteConsistency(str, Enum):
-    """Name how fresh the reads of a route must be."""
+    """Read consistency of a route."""
 
     PRIMARY = "primary"
     BOUNDED = "bounded"
@@ -19,16 +19,15 @@
 
 
 class Route(Record):
-    """Say how the sessions of one database are served.
-
-    :param database: the name that callers ask for.
-    :param service: the group of targets that holds it.
-    :param statement_timeout_seconds: seconds for one statement.
-    :param latency_objective_seconds: seconds in which callers expect an operation to
-        end.
-    :param priority: 0 runs first.
-    :param max_age: seconds by which a read may lag, or None.
-    :param public: whether callers need no key.
+    """Describe how the sessions of one database are routed.
+
+    :param database: the database name that callers connect to.
+    :param service: the service whose targets hold the database.
+    :param statement_timeout_seconds: maximum run time of one statement.
+    :param latency_objective_seconds: latency that callers expect of an operation.
+    :param priority: 0 is the highest priority.
+    :param max_age: maximum staleness of a read in seconds, or None.
+    :param public: whether callers may connect without a key.
     """
 
     __slots__ = (
@@ -64,9 +63,9 @@
 
 
 class ServiceLimits(Record):
-    """Say what the targets of a service bear.
+    """Describe the limits of the targets of a service.
 
-    :param connections: that one target accepts from all hosts together.
+    :param connections: maximum number of connections to one target from all hosts.
     """
 
     __slots__ = ("service", "connections")
@@ -77,13 +76,13 @@
 
 
 class RouteTable(Record):
-    """Hold one version of what the operators decided.
+    """Hold one version of the routes and limits.
 
-    :param routes: by database.
-    :param services: by service.
-    :param transaction_idle: seconds after which a transaction at rest may end.
-    :param start_timeout: seconds in which a connection must name its database.
-    :param workspaces: whose keys open the routes that are not public.
+    :param routes: routes by database.
+    :param services: limits by service.
+    :param transaction_idle: seconds after which an idle transaction may be ended.
+    :param start_timeout: seconds within which a new connection must name its database.
+    :param workspaces: the workspaces whose keys open routes that are not public.
     """
 
     __slots__ = (
@@ -113,16 +112,15 @@
 
 
 class TargetAnnouncement(Record):
-    """Carry what a target announces of itself.
+    """Describe a target by its own announcement.
 
     :param address: ``IP:port``.
     :param leaving: whether it takes no new work.
-    :param claims_primary: whether it believes to be the primary.
+    :param claims_primary: whether it considers itself the primary.
     :param started_at_ms: when its process started, in Unix milliseconds; 0 if unknown.
-        A
-        target that starts again under its id holds nothing of before.
-    :param slots: statements that it runs at a time.
-    :param sequence: counts what one process announces.
+        A target that restarts under the same id has lost its earlier data.
+    :param slots: maximum number of concurrent statements.
+    :param sequence: number of the announcement within its process.
     """
 
     __slots__ = (
@@ -160,14 +158,14 @@
         self.sequence = sequence
 
     def is_incarnation(self, started_at_ms: int) -> bool:
-        """Say whether it may be the process that started at `born`."""
+        """Return whether this may be the process started at `started_at_ms`."""
         return self.started_at_ms == started_at_ms or 0 in (
             self.started_at_ms,
             started_at_ms,
         )
 
     def is_older_than(self, other: "TargetAnnouncement") -> bool:
-        """Say whether it was announced before `other`, as far as that is known."""
+        """Return whether this is known to be older than `other`."""
         if 0 in (self.started_at_ms, other.started_at_ms):
             return False
         return (self.started_at_ms, self.sequence) < (
@@ -176,9 +174,9 @@
         )
 
     def differs_from(self, other: "TargetAnnouncement | None") -> bool:
-        """Say whether it tells anything but that the target still announces itself."""
+        """Return whether anything but the sequence number differs from `other`."""
         return other is None or self.values()[:-1] != other.values()[:-1]
 
 
 EMPTY_ROUTE_TABLE: Final = RouteTable(0, {}, {}, 3.0, 3.0)
-"""Stands for the time before the first version is known; serves nobody."""
+"""Route table before the first version is known; contains no routes."""
--- a/src/reedhook/version/schema.py
+++ b/src/reedhook/version/schema.py
@@ -1,4 +1,4 @@
-"""The schema of a merged configuration, and its violations in plain words."""
+"""JSON schema of a merged configuration and its error messages."""
 
 from collections.abc import Iterator
 from typing import Any, Final
@@ -15,13 +15,12 @@
     "pattern": NAME_PATTERN,
     "description": "a lower-case name of letters, digits and hyphens",
 }
-# Each rank of home has its fixed share of the connections of a target, and a
-# share may not be empty.
+# Each rank of home has a quota of a target's connections, which must not be empty.
 MIN_CONNECTIONS: Final = 3
 
 
 def named(values: Json) -> Json:
-    """Return the schema of a mapping of names to `values`."""
+    """Return the schema of a mapping from names to `values`."""
     return {
         "type": "object",
         "propertyNames": NAME,
@@ -30,7 +29,7 @@
 
 
 def closed(properties: Json, required: list[str]) -> Json:
-    """Return the schema of a mapping that accepts no other keys."""
+    """Return the schema of a mapping that rejects unknown keys."""
     return {
         "type": "object",
         "properties": properties,
@@ -40,7 +39,7 @@
 
 
 def whole(minimum: int, maximum: int) -> Json:
-    """Return the schema of a whole number."""
+    """Return the schema of an integer in a range."""
     return {"type": "integer", "minimum": minimum, "maximum": maximum}
 
 
@@ -87,13 +86,13 @@
 
 
 def violations(values: Json) -> Iterator[tuple[KeyPath, str]]:
-    """Yield the path and reason of each violation of the schema."""
+    """Yield the path and the message of each schema violation."""
     for error in VALIDATOR.iter_errors(values):
         yield from explain(error)
 
 
 def explain(error: ValidationError) -> Iterator[tuple[KeyPath, str]]:
-    """Yield what a schema error says; values are not repeated, some are secret."""
+    """Yield paths and messages of a schema error; omit values, which may be secret."""
     path = tuple(str(step) for step in error.absolute_path)
     rule: Any = error.validator_value
     schema: Any = error.schema
@@ -113,7 +112,7 @@
 
 
 def expectation(error: ValidationError) -> str:
-    """Say what was expected in place of the value."""
+    """Return a message that describes the expected value."""
     rule: Any = error.validator_value
     schema: Any = error.schema
     match error.validator:
@@ -131,12 +130,12 @@
         case "minProperties":
             return "must not be empty"
         case "uniqueItems":
-            return "states an item twice"
-    return f"breaks the rule {error.validator}"
+            return "contains duplicate items"
+    return f"violates the schema rule {error.validator}"
 
 
 def type_name(value: Any) -> str:
-    """Return the schema's name of the type of `value`."""
+    """Return the JSON schema type name of `value`."""
     names = {dict: "object", list: "array", str: "string", bool: "boolean"}
     names |= {int: "integer", float: "number", type(None): "null"}
     return names.get(type(value), type(value).__name__)
--- a/src/reedhook/version/snapshot.py
+++ b/src/reedhook/version/snapshot.py
@@ -1,4 +1,4 @@
-"""An accepted edition: a head and the parts that hold the documents' texts."""
+"""Snapshots of the configuration: a manifest and content-addressed parts."""
 
 import hashlib
 import zlib
@@ -18,15 +18,15 @@
 
 
 class SnapshotError(ValueError):
-    """Say that a head or a part is not what it should be."""
+    """Signal a missing or damaged manifest or part."""
 
 
 class PartRef(Record):
-    """Refer to a part.
+    """Refer to a part of a snapshot.
 
     :param version: the version that wrote the part.
-    :param digest: hex SHA-256 of the unpacked content.
-    :param size: length of the unpacked content, in bytes.
+    :param digest: hex SHA-256 of the uncompressed content.
+    :param size: length of the uncompressed content in bytes.
     """
 
     __slots__ = ("version", "digest", "size")
@@ -40,16 +40,16 @@
 class SnapshotManifest(Record):
     """Describe one version of the configuration.
 
-    :param version: the version; it only ever grows.
-    :param parent: the version that the operator edited.
+    :param version: the version; versions only increase.
+    :param parent: the version that the edit is based on.
     :param edit_id: the id of the edit.
-    :param author: who made the edit.
-    :param comment: why.
-    :param wall: wall-clock time of the edit in seconds, for people only.
-    :param texts: name and size in bytes of each text; the base has no name.
-    :param parts: the parts, whose contents joined are the texts joined.
+    :param author: the author of the edit.
+    :param comment: the author's reason for the edit.
+    :param wall: wall-clock time of the edit in seconds, for display only.
+    :param texts: name and size in bytes of each text; the base has an empty name.
+    :param parts: the parts, whose joined contents are the joined texts.
     :param trimmed: the highest version whose history was deleted.
-    :param recent: the last versions with their edit ids, this one included.
+    :param recent: the latest versions with their edit ids, including this one.
     """
 
     __slots__ = (
@@ -90,26 +90,26 @@
         self.recent = recent
 
     def to_json(self) -> Json:
-        """Return the head as it stands in the store and on the wire."""
+        """Return the manifest in store and wire format."""
         message = {name: getattr(self, name) for name in self.__slots__}
         message["parts"] = [part.values() for part in self.parts]
         message["digest"] = digest_of(message)
         return message
 
     def summary(self) -> Json:
-        """Return what operators see of the head."""
+        """Return the fields that are shown to operators."""
         names = ("version", "parent", "edit_id", "author", "comment", "wall")
         return {name: getattr(self, name) for name in names}
 
     def encode(self) -> bytes:
-        """Return the head as it stands in the store."""
+        """Return the manifest as the bytes of a store value."""
         return orjson.dumps(self.to_json())
 
     @classmethod
     def decode(cls, value: bytes) -> "SnapshotManifest":
-        """Read a head from the store.
+        """Parse a manifest from the bytes of a store value.
 
-        :raises EditionError: if it is damaged.
+        :raises SnapshotError: if the manifest is damaged.
         """
         try:
             return cls.from_json(decode(value))
@@ -118,26 +118,26 @@
 
     @classmethod
     def from_json(cls, message: Json) -> "SnapshotManifest":
-        """Read a head from the wire.
+        """Parse a manifest in store and wire format.
 
-        :raises EditionError: if it is damaged.
+        :raises SnapshotError: if the manifest is damaged.
         """
         content: Json = {name: message.get(name) for name in cls.__slots__}
         if message.get("digest") != digest_of(content):
-            raise SnapshotError("the digest of the head differs")
+            raise SnapshotError("digest of the manifest does not match")
         try:
             content["texts"] = tuple((name, int(n)) for name, n in message["texts"])
             content["parts"] = tuple(PartRef(*part) for part in message["parts"])
             content["recent"] = tuple((int(v), one) for v, one in message["recent"])
         except (TypeError, ValueError, KeyError) as error:
-            raise SnapshotError("the head has another form") from error
+            raise SnapshotError("manifest is malformed") from error
         return cls(**content)
 
 
 class ConfigurationSnapshot(Record):
-    """Carry a head with all its parts.
+    """Hold a manifest with all its parts.
 
-    :param packed: the packed content of each part, by digest.
+    :param packed: the compressed content of each part, by digest.
     """
 
     __slots__ = ("manifest", "packed")
@@ -148,13 +148,13 @@
 
     @property
     def version(self) -> int:
-        """Return the version."""
+        """Return the version of the manifest."""
         return self.manifest.version
 
     def documents(self) -> ConfigurationDocuments:
-        """Return the documents.
+        """Decode the documents from the parts.
 
-        :raises EditionError: if a part is missing or damaged.
+        :raises SnapshotError: if a part is missing or damaged.
         """
         raw = b"".join(self.content(part) for part in self.manifest.parts)
         texts: dict[str, str] = {}
@@ -163,13 +163,13 @@
             texts[name] = raw[start : start + size].decode()
             start += size
         if start != len(raw) or "" not in texts:
-            raise SnapshotError("the parts do not add up to the texts")
+            raise SnapshotError("sizes of parts and texts do not match")
         return ConfigurationDocuments(texts.pop(""), texts)
 
     def content(self, part: PartRef) -> bytes:
-        """Return the unpacked content of a part.
+        """Return the uncompressed content of a part.
 
-        :raises EditionError: if it is missing or damaged.
+        :raises SnapshotError: if it is missing or damaged.
         """
         packed = self.packed.get(part.digest)
         if packed is None:
@@ -178,33 +178,33 @@
 
 
 def digest_of(message: Json) -> str:
-    """Return the hex SHA-256 of a message without its digest."""
+    """Return the hex SHA-256 of a message, excluding its digest field."""
     plain = {key: value for key, value in message.items() if key != "digest"}
     encoded = orjson.dumps(plain, option=orjson.OPT_SORT_KEYS)
     return hashlib.sha256(encoded).hexdigest()
 
 
 def compress_part(content: bytes) -> bytes:
-    """Return the content of a part as it stands in the store and on the wire."""
+    """Compress the content of a part for the store and the wire."""
     return zlib.compress(content)
 
 
 def decompress_part(part: PartRef, packed: bytes) -> bytes:
-    """Return the content of a part after a check of its digest.
+    """Decompress a part and verify its digest.
 
-    :raises EditionError: if it is damaged.
+    :raises SnapshotError: if the part is damaged.
     """
     if part.size > MAX_PART_BYTES:
-        raise SnapshotError(f"part {part.digest} is too large")
+        raise SnapshotError(f"part {part.digest} exceeds the size limit")
     try:
-        unpacker = zlib.decompressobj()
-        content = unpacker.decompress(packed, part.size + 1)
+        decompressor = zlib.decompressobj()
+        content = decompressor.decompress(packed, part.size + 1)
     except zlib.error as error:
         raise SnapshotError(f"part {part.digest} is damaged") from error
-    if not unpacker.eof or unpacker.unused_data:
-        raise SnapshotError(f"part {part.digest} has another length")
+    if not decompressor.eof or decompressor.unused_data:
+        raise SnapshotError(f"part {part.digest} has a wrong length")
     if hashlib.sha256(content).hexdigest() != part.digest:
-        raise SnapshotError(f"part {part.digest} has another digest")
+        raise SnapshotError(f"part {part.digest} has a wrong digest")
     return content
 
 
@@ -216,9 +216,9 @@
     comment: str,
     wall: float,
 ) -> ConfigurationSnapshot:
-    """Return the edition that follows `previous`.
+    """Build the snapshot that follows `previous`.
 
-    Parts of `previous` whose content stays are referred to, not written again.
+    Unchanged parts refer to the version that first wrote them.
     """
     version = 1 if previous is None else previous.version + 1
     known = {} if previous is None else {part.digest: part for part in previous.parts}
@@ -231,7 +231,7 @@
         parts.append(known.get(digest, fresh))
         packed[digest] = compress_part(content)
     recent = (*(previous.recent if previous else ()), (version, edit_id))
-    head = SnapshotManifest(
+    manifest = SnapshotManifest(
         version=version,
         parent=version - 1,
         edit_id=edit_id,
@@ -243,11 +243,11 @@
         trimmed=previous.trimmed if previous else 0,
         recent=recent[-KEPT_EDIT_IDS:],
     )
-    return ConfigurationSnapshot(head, packed)
+    return ConfigurationSnapshot(manifest, packed)
 
 
 def manifest_matches(head: SnapshotManifest, documents: ConfigurationDocuments) -> bool:
-    """Say whether `head` holds just these documents."""
+    """Return whether `head` describes exactly these documents."""
     texts, raw = join_texts(documents)
     digests = [hashlib.sha256(content).hexdigest() for content in split(raw)]
     return head.texts == texts and [part.digest for part in head.parts] == digests
@@ -256,7 +256,7 @@
 def join_texts(
     documents: ConfigurationDocuments,
 ) -> tuple[tuple[tuple[str, int], ...], bytes]:
-    """Return the names and sizes of the texts, and the texts joined."""
+    """Return the names and sizes of the texts, and the joined texts."""
     texts = [("", documents.base.encode())]
     for site in sorted(documents.overlays):
         texts.append((site, documents.overlays[site].encode()))
@@ -265,11 +265,11 @@
 
 
 def split(raw: bytes) -> list[bytes]:
-    """Cut `raw` behind lines that its content chooses.
+    """Split `raw` into parts at content-defined line boundaries.
 
-    Whether a part ends behind a line depends on that line, not on its place,
-    so that an edit changes the parts around it alone and the others keep their
-    digests. The longer a line, the likelier it ends a part.
+    Whether a part ends after a line depends on the content of the line only, so an
+    edit changes only nearby parts. The probability is proportional to the length of
+    the line.
     """
     parts: list[bytes] = []
     start = end = 0
@@ -278,8 +278,8 @@
         while end - start > MAX_PART_BYTES:
             parts.append(raw[start : start + MAX_PART_BYTES])
             start += MAX_PART_BYTES
-        chosen = xxhash.xxh32_intdigest(line) % MEAN_PART_BYTES < len(line)
-        if chosen and end - start >= MIN_PART_BYTES:
+        is_boundary = xxhash.xxh32_intdigest(line) % MEAN_PART_BYTES < len(line)
+        if is_boundary and end - start >= MIN_PART_BYTES:
             parts.append(raw[start:end])
             start = end
     if start < end:
--- a/src/reedhook/version/validation.py
+++ b/src/reedhook/version/validation.py
@@ -1,4 +1,4 @@
-"""Checking an edition: every site's merged result, all faults at once."""
+"""Validation of configuration documents for all sites."""
 
 import ipaddress
 import re
@@ -34,10 +34,10 @@
 
 
 class ValidatedConfiguration(Record):
-    """Carry an edition that passed all checks.
+    """Hold a configuration that passed validation.
 
-    :param base: what holds at a zone without an overlay.
-    :param sites: what holds at each site that was checked.
+    :param base: the configuration of zones without an overlay.
+    :param sites: the merged configuration of each validated site.
     """
 
     __slots__ = ("base", "sites")
@@ -49,18 +49,17 @@
         self.sites = sites
 
     def catalog(self, version: int, site: str) -> Catalog:
-        """Return the configuration of `site` as typed objects."""
+        """Return the typed configuration of `site`."""
         return build_catalog(version, site, self.sites.get(site, self.base).content)
 
 
 def validate_documents(
     documents: ConfigurationDocuments, only_site: str | None = None
 ) -> ValidatedConfiguration:
-    """Check the base and the merged result of each site.
+    """Validate the base and the merged configuration of each site.
 
-    :param only_site: check this site alone, as a host does with an edition that was
-        accepted earlier.
-    :raises InvalidConfiguration: with every fault found.
+    :param only_site: validate only this site, as hosts do for an accepted version.
+    :raises InvalidConfigurationError: with all errors found.
     """
     faults: list[ConfigurationError] = []
     base = parse_document(BASE_FILE, documents.base, faults)
@@ -68,19 +67,19 @@
     if not base.readable:
         raise_errors(faults)
     unread = {(fault.location.file, fault.path) for fault in faults}
-    alone = MergedConfiguration(None, base.content, base, None)
-    broken = check_schema(alone, {}, unread, faults)
+    base_only = MergedConfiguration(None, base.content, base, None)
+    broken = check_schema(base_only, {}, unread, faults)
     if "services" not in broken:
-        faults += service_errors(alone, set(documents.overlays))
-    check_workspaces(alone, broken, faults)
+        faults += service_errors(base_only, set(documents.overlays))
+    check_workspaces(base_only, broken, faults)
     sites: dict[str, MergedConfiguration] = {}
     for site, overlay in overlays.items():
         merged = sites[site] = merge_site(site, base, overlay)
         faults += overlay_conflicts(base, overlay)
-        broken_here = check_schema(merged, base.content, unread, faults)
-        check_workspaces(merged, broken | broken_here, faults)
+        site_broken = check_schema(merged, base.content, unread, faults)
+        check_workspaces(merged, broken | site_broken, faults)
     raise_errors(faults)
-    return ValidatedConfiguration(alone, sites)
+    return ValidatedConfiguration(base_only, sites)
 
 
 def check_schema(
@@ -89,12 +88,12 @@
     unread: set[tuple[str, KeyPath]],
     faults: list[ConfigurationError],
 ) -> set[str]:
-    """Append what breaks the schema; return the sections that are not sound.
+    """Append schema violations to `faults`; return the names of invalid sections.
 
-    The checks of meaning read sections by the shape that the schema ensures.
+    Semantic checks must skip invalid sections, since they rely on the schema.
 
-    :param unread: files and paths of values that could not be read as plain
-        YAML and were told already.
+    :param unread: files and paths of values that could not be parsed and are already
+        in `faults`.
     """
     broken = {path[0] for file, path in unread if path and file in merged.files}
     for fault in schema_errors(merged, checked):
@@ -107,7 +106,7 @@
 def check_workspaces(
     merged: MergedConfiguration, broken: set[str], faults: list[ConfigurationError]
 ) -> None:
-    """Append what is wrong with the workspaces, if they and the services are sound."""
+    """Append errors of the workspaces unless a required section is invalid."""
     if broken.isdisjoint(("services", "workspaces")):
         faults += workspace_errors(merged)
 
@@ -117,7 +116,7 @@
     only: str | None,
     faults: list[ConfigurationError],
 ) -> dict[str, ParsedDocument]:
-    """Return the overlays that are to be checked and can be read."""
+    """Parse the overlays to validate; omit unreadable ones."""
     overlays: dict[str, ParsedDocument] = {}
     for site, text in documents.overlays.items():
         if only not in (None, site):
@@ -131,9 +130,9 @@
 def schema_errors(
     merged: MergedConfiguration, checked: Json
 ) -> Iterator[ConfigurationError]:
-    """Yield what breaks the schema in sections that differ from `checked`.
+    """Yield schema violations in sections that differ from `checked`.
 
-    Sections that a site shares with the base are checked once, there.
+    Sections that are equal to those of the base were already checked there.
     """
     values = dict(merged.content)
     for section, empty in EMPTY_SECTIONS.items():
@@ -146,10 +145,10 @@
 def overlay_conflicts(
     base: ParsedDocument, overlay: ParsedDocument
 ) -> Iterator[ConfigurationError]:
-    """Yield what an overlay changes in the services.
+    """Yield an error for each value that an overlay changes in the services.
 
-    Any host may be home of any target, so that all sites must agree on the
-    members of each group, their places and their budgets.
+    Any host may be the home of any target, so all sites must have the same members,
+    zones, addresses and limits.
     """
     if "services" not in overlay.content:
         return
@@ -160,7 +159,7 @@
 
 
 def overridden(base: Any, overlay: Any, path: KeyPath) -> Iterator[KeyPath]:
-    """Yield the paths whose value in `overlay` is not that of `base`."""
+    """Yield the paths of `overlay` whose values differ from `base`."""
     if not isinstance(base, dict) or not isinstance(overlay, dict):
         if base != overlay:
             yield path
@@ -175,7 +174,7 @@
 def service_errors(
     base: MergedConfiguration, sites: set[str]
 ) -> Iterator[ConfigurationError]:
-    """Yield what is wrong between services, groups and members."""
+    """Yield semantic errors of services, groups and members."""
     owners = UniquenessChecker(base)
     for name, service in base.content["services"].items():
         path: KeyPath = ("services", name)
@@ -183,12 +182,12 @@
             reason = "must not exceed the connections"
             yield reference_error(base, (*path, "slots"), reason)
         for group, content in service["groups"].items():
-            place = (*path, "groups", group)
-            yield from owners.check_unique("group", group, place)
+            group_path = (*path, "groups", group)
+            yield from owners.check_unique("group", group, group_path)
             for member, one in content["members"].items():
-                where = (*place, "members", member)
-                yield from owners.check_unique("member", member, where)
-                yield from member_errors(base, where, one, sites, owners)
+                member_path = (*group_path, "members", member)
+                yield from owners.check_unique("member", member, member_path)
+                yield from member_errors(base, member_path, one, sites, owners)
     yield from site_name_errors(sites)
 
 
@@ -199,28 +198,28 @@
     sites: set[str],
     owners: "UniquenessChecker",
 ) -> Iterator[ConfigurationError]:
-    """Yield what is wrong with one member."""
+    """Yield semantic errors of one member."""
     if sites and member["zone"] not in sites:
         reason = f"no site {member['zone']!r} has an overlay"
         yield reference_error(base, (*path, "zone"), reason)
-    place = (*path, "address")
+    address_path = (*path, "address")
     if not is_address(member["address"]):
         reason = "expected IP:port with a number, such as 127.0.0.1:17101"
-        yield reference_error(base, place, reason)
+        yield reference_error(base, address_path, reason)
         return
-    yield from owners.check_unique("address", member["address"], place)
+    yield from owners.check_unique("address", member["address"], address_path)
 
 
 def site_name_errors(sites: set[str]) -> Iterator[ConfigurationError]:
-    """Yield the sites whose name is not a name."""
+    """Yield an error for each site with an invalid name."""
     for site in sorted(sites):
         if re.match(NAME_PATTERN, site) is None:
             mark = SourceLocation(overlay_file(site), None)
-            yield InvalidReferenceError(mark, (), "the site's name is not a name")
+            yield InvalidReferenceError(mark, (), "the name of the site is invalid")
 
 
 def workspace_errors(merged: MergedConfiguration) -> Iterator[ConfigurationError]:
-    """Yield what is wrong with the workspaces of one site."""
+    """Yield semantic errors of the workspaces of one site."""
     owners = UniquenessChecker(merged)
     for name, workspace in merged.content["workspaces"].items():
         path: KeyPath = ("workspaces", name)
@@ -228,34 +227,36 @@
             if service not in merged.content["services"]:
                 reason = f"there is no service {service!r}"
                 yield reference_error(merged, (*path, "services", str(index)), reason)
-        place = (*path, "token_sha256")
-        yield from owners.check_unique("credential", workspace["token_sha256"], place)
+        token_path = (*path, "token_sha256")
+        yield from owners.check_unique(
+            "credential", workspace["token_sha256"], token_path
+        )
 
 
 def reference_error(
     merged: MergedConfiguration, path: KeyPath, reason: str
 ) -> ConfigurationError:
-    """Return a fault of reference at `path`."""
+    """Return an `InvalidReferenceError` at `path`."""
     return InvalidReferenceError(merged.locate(path), path, reason)
 
 
 def is_address(text: str) -> bool:
-    """Say whether `text` is an IP number and a port, in their shortest form."""
+    """Return whether `text` is an IP address and a port in canonical form."""
     host, _, port = text.rpartition(":")
     if not port.isascii() or not port.isdecimal() or len(port) > 5:
         return False
     if str(int(port)) != port or not 1 <= int(port) <= MAX_PORT:
         return False
     try:
-        number = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
+        address = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
         return False
-    written = f"[{number}]" if number.version == 6 else str(number)
-    return host == written
+    canonical = f"[{address}]" if address.version == 6 else str(address)
+    return host == canonical
 
 
 class UniquenessChecker:
-    """Find names that two things share."""
+    """Detect duplicate names within a merged configuration."""
 
     __slots__ = ("merged", "first")
 
@@ -266,7 +267,7 @@
     def check_unique(
         self, kind: str, name: str, path: KeyPath
     ) -> Iterator[ConfigurationError]:
-        """Yield a fault if another path claimed the name before."""
+        """Yield an error if another path already uses the name."""
         first = self.first.setdefault((kind, name), path)
         if first != path:
             mark = self.merged.locate(first)
@@ -275,7 +276,7 @@
 
 
 def build_catalog(version: int, site: str, values: Json) -> Catalog:
-    """Return checked values as typed objects."""
+    """Convert validated values to a catalog."""
     groups = {
         group: build_group(group, name, service)
         for name, service in values["services"].items()
@@ -289,7 +290,7 @@
 
 
 def build_group(group: str, name: str, service: Json) -> Group:
-    """Return a group of the service `name`."""
+    """Build a group of the service `name`."""
     members = tuple(
         Member(member, one["zone"], one["address"])
         for member, one in service["groups"][group]["members"].items()
@@ -300,7 +301,7 @@
 
 
 def build_workspace(name: str, workspace: Json) -> Workspace:
-    """Return a workspace; it has one key, its credential."""
+    """Build a workspace with its credential as its only key."""
     rate = workspace.get("rate")
     return Workspace(
         name,
--- a/src/reedhook/version/workspace.py
+++ b/src/reedhook/version/workspace.py
@@ -1,4 +1,4 @@
-"""Workspaces: the callers that share keys, a priority and a rate."""
+"""Workspaces: groups of callers that share keys, a priority and a rate limit."""
 
 import hashlib
 import math
@@ -8,21 +8,21 @@
 from ..record import Record
 
 MAX_KEY_CHARACTERS: Final = 256
-"""Characters of a caller's key at the most."""
+"""Maximum length of a caller's key."""
 
 SHOWN_DIGITS: Final = 8
-"""Hex digits of a digest that logs show; enough to find a key, not to try keys."""
+"""Hex digits of a key digest in logs; too few to test guessed keys against."""
 
 
 class Workspace(Record):
     """Describe a workspace.
 
-    :param digests: of its callers' keys, as `key_digest` makes them.
-    :param priority: 0 runs first.
-    :param rate: operations per second that it may run, on the platform at all hosts
-        together, elsewhere at each; None for no limit.
-    :param burst: operations that it may run at once beyond the rate.
-    :param services: names of those that its callers may use; None for all.
+    :param digests: digests of its callers' keys, see `key_digest`.
+    :param priority: 0 is the highest priority.
+    :param rate: allowed operations per second, on the platform for all hosts together,
+        elsewhere per host; None for no limit.
+    :param burst: operations allowed at once in excess of the rate.
+    :param services: services that its callers may use; None for all.
     """
 
     __slots__ = ("name", "digests", "priority", "rate", "burst", "services")
@@ -44,18 +44,18 @@
         self.burst = burst
 
     def may_use(self, service: str) -> bool:
-        """Say whether its callers may use a service."""
+        """Return whether its callers may use a service."""
         return self.services is None or service in self.services
 
 
 class Workspaces:
-    """Find workspaces by name, and by the digest of a caller's key.
+    """Index workspaces by name and by key digest.
 
-    A key that several workspaces claim belongs to none of them: whose work it
-    starts could not be told.
+    A key that several workspaces claim is accepted for none of them, since its
+    operations could not be attributed.
 
-    :ivar by_name: all of them.
-    :ivar disputed: digests that several claim.
+    :ivar by_name: all workspaces by name.
+    :ivar disputed: digests that several workspaces claim.
     """
 
     __slots__ = ("by_name", "by_digest", "disputed")
@@ -81,7 +81,7 @@
         return f"Workspaces({list(self.by_name.values())!r})"
 
     def add(self, workspace: Workspace) -> None:
-        """Add a workspace; what stands twice under a name is one, the last."""
+        """Add a workspace; a later one of the same name replaces it in `by_name`."""
         self.by_name[workspace.name] = workspace
         for digest in workspace.digests:
             other = self.by_digest.setdefault(digest, workspace)
@@ -89,24 +89,24 @@
                 self.disputed.add(digest)
 
     def find_by_digest(self, digest: str) -> Workspace | None:
-        """Return the workspace that a key belongs to, or None."""
+        """Return the workspace that a key digest belongs to, or None."""
         return self.by_digest.get(digest)
 
 
 def key_digest(key: str) -> str:
-    """Return what is kept and compared in place of a caller's key."""
+    """Return the SHA-256 hex digest of a caller's key."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def short_digest(digest: str) -> str:
-    """Return the part of a digest that logs show."""
+    """Return the prefix of a digest that is shown in logs."""
     return digest[:SHOWN_DIGITS]
 
 
 def sanitize_rate(rate: object) -> float | None:
-    """Return a rate as it is enforced; None for no limit.
+    """Return the rate to enforce; None for no limit.
 
-    What is no number above 0 admits nothing, rather than everything.
+    An invalid rate becomes 0, so that it admits nothing rather than everything.
     """
     if rate is None:
         return None
@@ -114,7 +114,7 @@
 
 
 def sanitize_number(value: object) -> float:
-    """Return a finite number of 0 or more; 0 for anything else."""
+    """Return `value` if it is a finite non-negative number, else 0."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return 0.0
     if not math.isfinite(value) or value < 0:
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -156,7 +156,7 @@
         ("feedlog-1-b:", "feedlog-1-a:", "stated twice; first in line 8"),
         ("rate: 200", "rate: .inf", "a finite number is expected"),
         ("slots: 2", "slots: true", "expected integer, found boolean"),
-        ("slots: 2", "slots: !!bool yess", "a text, number or truth value"),
+        ("slots: 2", "slots: !!bool yess", "expected a string, number or boolean"),
         ("queue: 64", "queue: &a 64, drain_s: *a", "aliases are not accepted"),
         ("zone: comiso", "zone: Comiso", "expected a lower-case name"),
         ("queue: 64", "queue: " + "[" * 200 + "]" * 200, "nested deeper than"),
@@ -226,7 +226,7 @@
     now = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
     assert checked.catalog(3, "comiso") == now.catalog(3, "comiso")
     assert said.has_warning(
-        "base.yaml states teams, which is called workspaces now.",
+        "base.yaml uses teams, which was renamed to workspaces.",
         channel="configuration",
     )
 
