--- a/src/reedhook/process/configuring/__init__.py
+++ b/src/reedhook/process/configuring/__init__.py
@@ -1,1 +1,1 @@
-"""Editions of the configuration: kept, spread and edited."""
+"""Distribution, storage and editing of the configuration."""
--- a/src/reedhook/process/configuring/configuration_edit.py
+++ b/src/reedhook/process/configuring/configuration_edit.py
@@ -1,4 +1,4 @@
-"""One edit on its way to being the version that stands."""
+"""Acceptance of an edit as the next version."""
 
 from typing import Final
 
@@ -25,11 +25,11 @@
 
 
 class EditConflictError(RefusalError):
-    """Say that the configuration has moved on since the operator's version.
+    """Signal that a newer version than the parent of the edit was accepted.
 
-    :param version: the version now.
-    :param since: the newest versions since, the newest first.
-    :param omitted: how many versions since are not named.
+    :param version: the current version.
+    :param since: the latest versions after the parent, newest first.
+    :param omitted: the number of versions after the parent that `since` omits.
     """
 
     def __init__(
@@ -37,7 +37,10 @@
     ) -> None:
         authors = ", ".join(sorted({one.manifest.author for one in since}))
         by = f" (by {authors})" if authors else ""
-        detail = f"version {parent} was edited, but version {version} stands{by}"
+        detail = (
+            f"the edit is based on version {parent}, "
+            f"but version {version} is current{by}"
+        )
         super().__init__(RefusalReason.CONFLICT, Verdict.NOT_RUN, detail)
         self.version = version
         self.since = since
@@ -50,11 +53,11 @@
 
 
 class ConfigurationEdit:
-    """Carry one edit through acceptance.
+    """Run one edit through acceptance.
 
-    :ivar swap_attempted: whether the head may have been swapped by this edit.
-    :ivar written: the parts that it wrote.
-    :ivar behind: how often the store gave a version older than the parent.
+    :ivar swap_attempted: whether this edit may have replaced the head.
+    :ivar written: the parts written by this edit.
+    :ivar behind: how often the store returned a version older than the parent.
     """
 
     __slots__ = (
@@ -96,10 +99,10 @@
         self.behind = 0
 
     async def accept(self) -> tuple[SnapshotManifest, ConfigurationSnapshot | None]:
-        """Return the accepted head, and the newest edition if it was read.
+        """Return the accepted manifest, and the newest snapshot if it was read.
 
-        Each attempt reads back first, so that an answer lost after the head
-        was swapped is found as an accepted edit.
+        Each attempt first checks whether an earlier one was accepted, in case the
+        response to the swap of the head was lost.
         """
         deadline = self.clock.monotonic() + APPLY_TIMEOUT_SECONDS
         while True:
@@ -111,11 +114,11 @@
             await self.clock.sleep(RETRY_DELAY_SECONDS)
 
     async def attempt(self) -> tuple[SnapshotManifest, ConfigurationSnapshot | None]:
-        """Accept the edit, or find it accepted.
+        """Accept the edit unless it was already accepted.
 
-        :raises StoreUnavailable: if the outcome is not known yet.
-        :raises EditionError: if the head is damaged.
-        :raises Refusal: if the edit cannot be accepted.
+        :raises StoreUnavailableError: if the outcome is not known yet.
+        :raises SnapshotError: if the manifest is damaged.
+        :raises RefusalError: if the edit cannot be accepted.
         """
         stored = await self.reader.read_newest_head()
         found = await self.find_accepted(stored)
@@ -126,7 +129,7 @@
             raise self.unknown_parent_error(stored)
         if stored.version > self.parent:
             raise await self.conflict(stored)
-        edition = await self.reader.worker.run(
+        snapshot = await self.reader.worker.run(
             build_snapshot,
             self.documents,
             stored.manifest,
@@ -135,28 +138,28 @@
             self.comment,
             self.wall,
         )
-        await self.prepare(stored, edition)
+        await self.prepare(stored, snapshot)
         self.swap_attempted = True
         try:
-            await self.archive.swap_head(edition, stored.revision)
+            await self.archive.swap_head(snapshot, stored.revision)
         except StoreConflictError as error:
             raise StoreUnavailableError(
-                "the head has moved; it is read again"
+                "the head was replaced by another edit"
             ) from error
-        return edition.manifest, edition
+        return snapshot.manifest, snapshot
 
     async def prepare(self, stored: StoredHead, edition: ConfigurationSnapshot) -> None:
-        """Write all that must stand before the head is swapped."""
+        """Write everything that must exist before the head is replaced."""
         await self.archive.write_parts(edition, self.written)
         if stored.manifest is not None:
             await self.archive.save_past_manifest(stored.manifest)
             edition.manifest.trimmed = await self.archive.trim(stored.manifest)
 
     async def find_accepted(self, stored: StoredHead) -> SnapshotManifest | None:
-        """Return the head that this edit became, or None if it was not accepted.
+        """Return the manifest of this edit if it was accepted, else None.
 
-        :raises StoreUnavailable: if that cannot be told now.
-        :raises Refusal: if that cannot be told any more.
+        :raises StoreUnavailableError: if that is unknown for now.
+        :raises RefusalError: if that can no longer be determined.
         """
         if stored.manifest is None:
             return None
@@ -167,29 +170,29 @@
         if stored.version < successor:
             return None
         if successor <= stored.manifest.trimmed:
-            detail = f"version {successor} is not kept; compare with what stands"
+            detail = f"version {successor} is not kept; check the current version"
             raise may_have_run(RefusalReason.CONFLICT, detail)
-        head = await self.read_manifest(successor, stored.manifest)
-        return head if head.edit_id == self.edit_id else None
+        manifest = await self.read_manifest(successor, stored.manifest)
+        return manifest if manifest.edit_id == self.edit_id else None
 
     async def read_manifest(
         self, version: int, newest: SnapshotManifest
     ) -> SnapshotManifest:
-        """Return the head of a version that is known to be kept.
+        """Return the manifest of a version that is known to be stored.
 
-        :raises StoreUnavailable: if it cannot be read now.
+        :raises StoreUnavailableError: if it cannot be read for now.
         """
         if version == newest.version:
             return newest
-        head = await self.archive.read_past_manifest(version)
-        if head is None:
+        manifest = await self.archive.read_past_manifest(version)
+        if manifest is None:
             raise StoreUnavailableError(
                 f"stale read of the history of version {version}"
             )
-        return head
+        return manifest
 
     async def load_newest(self, stored: StoredHead) -> ConfigurationSnapshot | None:
-        """Return the newest edition, or None if it cannot be read now."""
+        """Return the newest snapshot, or None if it cannot be read for now."""
         if stored.manifest is None:
             return None
         try:
@@ -198,22 +201,22 @@
             return None
 
     def check_edit_id_reuse(self, found: SnapshotManifest) -> None:
-        """Raise a refusal if the id was used for other documents."""
+        """Raise a refusal if the edit id was used for other documents."""
         if manifest_matches(found, self.documents):
             return
-        detail = f"edit id {self.edit_id} was used for version {found.version}"
+        detail = f"edit id {self.edit_id} was already used for version {found.version}"
         raise not_run(RefusalReason.REQUEST_REUSED, detail)
 
     def unknown_parent_error(self, stored: StoredHead) -> Exception:
-        """Return what to raise if the store knows no such parent."""
+        """Return the exception for a parent that the store does not have yet."""
         self.behind += 1
-        detail = f"the store gives version {stored.version}, not {self.parent}"
+        detail = f"the store has version {stored.version}, not {self.parent}"
         if self.swap_attempted or self.behind < UNKNOWN_PARENT_READS:
             return StoreUnavailableError(detail)
         return not_run(RefusalReason.CONFLICT, detail)
 
     async def conflict(self, stored: StoredHead) -> EditConflictError:
-        """Return the conflict, after deleting parts that only this edit wrote."""
+        """Delete the parts of this edit and return the conflict."""
         newest = stored.manifest
         assert newest is not None
         winner = await self.read_manifest(self.parent + 1, newest)
@@ -223,7 +226,7 @@
         return EditConflictError(self.parent, newest.version, since, omitted)
 
     def store_refusal(self, error: Exception) -> RefusalError:
-        """Return the refusal of an edit whose outcome the store did not tell."""
+        """Return the refusal of an edit that failed at the store."""
         if not self.swap_attempted:
             detail = f"this attempt had no effect: {error}"
             return not_run(RefusalReason.STORE_UNAVAILABLE, detail, RETRY_AFTER_MS)
--- a/src/reedhook/process/configuring/configuration_manager.py
+++ b/src/reedhook/process/configuring/configuration_manager.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this host, and how it reaches other hosts."""
+"""Active configuration of this host and its distribution between hosts."""
 
 import asyncio
 import random
@@ -46,16 +46,17 @@
 
 
 class ConfigurationManager:
-    """Keep the newest known edition in force; never move to a lower version.
+    """Activate the newest known snapshot; never return to an earlier version.
 
-    News come from heartbeats, from other hosts' announcements, from the relays
-    that watch the store and from the editor. A host pulls an edition from a
-    peer that has it, part by part, and passes the news on.
+    A host learns of new versions from heartbeats, announcements of peers, the relay
+    that watches the store, and the editor. It pulls the missing parts from a peer
+    that has the version, activates it and announces it to other peers.
 
-    :ivar snapshot: the edition in force; None before the first.
-    :ivar catalog: what it says for this site; None before the first.
-    :ivar in_force_since: wall-clock time in seconds; None before the first.
-    :ivar ready: set once an edition is in force.
+    :ivar snapshot: the active snapshot; None before the first.
+    :ivar catalog: the active configuration of this site; None before the first.
+    :ivar in_force_since: wall-clock time of activation in seconds; None before the
+        first.
+    :ivar ready: set once a snapshot is active.
     """
 
     def __init__(
@@ -69,10 +70,10 @@
         metrics: Metrics,
         worker: Worker | None = None,
     ) -> None:
-        """Make a keeper with nothing in force.
+        """Initialize the manager without an active snapshot.
 
-        :param me: this host; its zone is the site whose overlay holds here.
-        :param some_peers: gives up to so many live peers, chosen at random.
+        :param me: this host; its zone selects the overlay.
+        :param some_peers: returns up to the given number of random live peers.
         """
         self.me = me
         self.peers = peers
@@ -94,15 +95,15 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the active version; 0 before the first."""
         return 0 if self.snapshot is None else self.snapshot.version
 
     def parts(self) -> dict[str, bytes]:
-        """Return the packed parts in force, by digest."""
+        """Return the compressed parts of the active snapshot by digest."""
         return {} if self.snapshot is None else self.snapshot.packed
 
     def status(self) -> Json:
-        """Return what operators see of this host's configuration."""
+        """Return the configuration status that is shown to operators."""
         summary = {} if self.snapshot is None else self.snapshot.manifest.summary()
         return {
             **summary,
@@ -113,29 +114,29 @@
         }
 
     def on_change(self, callback: CatalogCallback) -> None:
-        """Call `callback` with the catalog in force, if any, and each later one."""
+        """Call `callback` with the active catalog, if any, and each later one."""
         self.callbacks.append(callback)
         if self.catalog is not None:
             self.run_callback(callback, self.catalog)
 
     def register(self, routes: PeerRoutes) -> None:
-        """Answer the peer path ``config``."""
+        """Register the handler of the peer path ``config``."""
         routes.add(CONFIGURATION_PATH, self.handle_request)
 
     async def start(self) -> None:
-        """Learn what some peers have, then follow the news."""
+        """Synchronize with some peers, then start pulling newer versions."""
         await self.sync_from_peers()
         self.spawn(self.pull_forever())
 
     async def close(self) -> None:
-        """Stop following the news."""
+        """Cancel all tasks."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def record_peer_version(self, version: int, peer: HostRef) -> None:
-        """Take note that `peer` says it has `version`."""
+        """Record `peer` as a source of `version` if that version is wanted."""
         if not self.is_wanted(version):
             return
         self.sources.pop(peer.host, None)
@@ -145,14 +146,14 @@
         self.newer_version_known.set()
 
     def is_wanted(self, version: int) -> bool:
-        """Say whether `version` is newer, and not one refused as invalid."""
+        """Return whether `version` is newer than any active or refused version."""
         return version > max(self.version, self.refused_version)
 
     async def adopt(self, edition: ConfigurationSnapshot, source: str) -> bool:
-        """Put `edition` in force if it is newer and valid.
+        """Activate a snapshot if it is newer and valid.
 
-        :param source: where it came from, for the time line.
-        :returns: whether it came into force.
+        :param source: where the snapshot came from, for the timeline.
+        :returns: whether it was activated.
         """
         if edition.version <= self.version:
             return False
@@ -167,7 +168,7 @@
         except InvalidConfigurationError as error:
             self.record_refused(edition.version, source, str(error.exceptions[0]))
             return False
-        # Another edition may have come into force during the check.
+        # Another snapshot may have been activated during validation.
         if edition.version <= self.version:
             return False
         self.put_in_force(edition, catalog, source)
@@ -176,7 +177,7 @@
     def put_in_force(
         self, edition: ConfigurationSnapshot, catalog: Catalog, source: str
     ) -> None:
-        """Move to `edition`, tell the callbacks, announce it."""
+        """Activate a snapshot, run the callbacks and announce it to peers."""
         previous = self.version
         self.snapshot = edition
         self.catalog = catalog
@@ -193,23 +194,22 @@
         )
         self.metrics.gauge("configuration.version", edition.version)
         self.metrics.increment("configuration.changes")
-        log.info(f"Version {edition.version} in force, from {source}.")
+        log.info(f"Version {edition.version} activated, from {source}.")
         for callback in self.callbacks:
             self.run_callback(callback, catalog)
         self.spawn(self.announce(edition.version))
 
     def run_callback(self, callback: CatalogCallback, catalog: Catalog) -> None:
-        """Call `callback`; its failure must not keep others from the news."""
+        """Call `callback`; log an exception so that other callbacks still run."""
         try:
             callback(catalog)
         except Exception:
-            log.exception("A callback failed.")
+            log.exception("Callback for a configuration change failed.")
 
     def record_refused(self, version: int, source: str, reason: str) -> None:
-        """Take note of an edition that this program does not find valid.
+        """Record a version that fails validation here, so it is not pulled again.
 
-        Another release of the program accepted it; asking for it again would
-        change nothing.
+        Another release of the program may have accepted it.
         """
         self.refused_version = max(self.refused_version, version)
         self.timeline.record(
@@ -222,15 +222,14 @@
         self.record_dropped(version, source, reason)
 
     def record_dropped(self, version: int, source: str, reason: str) -> None:
-        """Take note that an edition was not put in force."""
+        """Record that a version was not activated."""
         self.metrics.increment("configuration.dropped")
-        log.warning(f"Version {version} from {source} dropped: {reason}.")
+        log.warning(f"Version {version} from {source} not activated: {reason}.")
 
     async def announce(self, version: int) -> None:
-        """Tell some peers which version is in force here, and some others later.
+        """Announce the active version to random peers in several rounds.
 
-        One round of random peers leaves out a few hosts in a hundred, three
-        rounds few in a fleet; heartbeats reach those.
+        Hosts that are missed learn the version from heartbeats.
         """
         for _ in range(ANNOUNCEMENT_ROUNDS):
             if self.version != version:
@@ -241,17 +240,17 @@
             )
 
     async def offer(self, peer: HostRef) -> None:
-        """Tell one peer; learn from the answer if it has a newer version."""
+        """Announce the active version to a peer; record the version it returns."""
         body = {"offer": self.version, "from": self.me.to_json()}
         await self.query_peer(peer, body, PEER_TIMEOUT_SECONDS)
 
     async def handle_request(self, body: Json) -> Json:
-        """Answer the peer path ``config``.
+        """Handle a request on the peer path ``config``.
 
-        ``have`` asks for the head if it is newer, ``want`` for parts, and
+        ``have`` requests the manifest if it is newer, ``want`` requests parts, and
         ``offer`` announces a version of the host ``from``.
 
-        :raises Refusal: if the body has another form.
+        :raises RefusalError: if the body is malformed.
         """
         try:
             if "want" in body:
@@ -263,43 +262,43 @@
             return head_answer(self.snapshot, int(body["have"]))
         except (KeyError, TypeError, ValueError) as error:
             raise not_run(
-                RefusalReason.BAD_REQUEST, "not a question for config"
+                RefusalReason.BAD_REQUEST, "malformed request on the path config"
             ) from error
 
     async def sync_from_peers(self) -> None:
-        """Ask some peers for their version and pull the newest.
+        """Query some peers for their versions and pull the newest.
 
-        A host that restarts must not serve by an older edition than its peers
-        do, so that it asks them before it reads the store.
+        A restarted host must not serve an older version than its peers, and reads of
+        the store may be stale, so it queries peers first.
         """
         deadline = self.clock.monotonic() + STARTUP_TIMEOUT_SECONDS
         while not await self.any_answers(self.first_peers()):
             if self.clock.monotonic() >= deadline:
                 return
             await self.clock.sleep(STARTUP_RETRY_SECONDS)
-        # Peers may be heard and yet not answer; the news is followed later on.
+        # Pulls may fail; `pull_forever` retries them later.
         for _ in range(START_PULLS):
             await self.pull_once()
 
     def first_peers(self) -> list[HostRef]:
-        """Return peers of this zone and of others, any of which may be cut off."""
+        """Return peers of this zone and of others, since either may be partitioned."""
         known = self.some_peers(STARTUP_CANDIDATES_LIMIT)
         near = [peer for peer in known if peer.zone == self.me.zone]
         far = [peer for peer in known if peer.zone != self.me.zone]
         return near[:ANNOUNCEMENT_FANOUT] + far[:ANNOUNCEMENT_FANOUT]
 
     async def any_answers(self, peers: list[HostRef]) -> bool:
-        """Ask `peers` for their versions; return whether one answered."""
+        """Query the versions of `peers`; return whether any responded."""
         body = {"have": self.version}
-        questions = [
+        queries = [
             self.query_peer(peer, body, STARTUP_CALL_TIMEOUT_SECONDS) for peer in peers
         ]
-        return any(await asyncio.gather(*questions))
+        return any(await asyncio.gather(*queries))
 
     async def query_peer(self, peer: HostRef, body: Json, timeout: float) -> bool:
-        """Send a question whose answer states the peer's version.
+        """Send a request and record the version in the response.
 
-        :returns: whether an answer came; heartbeats carry the version too.
+        :returns: whether a valid response arrived.
         """
         try:
             answer = await self.peers.call(peer, CONFIGURATION_PATH, body, timeout)
@@ -309,7 +308,7 @@
         return True
 
     async def pull_forever(self) -> None:
-        """Pull whenever a peer is known to have a newer version."""
+        """Pull newer versions with backoff until cancelled."""
         delay = MIN_RETRY_SECONDS
         while True:
             await self.newer_version_known.wait()
@@ -323,26 +322,26 @@
             delay = min(delay * 2, MAX_RETRY_SECONDS)
 
     async def pull_once(self) -> bool:
-        """Pull from one source; return whether a newer edition came into force.
+        """Pull from one source; return whether a newer snapshot was activated.
 
-        A source that gave nothing is forgotten until it is heard again.
+        A failed source is dropped until it reports a newer version again.
         """
         source = self.choose_source()
         if source is None:
             return False
         try:
-            edition = await SnapshotPull(self.peers, source, self.snapshot).run()
+            snapshot = await SnapshotPull(self.peers, source, self.snapshot).run()
         except (PeerError, RefusalError, SnapshotError) as error:
             self.metrics.increment("configuration.pull_failed")
-            log.info(f"Pull from {source.host} failed: {error}.")
-            edition = None
-        if edition is not None and await self.adopt(edition, source.host):
+            log.info(f"Pulling the configuration from {source.host} failed: {error}.")
+            snapshot = None
+        if snapshot is not None and await self.adopt(snapshot, source.host):
             return True
         self.sources.pop(source.host, None)
         return False
 
     def choose_source(self) -> HostRef | None:
-        """Return a peer that has the newest version heard of, or None."""
+        """Return a random peer with the newest known version, or None."""
         self.sources = {
             host: one for host, one in self.sources.items() if self.is_wanted(one[0])
         }
@@ -353,15 +352,15 @@
         return self.chooser.choice(best)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a task until it ends or the keeper is closed."""
+        """Start a task that is cancelled by `close`."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
 
 def make_catalog(documents: ConfigurationDocuments, version: int, site: str) -> Catalog:
-    """Check an accepted edition for one site and return its catalog.
+    """Validate an accepted version for one site and return its catalog.
 
-    :raises InvalidConfiguration: with every fault found.
+    :raises InvalidConfigurationError: with all errors found.
     """
     return validate_documents(documents, only_site=site).catalog(version, site)
--- a/src/reedhook/process/configuring/configuration_relay.py
+++ b/src/reedhook/process/configuring/configuration_relay.py
@@ -1,4 +1,4 @@
-"""Relays: the few hosts of a zone that follow the head in the store."""
+"""Relays: the hosts of a zone that watch the configuration head in the store."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 WATCH_HOLD_SECONDS: Final = 25.0
 WATCH_GRACE_SECONDS: Final = 5.0
-# A watch that was lost without a word is made up for by the next poll.
+# Bounds the delay after a watch fails silently.
 POLL_INTERVAL_SECONDS: Final = 3.0
 RELAY_CHECK_INTERVAL_SECONDS: Final = 1.0
 MIN_REARM_SECONDS: Final = 0.2
@@ -27,12 +27,12 @@
 
 
 class ConfigurationRelay:
-    """Hold a watch on the head while this host is a relay, and poll it rarely.
+    """Watch and poll the head while this host is a relay.
 
     :ivar revision: the highest revision of the head that was read.
-    :ivar store_version: the version last read; 0 before the first.
-    :ivar reachable: whether the last call was answered.
-    :ivar store_read: monotonic time of the last answer in seconds, or None.
+    :ivar store_version: the last version read; 0 before the first.
+    :ivar reachable: whether the last request succeeded.
+    :ivar store_read: monotonic time of the last response in seconds, or None.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Read the head once if this host is a relay, then follow it."""
+        """Read the head if this host is a relay, then start the watch and the polls."""
         if self.is_relay():
             await self.poll()
         self.tasks = [
@@ -64,13 +64,13 @@
         ]
 
     async def close(self) -> None:
-        """Give up the watch."""
+        """Cancel the watch and the polls."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def status(self) -> Json:
-        """Return what operators see of the store's side."""
+        """Return the store status that is shown to operators."""
         read = self.store_read
         age = None if read is None else round(self.clock.monotonic() - read, 3)
         return {
@@ -81,7 +81,7 @@
         }
 
     async def watch_forever(self) -> None:
-        """Keep a watch armed while this host is a relay."""
+        """Watch the head while this host is a relay, with backoff on errors."""
         delay = MIN_REARM_SECONDS
         while True:
             if not self.is_relay():
@@ -94,7 +94,7 @@
             delay = min(delay * 2, MAX_REARM_SECONDS)
 
     async def watch(self) -> bool:
-        """Hold one watch to its end; return whether it worked."""
+        """Run one watch; return whether it completed or made progress."""
         try:
             async with asyncio.timeout(WATCH_HOLD_SECONDS + WATCH_GRACE_SECONDS):
                 entry = await self.archive.store.watch(
@@ -103,8 +103,7 @@
             if entry is None:
                 self.note_reachable(True)
                 return True
-            # A stale answer would be repeated at once if the watch were
-            # armed again without a pause.
+            # Without a pause, a stale response would cause a busy loop.
             progress = entry.revision > self.revision
             await self.apply_head(stored_head(entry))
             return progress
@@ -113,7 +112,7 @@
             return False
 
     async def poll_forever(self) -> None:
-        """Read the head now and then while this host is a relay."""
+        """Read the head periodically while this host is a relay."""
         while True:
             await self.clock.sleep(
                 POLL_INTERVAL_SECONDS * self.chooser.uniform(0.7, 1.3)
@@ -122,38 +121,38 @@
                 await self.poll()
 
     async def poll(self) -> None:
-        """Read the head once."""
+        """Read and apply the head once."""
         try:
             await self.apply_head(await self.archive.read_head())
         except (StoreError, SnapshotError) as error:
             self.record_failure(error)
 
     async def apply_head(self, stored: StoredHead) -> None:
-        """Take over what the store holds, if it is newer.
+        """Activate the stored version if it is newer.
 
-        :raises StoreError: if a part could not be read.
-        :raises EditionError: if a part is missing or damaged.
+        :raises StoreError: if a part cannot be read.
+        :raises SnapshotError: if a part is missing or damaged.
         """
         self.store_read = self.clock.monotonic()
         self.note_reachable(True)
         self.store_version = stored.version
         if stored.manifest is not None and self.manager.is_wanted(stored.version):
-            edition = await self.archive.read_snapshot(
+            snapshot = await self.archive.read_snapshot(
                 stored.manifest, self.manager.parts()
             )
-            await self.manager.adopt(edition, "store")
+            await self.manager.adopt(snapshot, "store")
         self.revision = max(self.revision, stored.revision)
 
     def record_failure(self, error: Exception) -> None:
-        """Take note of a call that failed."""
+        """Record a failed store request."""
         self.manager.metrics.increment("configuration.store_failed")
         self.note_reachable(False, str(error))
 
     def note_reachable(self, reachable: bool, detail: str = "") -> None:
-        """Record when the store is lost and when it answers again."""
+        """Record a change of the store's reachability."""
         if reachable == self.reachable:
             return
         self.reachable = reachable
         state = "answers" if reachable else "lost"
         self.manager.timeline.record(EventKind.STORE, state, detail=detail)
-        log.info(f"The store {state}. {detail}")
+        log.info(f"Configuration store: {state}. {detail}")
--- a/src/reedhook/process/configuring/editor.py
+++ b/src/reedhook/process/configuring/editor.py
@@ -1,4 +1,4 @@
-"""What operators do with the configuration."""
+"""Configuration operations for operators."""
 
 from typing import Final
 
@@ -24,7 +24,7 @@
 
 
 class ConfigurationEditor:
-    """Check, accept and show editions on behalf of operators."""
+    """Validate, accept and show versions of the configuration."""
 
     __slots__ = ("manager", "clock", "worker", "reader")
 
@@ -41,9 +41,9 @@
         self.reader = SnapshotReader(manager, archive, self.worker)
 
     async def check(self, documents: ConfigurationDocuments) -> None:
-        """Check the documents for every site.
+        """Validate the documents for every site.
 
-        :raises InvalidConfiguration: with every fault found.
+        :raises InvalidConfigurationError: with all errors found.
         """
         await self.worker.run(validate_documents, documents)
 
@@ -55,13 +55,13 @@
         comment: str,
         edit_id: str,
     ) -> SnapshotManifest:
-        """Accept an edit exactly once; a repeat with its id returns the first's head.
+        """Accept an edit exactly once; a repeat of its id returns the same manifest.
 
-        :param parent_version: the version that the operator edited.
-        :raises InvalidConfiguration: with every fault found.
-        :raises EditConflict: if another version stands.
-        :raises Refusal: ``not run`` if the store gave no answer before the
-            head was touched, ``may have run`` after; repeat with the same id.
+        :param parent_version: the version that the edit is based on.
+        :raises InvalidConfigurationError: with all errors found.
+        :raises EditConflictError: if a newer version than the parent was accepted.
+        :raises RefusalError: ``not run`` if the store failed before the head was
+            replaced, ``may have run`` if later; repeat with the same id.
         """
         check_edit_metadata(author, comment, edit_id)
         await self.check(documents)
@@ -74,38 +74,38 @@
             comment,
             edit_id,
         )
-        head, edition = await edit.accept()
-        if edition is not None:
-            await self.manager.adopt(edition, "editor")
-        log.info(f"Version {head.version} accepted, edit {head.edit_id}.")
-        return head
+        manifest, snapshot = await edit.accept()
+        if snapshot is not None:
+            await self.manager.adopt(snapshot, "editor")
+        log.info(f"Version {manifest.version} accepted, edit {manifest.edit_id}.")
+        return manifest
 
     async def show(
         self, version: int | None = None
     ) -> tuple[SnapshotManifest, ConfigurationDocuments]:
-        """Return a version; the one in force if `version` is None.
+        """Return a version, by default the active one.
 
-        :raises Refusal: if it is not kept or the store gave no answer.
+        :raises RefusalError: if it is not stored or the store gives no response.
         """
         return await self.reader.show(version)
 
     async def diff(self, old: int, new: int) -> list[PathChange]:
-        """Return what differs between two versions.
+        """Return the paths that differ between two versions.
 
-        :raises Refusal: if one is not kept or the store gave no answer.
+        :raises RefusalError: if one is not stored or the store gives no response.
         """
         return await self.reader.diff(old, new)
 
     async def history(self, limit: int = 20) -> list[SnapshotManifest]:
-        """Return the newest heads, the newest first.
+        """Return the latest manifests, newest first.
 
-        :raises Refusal: if the store gave no answer.
+        :raises RefusalError: if the store gives no response.
         """
         return await self.reader.history(limit)
 
 
 def check_edit_metadata(author: str, comment: str, edit_id: str) -> None:
-    """Raise a refusal if what goes with an edit is empty or too long."""
+    """Raise a refusal if the metadata of an edit is missing or too long."""
     limits = (
         ("edit id", edit_id, 1, MAX_EDIT_ID_CHARACTERS),
         ("author", author, 1, MAX_AUTHOR_CHARACTERS),
--- a/src/reedhook/process/configuring/snapshot_exchange.py
+++ b/src/reedhook/process/configuring/snapshot_exchange.py
@@ -1,4 +1,4 @@
-"""Editions between hosts: the answers of one side, the pull of the other."""
+"""Transfer of snapshots between hosts."""
 
 import base64
 import binascii
@@ -20,7 +20,7 @@
 
 
 def head_answer(edition: ConfigurationSnapshot | None, have: int) -> Json:
-    """Return the version in force, and its head if it is newer than `have`."""
+    """Return the active version, and its manifest if it is newer than `have`."""
     if edition is None:
         return {"version": 0, "head": None}
     head = edition.manifest.to_json() if edition.version > have else None
@@ -28,7 +28,7 @@
 
 
 def parts_answer(edition: ConfigurationSnapshot | None, digests: list[str]) -> Json:
-    """Return as many of the wanted parts as fit one answer, at least one."""
+    """Return as many requested parts as fit into a response, at least one."""
     held = {} if edition is None else edition.packed
     parts: dict[str, str] = {}
     size = 0
@@ -43,10 +43,10 @@
 
 
 class SnapshotPull:
-    """Fetch the edition of one peer.
+    """Pull the active snapshot of a peer.
 
     :param source: the peer.
-    :param edition: the edition in force here, whose parts are not fetched.
+    :param edition: the active snapshot of this host, whose parts are reused.
     """
 
     __slots__ = ("peers", "source", "version", "packed")
@@ -60,62 +60,62 @@
         self.packed = {} if edition is None else dict(edition.packed)
 
     async def run(self) -> ConfigurationSnapshot | None:
-        """Return the edition, or None if it is not newer.
+        """Return the peer's snapshot, or None if it is not newer.
 
-        Its digests are checked when the documents are put together.
+        Part digests are verified later, by `ConfigurationSnapshot.documents`.
 
-        :raises PeerError: if no answer came.
-        :raises Refusal: if the peer refused.
-        :raises EditionError: if what came is not readable.
+        :raises PeerError: if the peer gives no response.
+        :raises RefusalError: if the peer refuses the request.
+        :raises SnapshotError: if a response is malformed.
         """
         answer = await self.ask({"have": self.version})
         message = answer.get("head")
         if not isinstance(message, dict):
             return None
-        head = SnapshotManifest.from_json(message)
-        if head.version <= self.version:
+        manifest = SnapshotManifest.from_json(message)
+        if manifest.version <= self.version:
             return None
-        await self.fetch(head.parts)
-        packed = {part.digest: self.packed[part.digest] for part in head.parts}
-        return ConfigurationSnapshot(head, packed)
+        await self.fetch(manifest.parts)
+        packed = {part.digest: self.packed[part.digest] for part in manifest.parts}
+        return ConfigurationSnapshot(manifest, packed)
 
     async def fetch(self, parts: tuple[PartRef, ...]) -> None:
-        """Fetch the parts that are not held, over as many answers as it takes.
+        """Fetch missing parts in up to `MAX_PULLS` requests.
 
-        :raises EditionError: if the peer does not have them any more.
+        :raises SnapshotError: if the peer no longer has the parts.
         """
         for _ in range(MAX_PULLS):
             missing = [one.digest for one in parts if one.digest not in self.packed]
             if not missing:
                 return
             self.add_parts(missing, (await self.ask({"want": missing})).get("parts"))
-        raise SnapshotError("too many answers for one edition")
+        raise SnapshotError("snapshot is incomplete after too many requests")
 
     def add_parts(self, missing: list[str], parts: Any) -> None:
-        """Keep the parts of one answer.
+        """Add the parts of a response.
 
-        :raises EditionError: if none came or one is not readable.
+        :raises SnapshotError: if there are none, or one is malformed or unrequested.
         """
         if not isinstance(parts, dict) or not parts:
-            raise SnapshotError("the peer has moved on")
+            raise SnapshotError("peer no longer has the requested parts")
         for digest, text in parts.items():
             if digest not in missing:
-                raise SnapshotError("a part came that was not asked for")
+                raise SnapshotError("peer sent a part that was not requested")
             self.packed[digest] = decode_part(digest, text)
 
     async def ask(self, body: Json) -> Json:
-        """Send one question to the peer."""
+        """Send one request to the peer."""
         return await self.peers.call(
             self.source, CONFIGURATION_PATH, body, PEER_TIMEOUT_SECONDS
         )
 
 
 def decode_part(digest: str, text: str) -> bytes:
-    """Return the packed content of a part from the wire.
+    """Decode the compressed content of a part in wire format.
 
-    :raises EditionError: if it is not base64.
+    :raises SnapshotError: if `text` is not valid base64.
     """
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, TypeError, ValueError) as error:
-        raise SnapshotError(f"part {digest} is not base64") from error
+        raise SnapshotError(f"part {digest} is not valid base64") from error
--- a/src/reedhook/process/configuring/snapshot_reader.py
+++ b/src/reedhook/process/configuring/snapshot_reader.py
@@ -1,4 +1,4 @@
-"""Reading editions: what is in force here, and what the store keeps."""
+"""Reading of active and stored snapshots for operators."""
 
 import asyncio
 from typing import Final
@@ -17,7 +17,7 @@
 
 
 class SnapshotReader:
-    """Read editions on behalf of operators."""
+    """Read the active snapshot and stored versions."""
 
     __slots__ = ("manager", "archive", "worker")
 
@@ -31,34 +31,36 @@
     async def show(
         self, version: int | None = None
     ) -> tuple[SnapshotManifest, ConfigurationDocuments]:
-        """Return a version; the one in force if `version` is None.
+        """Return a version, by default the active one.
 
-        :raises Refusal: if it is not kept or the store gave no answer.
+        :raises RefusalError: if it is not stored or the store gives no response.
         """
         current = self.manager.snapshot
         if current is not None and version in (None, current.version):
             return current.manifest, current.documents()
         if version is None:
-            raise not_run(RefusalReason.NO_CONFIGURATION, "no version is in force here")
+            raise not_run(
+                RefusalReason.NO_CONFIGURATION, "this host has no active version"
+            )
         try:
-            edition = await self.load(await self.read_manifest(version))
-            return edition.manifest, edition.documents()
+            snapshot = await self.load(await self.read_manifest(version))
+            return snapshot.manifest, snapshot.documents()
         except (SnapshotError, StoreError) as error:
             raise store_refusal(error) from error
 
     async def diff(self, old: int, new: int) -> list[PathChange]:
-        """Return what differs between two versions.
+        """Return the paths that differ between two versions.
 
-        :raises Refusal: if one is not kept or the store gave no answer.
+        :raises RefusalError: if one is not stored or the store gives no response.
         """
         _, before = await self.show(old)
         _, after = await self.show(new)
         return await self.worker.run(changes_between, before, after)
 
     async def history(self, limit: int = 20) -> list[SnapshotManifest]:
-        """Return the newest heads, the newest first.
+        """Return the latest manifests, newest first.
 
-        :raises Refusal: if the store gave no answer.
+        :raises RefusalError: if the store gives no response.
         """
         try:
             stored = await self.read_newest_head()
@@ -69,51 +71,52 @@
                 self.archive.read_past_manifest(v)
                 for v in range(stored.version - 1, low, -1)
             ]
-            heads = [stored.manifest, *await asyncio.gather(*past)]
-            return [head for head in heads if head is not None]
+            manifests = [stored.manifest, *await asyncio.gather(*past)]
+            return [manifest for manifest in manifests if manifest is not None]
         except (SnapshotError, StoreError) as error:
             raise store_refusal(error) from error
 
     async def read_newest_head(self) -> StoredHead:
-        """Return a head at least as new as the version in force here.
+        """Read the head; it is at least as new as the active version.
 
-        :raises StoreUnavailable: if only older ones are read.
-        :raises EditionError: if the head is damaged.
+        :raises StoreUnavailableError: if the read is older or the store gives no
+            response.
+        :raises SnapshotError: if the manifest is damaged.
         """
         stored = await self.archive.read_head()
         if stored.version < self.manager.version:
             raise StoreUnavailableError(
-                f"the store gives version {stored.version}, "
-                f"older than version {self.manager.version} in force"
+                f"store returned version {stored.version}, "
+                f"older than the active version {self.manager.version}"
             )
         return stored
 
     async def read_manifest(self, version: int) -> SnapshotManifest:
-        """Return the head of a version.
+        """Read the manifest of a version.
 
-        :raises Refusal: if it is not kept.
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if it is damaged.
+        :raises RefusalError: if it is not stored.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if it is damaged.
         """
-        head = await self.archive.read_past_manifest(version)
-        if head is None:
-            head = (await self.read_newest_head()).manifest
-        if head is None or head.version != version:
+        manifest = await self.archive.read_past_manifest(version)
+        if manifest is None:
+            manifest = (await self.read_newest_head()).manifest
+        if manifest is None or manifest.version != version:
             raise not_run(RefusalReason.BAD_REQUEST, f"version {version} is not kept")
-        return head
+        return manifest
 
     async def load(self, head: SnapshotManifest) -> ConfigurationSnapshot:
-        """Return the edition of a head; raises as `Archive.edition`."""
+        """Read the snapshot of a manifest; raise as `read_snapshot`."""
         return await self.archive.read_snapshot(head, self.manager.parts())
 
     async def changes_since(
         self, parent: int, newest: SnapshotManifest
     ) -> list[VersionChanges]:
-        """Return what the newest versions changed, the newest first.
+        """Return the changes of the latest versions, newest first.
 
-        :raises Refusal: if one is not kept.
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if one is damaged.
+        :raises RefusalError: if one is not stored.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if one is damaged.
         """
         low = max(parent, newest.version - MAX_REPORTED_VERSIONS, oldest_base(newest))
         since: list[VersionChanges] = []
@@ -130,7 +133,7 @@
     async def load_previous(
         self, head: SnapshotManifest
     ) -> tuple[SnapshotManifest | None, ConfigurationDocuments]:
-        """Return what the version before that of `head` held; raises as `load`."""
+        """Read the version before that of `head`; raise as `load`."""
         if head.version == 1:
             return None, ConfigurationDocuments("", {})
         past = await self.read_manifest(head.version - 1)
@@ -138,10 +141,10 @@
 
 
 def oldest_base(head: SnapshotManifest) -> int:
-    """Return the oldest version that later ones can be compared with."""
+    """Return the oldest version that can be compared with later ones."""
     return head.trimmed + 1 if head.trimmed else 0
 
 
 def store_refusal(error: Exception) -> RefusalError:
-    """Return the refusal of a reading for which the store gave no answer."""
+    """Return the refusal of a read that failed at the store."""
     return not_run(RefusalReason.STORE_UNAVAILABLE, str(error), RETRY_AFTER_MS)
--- a/src/reedhook/process/configuring/snapshot_repository.py
+++ b/src/reedhook/process/configuring/snapshot_repository.py
@@ -1,4 +1,4 @@
-"""Editions of the configuration in the platform's store."""
+"""Storage of configuration snapshots in the platform's store."""
 
 import asyncio
 from typing import Final
@@ -29,10 +29,10 @@
 
 
 class StoredHead(Record):
-    """Carry the head with the revision of its key.
+    """Hold the newest manifest with the revision of the head key.
 
-    :param manifest: the head; None before the first edit.
-    :param revision: the revision of the key; 0 before the first edit.
+    :param manifest: the manifest; None before the first edit.
+    :param revision: the revision of the head key; 0 before the first edit.
     """
 
     __slots__ = ("manifest", "revision")
@@ -48,9 +48,9 @@
 
 
 def stored_head(entry: StoreEntry | None) -> StoredHead:
-    """Read the head from its entry.
+    """Parse the entry of the head key.
 
-    :raises EditionError: if it is damaged.
+    :raises SnapshotError: if the manifest is damaged.
     """
     if entry is None:
         return StoredHead(None, 0)
@@ -58,11 +58,11 @@
 
 
 class SnapshotRepository:
-    """Read and write heads, history and parts; safety lies in the order.
+    """Read and write the head, past manifests and parts.
 
-    Parts are written first, then the copy of the former head, then the head.
-    A part's key holds the version that wrote it: once a version's parts are no
-    longer referred to, no later version can refer to the same key.
+    The order of writes is essential: parts first, then the copy of the previous
+    manifest, then the head. A part's key contains the version that wrote it, so a
+    part that a version no longer refers to is never referred to by a later version.
     """
 
     __slots__ = ("store", "limit")
@@ -72,18 +72,18 @@
         self.limit = asyncio.Semaphore(PARALLEL_CALLS)
 
     async def read_head(self) -> StoredHead:
-        """Return the head, which may be stale.
+        """Read the head, which may be stale.
 
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if it is damaged.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if the manifest is damaged.
         """
         return stored_head(await self.store.get(HEAD_KEY, CALL_TIMEOUT_SECONDS))
 
     async def read_past_manifest(self, version: int) -> SnapshotManifest | None:
-        """Return the head that a version had, or None if it is not kept.
+        """Read the manifest of a past version; None if it is not stored.
 
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if it is damaged.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if the manifest is damaged.
         """
         entry = await self.store.get(history_key(version), CALL_TIMEOUT_SECONDS)
         return stored_head(entry).manifest
@@ -91,10 +91,10 @@
     async def read_snapshot(
         self, head: SnapshotManifest, known: dict[str, bytes]
     ) -> ConfigurationSnapshot:
-        """Return the edition of `head`; parts in `known` are not read.
+        """Read the snapshot of `head`, except for parts in `known`.
 
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if a part is missing or damaged.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if a part is missing or damaged.
         """
         missing = {part.digest: part for part in head.parts if part.digest not in known}
         contents = await asyncio.gather(*map(self.part, missing.values()))
@@ -104,10 +104,10 @@
         )
 
     async def part(self, part: PartRef) -> bytes:
-        """Return the packed content of a part after a check of its digest.
+        """Read the compressed content of a part and verify its digest.
 
-        :raises StoreUnavailable: if no answer came.
-        :raises EditionError: if it is missing or damaged.
+        :raises StoreUnavailableError: if the store gives no response.
+        :raises SnapshotError: if the part is missing or damaged.
         """
         async with self.limit:
             entry = await self.store.get(part_key(part), CALL_TIMEOUT_SECONDS)
@@ -117,26 +117,25 @@
         return entry.value
 
     async def save_past_manifest(self, head: SnapshotManifest) -> None:
-        """Write the copy of a head that is to be replaced.
+        """Copy the current manifest to the history before it is replaced.
 
-        :raises StoreUnavailable: if no answer came.
+        :raises StoreUnavailableError: if the store gives no response.
         """
         try:
             await self.store.put(
                 history_key(head.version), head.encode(), 0, CALL_TIMEOUT_SECONDS
             )
         except StoreConflictError:
-            # Only a head that was in force is ever written here, so that
-            # whoever came first wrote the same.
+            # Only accepted manifests are written here, so the existing copy is equal.
             return
 
     async def write_parts(
         self, edition: ConfigurationSnapshot, written: list[StoreEntry]
     ) -> None:
-        """Write the parts that the version adds.
+        """Write the parts that are new in this version.
 
-        :param written: takes the entries that were absent before.
-        :raises StoreUnavailable: if no answer came.
+        :param written: list to which newly created entries are appended.
+        :raises StoreUnavailableError: if the store gives no response.
         """
         fresh = {
             part.digest: part
@@ -153,7 +152,7 @@
     async def write_part(
         self, part: PartRef, packed: bytes, written: list[StoreEntry]
     ) -> None:
-        """Write a part unless it stands there unharmed; raises as `write_parts`."""
+        """Write a part unless an undamaged copy exists; raise as `write_parts`."""
         key = part_key(part)
         async with self.limit:
             try:
@@ -175,23 +174,24 @@
         try:
             await self.store.put(key, packed, revision, CALL_TIMEOUT_SECONDS)
         except StoreConflictError as error:
-            raise StoreUnavailableError(f"{key} has changed meanwhile") from error
+            raise StoreUnavailableError(f"{key} was changed concurrently") from error
 
     async def swap_head(
         self, edition: ConfigurationSnapshot, expected: int
     ) -> StoreEntry:
-        """Put the head of `edition` in the place of revision `expected`.
+        """Replace the head at revision `expected` by the manifest of `edition`.
 
-        :raises StoreConflict: if the head has another revision.
-        :raises StoreUnavailable: if no answer came; it may have taken effect.
+        :raises StoreConflictError: if the head has another revision.
+        :raises StoreUnavailableError: if the store gives no response; the write may
+            have taken effect.
         """
         value = edition.manifest.encode()
         return await self.store.put(HEAD_KEY, value, expected, CALL_TIMEOUT_SECONDS)
 
     async def trim(self, head: SnapshotManifest) -> int:
-        """Delete history beyond what is kept; return the highest version deleted.
+        """Delete expired history; return the highest version deleted.
 
-        Errors end the work early; the next edit takes it up again.
+        After an error, the next edit resumes the deletion.
         """
         trimmed = head.trimmed
         bound = min(head.version - KEPT_VERSIONS, trimmed + TRIMMED_PER_EDIT)
@@ -204,19 +204,19 @@
         return trimmed
 
     async def trim_version(self, version: int) -> None:
-        """Delete a version's history and the parts that its successor dropped.
+        """Delete a version's manifest and the parts that its successor does not use.
 
-        No later version refers to those parts; see the class.
+        No later version refers to those parts, see `SnapshotRepository`.
 
-        :raises StoreError: if a call failed; a repeat takes it up again.
-        :raises EditionError: if the successor is not readable.
+        :raises StoreError: if a call failed; the method may be repeated.
+        :raises SnapshotError: if the manifest of the successor cannot be read.
         """
         past = await self.read_past_manifest(version)
         if past is None:
             return
         successor = await self.read_past_manifest(version + 1)
         if successor is None:
-            raise SnapshotError(f"history of version {version + 1} is not readable")
+            raise SnapshotError(f"no manifest of version {version + 1} in the history")
         used = {part_key(part) for part in successor.parts}
         for part in past.parts:
             if part_key(part) not in used:
@@ -224,7 +224,7 @@
         await self.delete(history_key(version))
 
     async def delete(self, key: str) -> None:
-        """Delete a key that nothing refers to.
+        """Delete an unreferenced key.
 
         :raises StoreError: if a call failed.
         """
@@ -235,9 +235,9 @@
     async def delete_losing_parts(
         self, written: list[StoreEntry], winner: SnapshotManifest
     ) -> None:
-        """Delete parts that an edit wrote which lost against `winner`.
+        """Delete the parts written by an edit that lost to `winner`.
 
-        :param winner: the head that took the edit's version.
+        :param winner: the accepted manifest of the same version.
         """
         used = {part_key(part) for part in winner.parts}
         for entry in written:
@@ -250,7 +250,7 @@
 
 
 def history_key(version: int) -> str:
-    """Return the key of the copy of a former head."""
+    """Return the key of a past manifest."""
     return f"{HISTORY_PREFIX}{version}"
 
 
--- a/src/reedhook/process/configuring/store.py
+++ b/src/reedhook/process/configuring/store.py
@@ -1,4 +1,4 @@
-"""Interface of the platform's key-value service."""
+"""Interface to the platform's key-value store."""
 
 from abc import ABC, abstractmethod
 
@@ -6,21 +6,21 @@
 
 
 class StoreError(Exception):
-    """Say that the store gave no usable answer; base of the errors below."""
+    """Signal a failed store operation; base class of the errors below."""
 
 
 class StoreUnavailableError(StoreError):
-    """Say that the store gave no answer; a write may have taken effect."""
+    """Signal that there was no valid response; a write may have taken effect."""
 
 
 class StoreConflictError(StoreError):
-    """Say that the key's revision was not the expected one; nothing changed."""
+    """Signal that the key has another revision than expected; nothing changed."""
 
 
 class StoreEntry(Record):
-    """Carry a value with its revision.
+    """Hold a key and its value with its revision.
 
-    :param revision: the revision of the key; 0 stands for an absent key.
+    :param revision: the revision of the key; 0 for an absent key.
     """
 
     __slots__ = ("key", "value", "revision")
@@ -32,37 +32,38 @@
 
 
 class Store(ABC):
-    """Read and change keys; timeouts are in seconds."""
+    """Read and write keys; timeouts are in seconds."""
 
     @abstractmethod
     async def get(self, key: str, timeout: float) -> StoreEntry | None:
-        """Return the entry of `key`, or None if there is none.
+        """Return the entry of `key`, or None if it is absent.
 
-        :raises StoreUnavailable: if no answer came.
+        :raises StoreUnavailableError: if there is no valid response.
         """
 
     @abstractmethod
     async def put(
         self, key: str, value: bytes, expected: int, timeout: float
     ) -> StoreEntry:
-        """Replace the value if the key's revision is `expected`; 0 creates.
+        """Replace the value if the key's revision is `expected`; 0 creates the key.
 
-        :raises StoreConflict: if the revision differs; nothing changed.
-        :raises StoreUnavailable: if no answer came; it may have taken effect.
+        :raises StoreConflictError: if the revision differs; nothing changed.
+        :raises StoreUnavailableError: if there is no valid response; the write may have
+            taken effect.
         """
 
     @abstractmethod
     async def watch(self, key: str, revision: int, hold: float) -> StoreEntry | None:
-        """Return the entry once its revision exceeds `revision`.
+        """Wait for an entry whose revision exceeds `revision`.
 
-        :returns: None if nothing changed for `hold` seconds.
-        :raises StoreUnavailable: if the watch was lost.
+        :returns: the entry, or None if there was none for `hold` seconds.
+        :raises StoreUnavailableError: if the watch failed.
         """
 
     @abstractmethod
     async def delete(self, key: str, expected: int, timeout: float) -> None:
-        """Delete the key if its revision is `expected`; raises as `put`."""
+        """Delete the key if its revision is `expected`; raise as `put`."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
--- a/src/reedhook/process/configuring/store_http.py
+++ b/src/reedhook/process/configuring/store_http.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service over HTTP with JSON."""
+"""HTTP client for the platform's key-value store."""
 
 from base64 import b64decode, b64encode
 from typing import Final
@@ -26,7 +26,7 @@
 
 
 class HttpStore(Store):
-    """Reach the store at `address` (``IP:port``)."""
+    """Use the store served at `address` (``IP:port``)."""
 
     def __init__(self, address: str) -> None:
         self.base = URL(f"http://{address}")
@@ -45,7 +45,7 @@
         }
         entry = await self.ask_entry("put", body, timeout)
         if entry is None:
-            raise StoreUnavailableError("the store named no entry")
+            raise StoreUnavailableError("response to put has no entry")
         return entry
 
     async def watch(self, key: str, revision: int, hold: float) -> StoreEntry | None:
@@ -61,19 +61,20 @@
     async def ask_entry(
         self, path: str, body: Json, timeout: float
     ) -> StoreEntry | None:
-        """Ask for something that is answered with an entry or none."""
+        """Send a request whose response is an entry or none."""
         message = await self.ask(path, body, timeout)
         try:
             return read_entry(message["entry"])
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreUnavailableError(f"not an entry: {error!r}") from error
+            raise StoreUnavailableError(f"malformed entry: {error!r}") from error
 
     async def ask(self, path: str, body: Json, timeout: float) -> Json:
-        """Send one call; it is never repeated here.
+        """Send one request without retries.
 
-        :raises StoreUnavailable: if no whole answer came.
-        :raises StoreConflict: if the revision differs.
-        :raises StoreError: if the store refuses for another reason.
+        :raises StoreUnavailableError: if there is no complete response, or its HTTP
+            status is 500 or above.
+        :raises StoreConflictError: if the revision differs.
+        :raises StoreError: if the store rejects the request for another reason.
         """
         try:
             async with self.session.post(
@@ -84,7 +85,7 @@
                 status = response.status
                 message = decode(await response.read())
         except (ClientError, OSError, TimeoutError, WireError) as error:
-            raise StoreUnavailableError(f"no answer to {path}: {error!r}") from error
+            raise StoreUnavailableError(f"request {path} failed: {error!r}") from error
         if status == STATUS_OK:
             return message
         detail = str(message.get("detail"))
@@ -96,7 +97,7 @@
 
 
 def read_entry(message: Json | None) -> StoreEntry | None:
-    """Read an entry from the wire; null stands for none."""
+    """Parse an entry in wire format; None for null."""
     if message is None:
         return None
     value = b64decode(message["value"], validate=True)
