--- a/src/reedhook/process/configuring/configuration_edit.py
+++ b/src/reedhook/process/configuring/configuration_edit.py
@@ -35,7 +35,7 @@
     def __init__(
         self, parent: int, version: int, since: list[VersionChanges], omitted: int
     ) -> None:
-        authors = ", ".join(sorted({one.manifest.author for one in since}))
+        authors = ", ".join(sorted({changes.manifest.author for changes in since}))
         by = f" (by {authors})" if authors else ""
         detail = (
             f"the edit is based on version {parent}, "
@@ -47,7 +47,7 @@
         self.omitted = omitted
 
     def to_json(self) -> Json:
-        since = [one.to_json() for one in self.since]
+        since = [changes.to_json() for changes in self.since]
         extra = {"version": self.version, "since": since, "omitted": self.omitted}
         return {**super().to_json(), **extra}
 
--- a/src/reedhook/process/configuring/configuration_manager.py
+++ b/src/reedhook/process/configuring/configuration_manager.py
@@ -254,7 +254,9 @@
         """
         try:
             if "want" in body:
-                return parts_answer(self.snapshot, [str(one) for one in body["want"]])
+                return parts_answer(
+                    self.snapshot, [str(digest) for digest in body["want"]]
+                )
             if "offer" in body:
                 sender = HostRef.from_json(body["from"])
                 self.record_peer_version(int(body["offer"]), sender)
@@ -343,7 +345,9 @@
     def choose_source(self) -> HostRef | None:
         """Return a random peer with the newest known version, or None."""
         self.sources = {
-            host: one for host, one in self.sources.items() if self.is_wanted(one[0])
+            host: source
+            for host, source in self.sources.items()
+            if self.is_wanted(source[0])
         }
         if not self.sources:
             return None
--- a/src/reedhook/process/configuring/snapshot_exchange.py
+++ b/src/reedhook/process/configuring/snapshot_exchange.py
@@ -85,7 +85,7 @@
         :raises SnapshotError: if the peer no longer has the parts.
         """
         for _ in range(MAX_PULLS):
-            missing = [one.digest for one in parts if one.digest not in self.packed]
+            missing = [part.digest for part in parts if part.digest not in self.packed]
             if not missing:
                 return
             self.add_parts(missing, (await self.ask({"want": missing})).get("parts"))
--- a/src/reedhook/process/fleet/host_discovery.py
+++ b/src/reedhook/process/fleet/host_discovery.py
@@ -109,7 +109,9 @@
         Unknown addresses are probed immediately, a few at a time, so that hosts that
         start together discover each other quickly.
         """
-        self.listed_addresses = [one for one in addresses if one != self.me.address]
+        self.listed_addresses = [
+            address for address in addresses if address != self.me.address
+        ]
         probing = self.probe_task is not None and not self.probe_task.done()
         if self.group is None or probing or not self.unknown_addresses():
             return
@@ -127,9 +129,9 @@
         """Probe unknown addresses in rounds; pull from one found host per round."""
         tried: set[str] = set()
         for _ in range(MAX_PROBE_ROUNDS):
-            candidates = [one for one in self.unknown_addresses() if one not in tried][
-                :PROBE_CANDIDATES_LIMIT
-            ]
+            candidates = [
+                address for address in self.unknown_addresses() if address not in tried
+            ][:PROBE_CANDIDATES_LIMIT]
             if not candidates:
                 return
             chosen = self.rng.sample(
@@ -137,7 +139,7 @@
             )
             tried.update(chosen)
             await asyncio.gather(*map(self.probe_address, chosen))
-            found = [one for one in chosen if one in self.table.by_address]
+            found = [address for address in chosen if address in self.table.by_address]
             if found:
                 host = self.table.by_address[found[0]]
                 await self.pull(self.table.records[host].ref)
--- a/src/reedhook/process/fleet/local_health.py
+++ b/src/reedhook/process/fleet/local_health.py
@@ -87,10 +87,10 @@
         seconds.
         """
         since = self.clock.monotonic() - RESULT_WINDOW_SECONDS
-        recent = [one for one in self.last.values() if one.at >= since]
-        near = [one.took < limit for one in recent if one.zone == self.zone]
-        far = {one.zone for one in recent if one.zone != self.zone}
-        responsive = {one.zone for one in recent if one.took < limit} & far
+        recent = [result for result in self.last.values() if result.at >= since]
+        near = [result.took < limit for result in recent if result.zone == self.zone]
+        far = {result.zone for result in recent if result.zone != self.zone}
+        responsive = {result.zone for result in recent if result.took < limit} & far
         within = near.count(True) + len(responsive)
         late = near.count(False) + len(far - responsive)
         return late > 1 + within
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -140,7 +140,7 @@
         :raises WireError: if the message is malformed.
         """
         sender = HostRecord.from_json(message.get("me"))
-        updates = [HostRecord.from_json(one) for one in read_list_field(message, "u")]
+        updates = [HostRecord.from_json(item) for item in read_list_field(message, "u")]
         version, digest = message.get("v"), message.get("d")
         if type(version) is not int or type(digest) is not int:
             raise WireError("heartbeat version and digest must be integers")
@@ -186,7 +186,9 @@
 
         :raises WireError: if the report is malformed.
         """
-        if not isinstance(died, list) or not all(type(one) is int for one in died):
+        if not isinstance(died, list) or not all(
+            type(number) is int for number in died
+        ):
             raise WireError("death report must be a list of integers")
         incarnation, penalty = died
         if incarnation < self.initial_incarnation:
@@ -379,7 +381,7 @@
 def read_buckets(message: Json) -> list[int]:
     """Read bucket digests from a message."""
     buckets = read_list_field(message, "b")
-    if len(buckets) != BUCKETS or not all(type(one) is int for one in buckets):
+    if len(buckets) != BUCKETS or not all(type(bucket) is int for bucket in buckets):
         raise WireError("bucket digests are malformed")
     return buckets
 
--- a/src/reedhook/process/fleet/membership_table.py
+++ b/src/reedhook/process/fleet/membership_table.py
@@ -133,8 +133,8 @@
     def digest(self) -> int:
         """Return the digest of the whole table."""
         whole = 0
-        for one in self.buckets:
-            whole ^= one
+        for bucket in self.buckets:
+            whole ^= bucket
         return whole
 
     def get(self, host: str) -> HostRecord | None:
@@ -148,7 +148,7 @@
 
     def refs(self, zone: str | None = None) -> list[HostRef]:
         """Return the live hosts of `zone`, or of all zones for None."""
-        return [one.ref for one in self.in_zone(zone) if one.live]
+        return [record.ref for record in self.in_zone(zone) if record.live]
 
     def sees_majority(self) -> bool:
         """Return whether more than half of the known hosts are live."""
--- a/src/reedhook/process/fleet/rendezvous.py
+++ b/src/reedhook/process/fleet/rendezvous.py
@@ -34,10 +34,10 @@
     """
     left = connections
     given = 0
-    for one in range(rank + 1):
+    for each_rank in range(rank + 1):
         if not left:
             return 0
-        wanted = max(1, int(connections * connection_fraction(one)))
+        wanted = max(1, int(connections * connection_fraction(each_rank)))
         given = min(wanted, left)
         left -= given
     return given
--- a/src/reedhook/process/fleet/ring.py
+++ b/src/reedhook/process/fleet/ring.py
@@ -38,7 +38,7 @@
 
 def successors(host: str, hosts: list[str]) -> list[str]:
     """Return the next `WATCHED_HOST_COUNT` hosts after `host` on the ring."""
-    ring = sorted(hosts, key=lambda one: (score(RING, one), one))
+    ring = sorted(hosts, key=lambda name: (score(RING, name), name))
     if host not in ring:
         return []
     start = ring.index(host)
--- a/src/reedhook/version/catalog.py
+++ b/src/reedhook/version/catalog.py
@@ -109,7 +109,7 @@
     def member(self, member: str) -> tuple[Group, Member] | None:
         """Return a member and its group, or None if it is not configured."""
         for group in self.groups.values():
-            for one in group.members:
-                if one.member_id == member:
-                    return group, one
+            for candidate in group.members:
+                if candidate.member_id == member:
+                    return group, candidate
         return None
--- a/src/reedhook/version/errors.py
+++ b/src/reedhook/version/errors.py
@@ -82,7 +82,9 @@
 
     def to_json(self) -> list[Json]:
         """Return the errors in wire format."""
-        faults = [one for one in self.exceptions if isinstance(one, ConfigurationError)]
+        faults = [
+            error for error in self.exceptions if isinstance(error, ConfigurationError)
+        ]
         return [fault.to_json() for fault in faults]
 
 
--- a/src/reedhook/version/snapshot.py
+++ b/src/reedhook/version/snapshot.py
@@ -128,7 +128,9 @@
         try:
             content["texts"] = tuple((name, int(n)) for name, n in message["texts"])
             content["parts"] = tuple(PartRef(*part) for part in message["parts"])
-            content["recent"] = tuple((int(v), one) for v, one in message["recent"])
+            content["recent"] = tuple(
+                (int(v), edit_id) for v, edit_id in message["recent"]
+            )
         except (TypeError, ValueError, KeyError) as error:
             raise SnapshotError("manifest is malformed") from error
         return cls(**content)
--- a/src/reedhook/version/validation.py
+++ b/src/reedhook/version/validation.py
@@ -184,10 +184,10 @@
         for group, content in service["groups"].items():
             group_path = (*path, "groups", group)
             yield from owners.check_unique("group", group, group_path)
-            for member, one in content["members"].items():
+            for member, description in content["members"].items():
                 member_path = (*group_path, "members", member)
                 yield from owners.check_unique("member", member, member_path)
-                yield from member_errors(base, member_path, one, sites, owners)
+                yield from member_errors(base, member_path, description, sites, owners)
     yield from site_name_errors(sites)
 
 
@@ -283,7 +283,8 @@
         for group in service["groups"]
     }
     workspaces = Workspaces(
-        build_workspace(name, one) for name, one in values["workspaces"].items()
+        build_workspace(name, description)
+        for name, description in values["workspaces"].items()
     )
     limits = {name: int(value) for name, value in values.get("limits", {}).items()}
     return Catalog(version, site, groups, workspaces, Limits(**limits))
@@ -292,8 +293,8 @@
 def build_group(group: str, name: str, service: Json) -> Group:
     """Build a group of the service `name`."""
     members = tuple(
-        Member(member, one["zone"], one["address"])
-        for member, one in service["groups"][group]["members"].items()
+        Member(member, description["zone"], description["address"])
+        for member, description in service["groups"][group]["members"].items()
     )
     return Group(
         group, name, members, int(service["slots"]), int(service["connections"])
--- a/src/reedhook/version/workspace.py
+++ b/src/reedhook/version/workspace.py
@@ -64,8 +64,8 @@
         self.by_name: dict[str, Workspace] = {}
         self.by_digest: dict[str, Workspace] = {}
         self.disputed: set[str] = set()
-        for one in workspaces:
-            self.add(one)
+        for workspace in workspaces:
+            self.add(workspace)
         for digest in self.disputed:
             del self.by_digest[digest]
 
--- a/tests/test_config_accept.py
+++ b/tests/test_config_accept.py
@@ -1,4 +1,4 @@
-"""Acceptance of edits: racing operators, lost answers, crashes, sizes."""
+"""Guard against lost, doubled or half-written edits of the configuration."""
 
 import asyncio
 import random
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def two_hosts() -> AsyncIterator[FleetHost]:
-    """Run two hosts of one zone and yield the first; version 1 stands."""
+    """Run two hosts of one zone with version 1 active; yield the first."""
     async with Fleet(per_zone=2, zones=ONE_ZONE) as fleet:
         await fleet.hosts[0].apply(1, "first", 0)
         await asyncio.sleep(1.0)
@@ -53,13 +53,15 @@
 
 
 async def edit_ids(host: FleetHost) -> list[str]:
-    return [head.edit_id for head in await host.editor.history()]
+    return [manifest.edit_id for manifest in await host.editor.history()]
 
 
 @using(two_hosts, run_virtual)
-async def test_an_accepted_edit_is_in_force_here_at_once(host: FleetHost) -> None:
-    head = await host.apply(7, "second")
-    assert (head.version, head.parent, head.author) == (2, 1, "ana")
+async def test_accepted_edit_is_active_on_the_accepting_host_immediately(
+    host: FleetHost,
+) -> None:
+    manifest = await host.apply(7, "second")
+    assert (manifest.version, manifest.parent, manifest.author) == (2, 1, "ana")
     assert host.keeper.catalog is not None
     assert host.keeper.catalog.limits.queue == 7
     assert await edit_ids(host) == ["second", "first"]
@@ -67,7 +69,7 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_an_invalid_edit_touches_nothing(host: FleetHost) -> None:
+async def test_invalid_edit_writes_nothing_to_the_store(host: FleetHost) -> None:
     before = host.fleet.store.keys()
     with pytest.raises(InvalidConfigurationError):
         await host.apply(-1, "second")
@@ -76,78 +78,83 @@
 
 @pytest.mark.parametrize("queues", [(10, 11), (10, 10)])
 @using(two_hosts, run_virtual)
-async def test_of_racing_operators_one_wins_and_the_others_learn_what_changed(
+async def test_one_of_two_concurrent_edits_wins_and_the_other_gets_its_changes(
     host: FleetHost, queues: tuple[int, int]
 ) -> None:
-    for one in host.fleet.hosts:
-        one.worker.most = 0.0
+    for editing_host in host.fleet.hosts:
+        editing_host.worker.most = 0.0
     edits = [
-        one.apply(queue, f"edit by {one.ref.host}", 1)
-        for one, queue in zip(host.fleet.hosts, queues)
+        editing_host.apply(queue, f"edit by {editing_host.ref.host}", 1)
+        for editing_host, queue in zip(host.fleet.hosts, queues)
     ]
     results = await asyncio.gather(*edits, return_exceptions=True)
-    won = [one for one in results if isinstance(one, SnapshotManifest)]
-    lost = [one for one in results if isinstance(one, EditConflictError)]
+    won = [result for result in results if isinstance(result, SnapshotManifest)]
+    lost = [result for result in results if isinstance(result, EditConflictError)]
     assert (len(won), len(lost)) == (1, 1)
     assert lost[0].verdict is Verdict.NOT_RUN
     (since,) = lost[0].since
     assert since.manifest == won[0]
     assert [change.path for change in since.changes] == ["limits.queue"]
     assert await edit_ids(host) == [won[0].edit_id, "first"]
-    # The loser's parts are gone, the winner's are not.
+    # The parts of the losing edit are deleted, those of the winning edit are not.
     assert len(host.fleet.store.keys(PART_PREFIX)) == 2
     await host.editor.reader.archive.read_snapshot(won[0], {})
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3, 4])
 @using(two_hosts, run_virtual)
-async def test_operators_race_while_both_lose_answers_and_read_stale(
+async def test_concurrent_edits_with_lost_responses_and_stale_reads_have_one_winner(
     host: FleetHost, lost: int
 ) -> None:
-    for one in host.fleet.hosts:
-        one.worker.most = 0.0
-        one.store.lose_answers = lost
+    for editing_host in host.fleet.hosts:
+        editing_host.worker.most = 0.0
+        editing_host.store.lose_answers = lost
         reads = iter([1, 0, 1, 0, 1])
-        one.store.stale = lambda key, reads=reads: (  # type: ignore[misc]
+        editing_host.store.stale = lambda key, reads=reads: (  # type: ignore[misc]
             next(reads, 0) if key == HEAD_KEY else 0
         )
-    edits = [one.apply(n + 7, f"edit-{n}", 1) for n, one in enumerate(host.fleet.hosts)]
+    edits = [
+        editing_host.apply(n + 7, f"edit-{n}", 1)
+        for n, editing_host in enumerate(host.fleet.hosts)
+    ]
     results = await asyncio.gather(*edits, return_exceptions=True)
-    assert {type(one) for one in results} == {SnapshotManifest, EditConflictError}
-    (won,) = [one for one in results if isinstance(one, SnapshotManifest)]
+    assert {type(result) for result in results} == {SnapshotManifest, EditConflictError}
+    (won,) = [result for result in results if isinstance(result, SnapshotManifest)]
     assert won.version == 2
     assert await edit_ids(host) == [won.edit_id, "first"]
 
 
 @using(two_hosts, run_virtual)
-async def test_a_conflict_names_each_version_since(host: FleetHost) -> None:
+async def test_conflict_lists_the_versions_since_the_parent(host: FleetHost) -> None:
     for queue in range(2, 14):
         await host.apply(queue, f"edit-{queue}")
     with pytest.raises(EditConflictError) as conflict:
         await host.apply(99, "late", 1)
-    told = conflict.value.to_json()
-    assert told["version"] == 13
-    assert [one["version"] for one in told["since"]] == list(range(13, 5, -1))
-    assert told["omitted"] == 4
+    message = conflict.value.to_json()
+    assert message["version"] == 13
+    assert [item["version"] for item in message["since"]] == list(range(13, 5, -1))
+    assert message["omitted"] == 4
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3])
 @pytest.mark.parametrize("kind", ["lose_answers", "lose_requests"])
 @using(two_hosts, run_virtual)
-async def test_lost_messages_do_not_double_or_drop_an_edit(
+async def test_lost_messages_neither_duplicate_nor_drop_an_edit(
     host: FleetHost, kind: str, lost: int
 ) -> None:
     setattr(host.store, kind, lost)
-    head = await host.apply(7, "second")
-    assert head.version == 2
+    manifest = await host.apply(7, "second")
+    assert manifest.version == 2
     assert await edit_ids(host) == ["second", "first"]
 
 
-def swap_unheard(host: FleetHost, then: Callable[[], Awaitable[None]]) -> None:
-    """Lose the answer of the next swap of the head, and run `then`."""
+def lose_swap_response(host: FleetHost, then: Callable[[], Awaitable[None]]) -> None:
+    """Lose the response to the next swap of the head and run `then`."""
     put = host.store.put
 
-    async def unheard(key: str, value: bytes, expected: int, timeout: float) -> object:
+    async def lossy_put(
+        key: str, value: bytes, expected: int, timeout: float
+    ) -> object:
         if key == HEAD_KEY:
             host.store.put = put  # type: ignore[method-assign]
             host.store.lose_answers = 1
@@ -157,70 +164,74 @@
                 await then()
         return await put(key, value, expected, timeout)
 
-    host.store.put = unheard  # type: ignore[assignment,method-assign]
+    host.store.put = lossy_put  # type: ignore[assignment,method-assign]
 
 
-def before_swap(host: FleetHost, then: Callable[[], Awaitable[None]]) -> None:
+def run_before_swap(host: FleetHost, then: Callable[[], Awaitable[None]]) -> None:
     """Run `then` before the next swap of the head."""
     put = host.store.put
 
-    async def late(key: str, value: bytes, expected: int, timeout: float) -> object:
+    async def delayed_put(
+        key: str, value: bytes, expected: int, timeout: float
+    ) -> object:
         if key == HEAD_KEY:
             host.store.put = put  # type: ignore[method-assign]
             await then()
         return await put(key, value, expected, timeout)
 
-    host.store.put = late  # type: ignore[assignment,method-assign]
+    host.store.put = delayed_put  # type: ignore[assignment,method-assign]
 
 
 @using(two_hosts, run_virtual)
-async def test_who_loses_leaves_the_parts_that_the_winner_uses(host: FleetHost) -> None:
-    async def overtake() -> None:
+async def test_losing_edit_keeps_parts_used_by_the_winner(host: FleetHost) -> None:
+    async def apply_winner() -> None:
         await host.fleet.hosts[1].apply(7, "winner", 1)
 
-    before_swap(host, overtake)
+    run_before_swap(host, apply_winner)
     with pytest.raises(EditConflictError):
         await host.apply(7, "loser", 1)
-    head, _ = await host.editor.history()
-    edition = await host.editor.reader.archive.read_snapshot(head, {})
-    assert edition.documents() == documents(7)
+    newest, _ = await host.editor.history()
+    snapshot = await host.editor.reader.archive.read_snapshot(newest, {})
+    assert snapshot.documents() == documents(7)
 
 
 @pytest.mark.parametrize("kept_ids", [32, 1])
 @using(two_hosts, run_virtual)
-async def test_an_edit_whose_answer_was_lost_is_found_below_later_versions(
+async def test_edit_with_lost_response_is_found_below_later_versions(
     host: FleetHost, kept_ids: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(edition_module, "KEPT_EDIT_IDS", kept_ids)
 
-    async def edit_on() -> None:
+    async def apply_later_edits() -> None:
         other = host.fleet.hosts[1]
         for version in range(2, 5):
             await other.apply(version * 10, f"other-{version}", version)
 
-    swap_unheard(host, edit_on)
-    head = await host.apply(7, "second")
-    assert (head.version, head.edit_id) == (2, "second")
+    lose_swap_response(host, apply_later_edits)
+    manifest = await host.apply(7, "second")
+    assert (manifest.version, manifest.edit_id) == (2, "second")
     assert (await edit_ids(host)).count("second") == 1
 
 
 @using(two_hosts, run_virtual)
-async def test_the_store_goes_down_with_the_answer(host: FleetHost) -> None:
-    async def fail() -> None:
+async def test_edit_may_have_run_if_the_store_fails_after_the_swap(
+    host: FleetHost,
+) -> None:
+    async def stop_store() -> None:
         host.fleet.store.down = True
 
-    swap_unheard(host, fail)
+    lose_swap_response(host, stop_store)
     with pytest.raises(RefusalError) as refused:
         await host.apply(7, "second")
     assert refused.value.verdict is Verdict.MAY_HAVE_RUN
     host.fleet.store.down = False
-    head = await host.apply(7, "second", 1)
-    assert head.version == 2
+    manifest = await host.apply(7, "second", 1)
+    assert manifest.version == 2
     assert await edit_ids(host) == ["second", "first"]
 
 
 @using(two_hosts, run_virtual)
-async def test_with_the_store_down_an_edit_has_no_effect(host: FleetHost) -> None:
+async def test_edit_has_no_effect_while_the_store_is_down(host: FleetHost) -> None:
     host.fleet.store.down = True
     with pytest.raises(RefusalError) as refused:
         await host.apply(7, "second")
@@ -232,7 +243,7 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_a_stale_read_is_no_reason_to_accept_or_to_refuse(
+async def test_stale_read_neither_accepts_nor_rejects_an_edit(
     host: FleetHost,
 ) -> None:
     await host.apply(2, "second")
@@ -240,8 +251,8 @@
     await asyncio.sleep(3.0)
     reads = iter([1, 1, 1])
     other.store.stale = lambda key: next(reads, 0) if key == HEAD_KEY else 0
-    head = await other.apply(3, "third", 2)
-    assert head.version == 3
+    manifest = await other.apply(3, "third", 2)
+    assert manifest.version == 3
     reads = iter([1, 1, 1])
     with pytest.raises(EditConflictError):
         await other.apply(4, "fourth", 2)
@@ -252,7 +263,7 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_a_version_that_nobody_knows_cannot_be_edited(host: FleetHost) -> None:
+async def test_edit_of_an_unknown_parent_version_is_refused(host: FleetHost) -> None:
     with pytest.raises(RefusalError) as refused:
         await host.apply(5, "second", 99)
     assert refused.value.reason is RefusalReason.CONFLICT
@@ -261,7 +272,7 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_a_repeated_id_with_other_documents_is_refused(host: FleetHost) -> None:
+async def test_reused_edit_id_with_other_documents_is_refused(host: FleetHost) -> None:
     with pytest.raises(RefusalError) as refused:
         await host.apply(5, "first")
     assert refused.value.reason is RefusalReason.REQUEST_REUSED
@@ -270,16 +281,16 @@
 
 @pytest.mark.parametrize("step", range(6))
 @using(two_hosts, run_virtual)
-async def test_a_crash_between_any_two_steps_leaves_one_whole_edition(
+async def test_crash_between_any_two_writes_leaves_a_consistent_version(
     host: FleetHost, step: int
 ) -> None:
-    left = step
+    remaining = step
 
     async def crash(key: str, value: bytes, expected: int, timeout: float) -> object:
-        nonlocal left
-        if left == 0:
+        nonlocal remaining
+        if remaining == 0:
             raise asyncio.CancelledError
-        left -= 1
+        remaining -= 1
         return await put(key, value, expected, timeout)
 
     put = host.store.put
@@ -289,17 +300,19 @@
     host.store.put = put  # type: ignore[method-assign]
     await host.restart()
     await asyncio.sleep(5.0)
-    whole = documents(1) if edit.cancelled() else large()
-    for one in host.fleet.hosts:
-        assert (await one.editor.show())[1] == whole
-    # The next edit goes on from there, without a gap in the history.
-    head = await host.apply(9, "third")
-    heads = await host.editor.history()
-    assert [one.version for one in heads] == list(range(head.version, 0, -1))
+    expected_documents = documents(1) if edit.cancelled() else large()
+    for fleet_host in host.fleet.hosts:
+        assert (await fleet_host.editor.show())[1] == expected_documents
+    # The next edit succeeds and the history has no gap.
+    newest = await host.apply(9, "third")
+    manifests = await host.editor.history()
+    assert [manifest.version for manifest in manifests] == list(
+        range(newest.version, 0, -1)
+    )
 
 
 @on_loop
-async def test_checks_run_in_threads_beside_the_loop() -> None:
+async def test_validation_runs_in_a_worker_thread() -> None:
     worker = ThreadWorker()
     checked = await worker.run(validate_documents, documents(5), only_site="comiso")
     assert checked.catalog(1, "comiso").limits.queue == 5
@@ -307,33 +320,33 @@
         await worker.run(validate_documents, documents(-5))
 
 
-def test_a_part_cut_short_or_lengthened_is_refused() -> None:
-    edition = build_snapshot(documents(1), None, "first", "ana", "", 0.0)
-    (part,) = edition.manifest.parts
-    packed = edition.packed[part.digest]
+def test_truncated_or_extended_part_is_refused() -> None:
+    snapshot = build_snapshot(documents(1), None, "first", "ana", "", 0.0)
+    (part,) = snapshot.manifest.parts
+    packed = snapshot.packed[part.digest]
     assert decompress_part(part, packed)
     for damaged in [packed[:size] for size in range(len(packed))] + [packed + b"x"]:
         with pytest.raises(SnapshotError):
             decompress_part(part, damaged)
 
 
-def test_parts_go_out_in_answers_of_bounded_size() -> None:
+def test_responses_with_parts_have_a_bounded_size() -> None:
     noise = random.Random(1)
     lines = [f"# {noise.randbytes(500).hex()}\n" for _ in range(900)]
-    edition = build_snapshot(documents(1, "".join(lines)), None, "e", "ana", "", 0.0)
-    wanted = [part.digest for part in edition.manifest.parts]
+    snapshot = build_snapshot(documents(1, "".join(lines)), None, "e", "ana", "", 0.0)
+    wanted = [part.digest for part in snapshot.manifest.parts]
     sent: list[str] = []
     while len(sent) < len(wanted):
-        parts = parts_answer(edition, wanted[len(sent) :])["parts"]
-        packed = sum(len(edition.packed[digest]) for digest in parts)
+        parts = parts_answer(snapshot, wanted[len(sent) :])["parts"]
+        packed = sum(len(snapshot.packed[digest]) for digest in parts)
         assert 0 < packed <= MAX_ANSWER_BYTES
         sent += parts
     assert sent == wanted
-    assert sum(map(len, edition.packed.values())) > MAX_ANSWER_BYTES
+    assert sum(map(len, snapshot.packed.values())) > MAX_ANSWER_BYTES
 
 
 def large(groups: int = 280, note: str = "") -> ConfigurationDocuments:
-    """Return documents with 3 members for each group."""
+    """Return documents with `groups` groups of 3 members each."""
     lines = ["services:", "  feedlog-db:", "    slots: 2", "    connections: 15"]
     lines.append("    groups:")
     for group in range(groups):
@@ -348,26 +361,26 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_840_databases_of_nearly_a_megabyte_are_split_and_swapped_whole(
+async def test_large_documents_are_stored_in_parts_and_activated_together(
     host: FleetHost,
 ) -> None:
     padding = f"  # {'x' * 1050}"
-    edition = large(note=padding)
-    assert 0.9 * MAX_VALUE < len(edition.base) < MAX_VALUE
-    await host.editor.apply(edition, 1, "ana", "", "second")
+    texts = large(note=padding)
+    assert 0.9 * MAX_VALUE < len(texts.base) < MAX_VALUE
+    await host.editor.apply(texts, 1, "ana", "", "second")
     await asyncio.sleep(5.0)
     assert host.fleet.versions() == {2}
-    for one in host.fleet.hosts:
-        assert one.keeper.catalog is not None
-        assert len(one.keeper.catalog.groups) == 280
-        assert (await one.editor.show())[1] == edition
+    for fleet_host in host.fleet.hosts:
+        assert fleet_host.keeper.catalog is not None
+        assert len(fleet_host.keeper.catalog.groups) == 280
+        assert (await fleet_host.editor.show())[1] == texts
     assert host.store.largest <= MAX_PART_BYTES
     parts = len(host.fleet.store.keys(PART_PREFIX))
     assert parts > 4
-    # A change of one line writes one part anew, not the whole.
-    text = edition.base.replace("10.0.100.1:17101", "10.9.9.9:17101")
+    # A change of one line rewrites only the part that contains it.
+    text = texts.base.replace("10.0.100.1:17101", "10.9.9.9:17101")
     await host.editor.apply(
-        ConfigurationDocuments(text, edition.overlays), 2, "ana", "", "third"
+        ConfigurationDocuments(text, texts.overlays), 2, "ana", "", "third"
     )
     assert len(host.fleet.store.keys(PART_PREFIX)) <= parts + 2
     changes = await host.editor.diff(2, 3)
@@ -381,28 +394,28 @@
 ) -> None:
     monkeypatch.setattr(archive_module, "KEPT_VERSIONS", 5)
 
-    # Parts that stay from version to version, and one that changes.
-    lasting = "".join(f"# {n} {'x' * 90}\n" for n in range(500)) + BASE
+    # Most parts are shared by all versions, and one changes.
+    shared_text = "".join(f"# {n} {'x' * 90}\n" for n in range(500)) + BASE
     for version in range(2, 21):
-        # Every third edit brings back what an earlier one had.
-        edition = documents(version % 3 + 1, lasting)
-        await host.editor.apply(edition, version - 1, "ana", "", f"edit-{version}")
+        # The content repeats every third version.
+        texts = documents(version % 3 + 1, shared_text)
+        await host.editor.apply(texts, version - 1, "ana", "", f"edit-{version}")
         if version == 12:
-            # An edit that lost had deleted history before it lost.
+            # Simulates a losing edit that deleted history first.
             archive = host.editor.reader.archive
             stored = await archive.read_head()
             assert stored.manifest is not None
             assert await archive.trim(stored.manifest) > stored.manifest.trimmed
-    heads = await host.editor.history(100)
-    assert [head.version for head in heads] == list(range(20, 14, -1))
-    used = {part_key(part) for head in heads for part in head.parts}
-    assert len(heads[0].parts) > 1
+    manifests = await host.editor.history(100)
+    assert [manifest.version for manifest in manifests] == list(range(20, 14, -1))
+    used = {part_key(part) for manifest in manifests for part in manifest.parts}
+    assert len(manifests[0].parts) > 1
     assert set(host.fleet.store.keys(PART_PREFIX)) == used
     assert history_key(14) not in host.fleet.store.keys()
-    for head in heads:
-        queue = head.version % 3 + 1
-        shown = (await host.editor.show(head.version))[1]
-        assert shown == documents(queue, lasting)
+    for manifest in manifests:
+        queue = manifest.version % 3 + 1
+        shown = (await host.editor.show(manifest.version))[1]
+        assert shown == documents(queue, shared_text)
     with pytest.raises(RefusalError) as refused:
         await host.editor.show(2)
     assert "not kept" in refused.value.detail
@@ -412,11 +425,11 @@
 
 
 @using(two_hosts, run_virtual)
-async def test_a_damaged_part_in_the_store_is_mended_by_the_next_writer(
+async def test_damaged_part_in_the_store_is_repaired_by_the_next_write(
     host: FleetHost,
 ) -> None:
     await host.apply(2, "second")
-    (key,) = [one for one in host.fleet.store.keys(PART_PREFIX) if "/2-" in one]
+    (key,) = [key for key in host.fleet.store.keys(PART_PREFIX) if "/2-" in key]
     host.fleet.store.past[HEAD_KEY].pop()
     host.fleet.store.past[key][-1] = b"damaged"
     other = host.fleet.hosts[1]
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -1,4 +1,4 @@
-"""What the check of documents accepts and what it says of the others."""
+"""Guard against invalid configurations being accepted or badly reported."""
 
 import re
 from pathlib import Path
@@ -42,19 +42,19 @@
     return ConfigurationDocuments((root / "base.yaml").read_text(), overlays)
 
 
-def faults(base: str, overlays: dict[str, str] | None = None) -> list[str]:
+def validation_errors(base: str, overlays: dict[str, str] | None = None) -> list[str]:
     with pytest.raises(InvalidConfigurationError) as refused:
         validate_documents(
             ConfigurationDocuments(base, OVERLAYS if overlays is None else overlays)
         )
-    return [str(fault) for fault in refused.value.exceptions]
+    return [str(error) for error in refused.value.exceptions]
 
 
 @pytest.mark.parametrize(
     ("name", "service", "connections", "sites"),
     [("plant", "feedlog-db", 15, 4), ("danube", "dispatch-core", 35, 3)],
 )
-def test_the_examples_hold(
+def test_examples_are_valid(
     name: str, service: str, connections: int, sites: int
 ) -> None:
     documents = example(name)
@@ -66,10 +66,13 @@
         for group in catalog.groups.values():
             budget = (group.service, group.slots, group.connections)
             assert budget == (service, 2, connections)
-    assert len({repr((one.limits, one.workspaces)) for one in catalogs}) == sites
+    assert (
+        len({repr((catalog.limits, catalog.workspaces)) for catalog in catalogs})
+        == sites
+    )
 
 
-def test_the_operators_page_shows_what_holds() -> None:
+def test_examples_on_the_operators_page_are_valid() -> None:
     page = (EXAMPLES.parent / "docs" / "CONFIGURATION.md").read_text()
     base, overlay = re.findall(r"```yaml\n(.*?)```", page, re.DOTALL)
     overlays = {"vittoria": overlay, "comiso": "", "ispica": ""}
@@ -79,7 +82,7 @@
     assert checked.catalog(1, "vittoria").workspaces.by_name["gate"].rate == 400
 
 
-def test_an_overlay_changes_its_own_site_alone() -> None:
+def test_overlay_changes_only_its_own_site() -> None:
     checked = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
     assert checked.catalog(3, "vittoria").limits.queue == 9
     assert checked.catalog(3, "comiso").limits.queue == 64
@@ -87,13 +90,13 @@
     assert checked.catalog(3, "vittoria").groups == checked.catalog(3, "comiso").groups
 
 
-def test_all_faults_are_reported_at_once_with_file_and_line() -> None:
+def test_all_errors_are_reported_together_with_file_and_line() -> None:
     base = BASE.replace("slots: 2", "slots: two").replace("queue:", "queues:")
     overlays = {
         "vittoria": "limits:\n  drain_s: -1\n",
         "comiso": "\nworkspaces:\n  mix: {services: []}\n",
     }
-    assert faults(base, overlays) == [
+    assert validation_errors(base, overlays) == [
         "base.yaml:3: services.feedlog-db.slots: expected integer, found string",
         "base.yaml:12: limits.queues: unknown key",
         "overlays/vittoria.yaml:2: limits.drain_s: must be at least 0",
@@ -101,7 +104,7 @@
     ]
 
 
-def test_faults_of_all_kinds_are_reported_together() -> None:
+def test_errors_of_all_kinds_are_reported_together() -> None:
     base = BASE.replace("17102", "17101").replace("queue:", "queue: &a 6, queues:")
     overlays = {
         "vittoria": "workspaces: {gate: {services: [other]}}\nlimits: {queue: *a}",
@@ -109,7 +112,7 @@
         "Ispica": "",
         "ispica": "workspaces: {gate: {services: [other]}}",
     }
-    assert [line.split(": ")[0] for line in faults(base, overlays)] == [
+    assert [line.split(": ")[0] for line in validation_errors(base, overlays)] == [
         "overlays/vittoria.yaml:2",
         "overlays/comiso.yaml:2",
         "base.yaml:12",
@@ -133,10 +136,10 @@
         "services: null",
     ],
 )
-def test_an_overlay_must_not_change_the_services(overlay: str) -> None:
-    told = faults(BASE, {"vittoria": overlay, "comiso": ""})
-    assert "all sites must agree" in told[0]
-    assert told[0].startswith("overlays/vittoria.yaml:1: services")
+def test_overlay_that_changes_services_is_refused(overlay: str) -> None:
+    errors = validation_errors(BASE, {"vittoria": overlay, "comiso": ""})
+    assert "all sites must agree" in errors[0]
+    assert errors[0].startswith("overlays/vittoria.yaml:1: services")
 
 
 @pytest.mark.parametrize(
@@ -162,50 +165,50 @@
         ("queue: 64", "queue: " + "[" * 200 + "]" * 200, "nested deeper than"),
     ],
 )
-def test_one_fault_has_one_reason(old: str, new: str, reason: str) -> None:
+def test_single_error_is_reported_once(old: str, new: str, reason: str) -> None:
     assert BASE.count(old) >= 1
-    told = faults(BASE.replace(old, new))
-    assert len(told) == 1
-    assert reason in told[0]
+    errors = validation_errors(BASE.replace(old, new))
+    assert len(errors) == 1
+    assert reason in errors[0]
 
 
-def test_names_are_unique_over_services() -> None:
+def test_names_and_addresses_must_be_unique_across_services() -> None:
     other = (
         BASE.split("workspaces:")[0].partition("\n")[2].replace("feedlog-db", "x-db")
     )
-    told = faults(BASE.replace("workspaces:", f"{other}workspaces:"))
-    kinds = [line.split(": ")[-1].split(" as ")[0] for line in told]
+    errors = validation_errors(BASE.replace("workspaces:", f"{other}workspaces:"))
+    kinds = [line.split(": ")[-1].split(" as ")[0] for line in errors]
     assert sorted(kinds) == ["same address"] * 2 + ["same group"] + ["same member"] * 2
 
 
-def test_a_credential_is_never_repeated_in_a_fault() -> None:
-    told = faults(BASE.replace(DIGEST, "gate-secret"))
-    assert not any("gate-secret" in line for line in told)
+def test_errors_do_not_contain_credentials() -> None:
+    errors = validation_errors(BASE.replace(DIGEST, "gate-secret"))
+    assert not any("gate-secret" in line for line in errors)
 
 
-def test_faults_are_typed() -> None:
-    doubled = BASE.replace("limits:", "workspaces: {}\nlimits:")
+def test_errors_have_specific_types() -> None:
+    with_duplicate = BASE.replace("limits:", "workspaces: {}\nlimits:")
     with pytest.raises(ExceptionGroup) as refused:
         validate_documents(
-            ConfigurationDocuments(doubled, {"vittoria": "\t", "comiso": ""})
+            ConfigurationDocuments(with_duplicate, {"vittoria": "\t", "comiso": ""})
         )
-    doubles, rest = refused.value.split(DuplicateKeyError)
-    assert doubles is not None and rest is not None
-    assert [type(fault) for fault in rest.exceptions] == [ConfigurationSyntaxError]
+    duplicates, rest = refused.value.split(DuplicateKeyError)
+    assert duplicates is not None and rest is not None
+    assert [type(error) for error in rest.exceptions] == [ConfigurationSyntaxError]
 
 
 @given(st.text(max_size=200), st.text(max_size=80))
-def test_any_text_is_accepted_or_refused_with_reasons(base: str, overlay: str) -> None:
+def test_arbitrary_text_is_refused_with_reasons(base: str, overlay: str) -> None:
     with pytest.raises(InvalidConfigurationError) as refused:
         validate_documents(ConfigurationDocuments(base, {"vittoria": overlay}))
-    assert all(str(fault) for fault in refused.value.exceptions)
+    assert all(str(error) for error in refused.value.exceptions)
 
 
-def test_mixed_lines_of_yaml_never_break_the_check() -> None:
+def test_shuffled_yaml_lines_are_accepted_or_refused_with_reasons() -> None:
     lines = BASE.splitlines()
 
     @given(st.lists(st.sampled_from([*lines, "  ? [a]", "x: !!timestamp 1", "<<: {}"])))
-    def attempt(chosen: list[str]) -> None:
+    def check_shuffled_lines(chosen: list[str]) -> None:
         try:
             validate_documents(
                 ConfigurationDocuments(
@@ -215,22 +218,22 @@
         except InvalidConfigurationError as refused:
             assert refused.exceptions
 
-    attempt()
+    check_shuffled_lines()
 
 
-def test_the_former_name_of_workspaces_is_still_read_and_told() -> None:
+def test_former_section_name_teams_is_accepted_with_a_warning() -> None:
     former = BASE.replace("workspaces:", "teams:")
     assert former != BASE
-    with logbook.TestHandler() as said:
+    with logbook.TestHandler() as log_records:
         checked = validate_documents(ConfigurationDocuments(former, OVERLAYS))
-    now = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
-    assert checked.catalog(3, "comiso") == now.catalog(3, "comiso")
-    assert said.has_warning(
+    current = validate_documents(ConfigurationDocuments(BASE, OVERLAYS))
+    assert checked.catalog(3, "comiso") == current.catalog(3, "comiso")
+    assert log_records.has_warning(
         "base.yaml uses teams, which was renamed to workspaces.",
         channel="configuration",
     )
 
 
-def test_both_names_of_workspaces_in_one_file_are_refused() -> None:
-    (fault,) = faults(BASE + "teams: {}\n")
-    assert "stated twice" in fault
+def test_workspaces_under_both_section_names_are_refused() -> None:
+    (error,) = validation_errors(BASE + "teams: {}\n")
+    assert "stated twice" in error
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -1,4 +1,4 @@
-"""Editions reach every host, and no host ever moves to a lower version."""
+"""Guard against hosts that miss a configuration version or revert to an older one."""
 
 import asyncio
 import base64
@@ -32,7 +32,7 @@
 
 @asynccontextmanager
 async def fleet_of(per_zone: int = 3) -> AsyncIterator[Fleet]:
-    """Run a fleet in which version 1 stands; no version may fall."""
+    """Run a fleet with version 1 active; check that no host reverts to an older one."""
     async with Fleet(per_zone) as fleet:
         await fleet.hosts[0].apply(1, "first", 0)
         await asyncio.sleep(IN_FORCE_WITHIN)
@@ -42,7 +42,7 @@
 
 
 @in_virtual_time
-async def test_an_edit_is_in_force_everywhere_within_a_second() -> None:
+async def test_edit_is_active_on_all_hosts_within_a_second() -> None:
     async with fleet_of(per_zone=10) as fleet:
         await fleet.hosts[4].apply(2, "second")
         await asyncio.sleep(1.0)
@@ -54,8 +54,10 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_an_edit_made_elsewhere_arrives_by_the_watches(fleet: Fleet) -> None:
-    # The operator's host tells nobody: it dies right after the swap.
+async def test_edit_by_a_crashed_host_arrives_through_store_watches(
+    fleet: Fleet,
+) -> None:
+    # The accepting host cannot announce the version to its peers.
     fleet.network.crash(fleet.hosts[0].ref.host)
     await fleet.hosts[0].apply(2, "second")
     await asyncio.sleep(1.0)
@@ -64,19 +66,19 @@
 
 @pytest.mark.parametrize("per_zone", [3, 12])
 @in_virtual_time
-async def test_store_calls_do_not_grow_with_the_hosts(per_zone: int) -> None:
+async def test_store_calls_do_not_depend_on_the_number_of_hosts(per_zone: int) -> None:
     async with fleet_of(per_zone) as fleet:
         before = fleet.calls()
         await fleet.hosts[-1].apply(2, "second")
         await asyncio.sleep(1.0)
         assert fleet.versions() == {2}
-        # Two relays in each of three zones: one watch each, armed anew, one
-        # part read, and at most one poll; the edit itself takes four calls.
+        # Each of two relays in three zones repeats its watch, reads one part and
+        # polls at most once; the edit itself takes four calls.
         assert fleet.calls() - before <= 4 + 6 * 3
 
 
 @using(fleet_of, run_virtual)
-async def test_lost_watches_are_made_up_for(fleet: Fleet) -> None:
+async def test_polls_make_up_for_lost_watches(fleet: Fleet) -> None:
     for host in fleet.hosts:
         host.store.mute_watches = True
     fleet.store.down = True
@@ -87,11 +89,11 @@
     await fleet.hosts[0].apply(2, "second")
     await asyncio.sleep(IN_FORCE_WITHIN)
     assert fleet.versions() == {2}
-    # A watch that hears nothing is given up and armed anew.
+    # A watch without a response is cancelled and repeated.
     relay = fleet.hosts[3].store
-    armed = relay.calls["watch head"]
+    watches = relay.calls["watch head"]
     await asyncio.sleep(60.0)
-    assert relay.calls["watch head"] >= armed + 1
+    assert relay.calls["watch head"] >= watches + 1
 
 
 @using(fleet_of, run_virtual)
@@ -109,7 +111,7 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_with_the_store_down_for_long_a_restarted_host_learns_from_its_peers(
+async def test_restarted_host_gets_the_version_from_peers_while_the_store_is_down(
     fleet: Fleet,
 ) -> None:
     await fleet.hosts[0].apply(2, "second")
@@ -129,7 +131,7 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_a_relay_that_restarts_on_a_stale_store_begins_where_its_peers_are(
+async def test_restarted_relay_with_a_stale_store_starts_with_its_peers_version(
     fleet: Fleet,
 ) -> None:
     await fleet.hosts[0].apply(2, "second")
@@ -138,7 +140,7 @@
     relay.store.stale = lambda key: 1 if key == HEAD_KEY else 0
     await relay.restart()
     assert relay.versions == [2]
-    # A stale answer to a watch does not make it spin.
+    # A stale response to a watch does not cause a busy loop.
     relay.store.calls.clear()
     await asyncio.sleep(60.0)
     assert relay.store.calls["watch head"] <= 60
@@ -146,29 +148,29 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_a_zone_cut_off_keeps_its_version_and_catches_up(fleet: Fleet) -> None:
+async def test_partitioned_zone_keeps_its_version_and_catches_up(fleet: Fleet) -> None:
     fleet.cut_zone("ispica")
     await fleet.hosts[0].apply(2, "second")
     await asyncio.sleep(60.0)
-    cut_off = fleet.zone("ispica")
-    assert {host.keeper.version for host in cut_off} == {1}
+    partitioned = fleet.zone("ispica")
+    assert {host.keeper.version for host in partitioned} == {1}
     assert fleet.versions() == {1, 2}
-    await cut_off[0].restart()
-    assert cut_off[0].keeper.version == 1
+    await partitioned[0].restart()
+    assert partitioned[0].keeper.version == 1
     fleet.end_faults()
     await asyncio.sleep(IN_FORCE_WITHIN)
     assert fleet.versions() == {2}
 
 
 def shorten(answer: Json) -> Json:
-    """Cut parts short."""
+    """Truncate the parts of a response."""
     if not answer.get("parts"):
         return answer
     return {"parts": {key: text[:-8] for key, text in answer["parts"].items()}}
 
 
 def swap_parts(answer: Json) -> Json:
-    """Send other content of the same length in the place of parts."""
+    """Replace the parts of a response by other content."""
     if not answer.get("parts"):
         return answer
     other = base64.b64encode(compress_part(documents(9).base.encode())).decode()
@@ -176,23 +178,23 @@
 
 
 def raise_version(answer: Json) -> Json:
-    """Send a head that claims another version."""
+    """Change the version in the manifest of a response."""
     if not answer.get("head"):
         return answer
     return {**answer, "head": {**answer["head"], "version": 99}}
 
 
-@pytest.mark.parametrize("spoil", [shorten, swap_parts, raise_version])
+@pytest.mark.parametrize("corrupt", [shorten, swap_parts, raise_version])
 @using(fleet_of, run_virtual)
-async def test_a_damaged_pull_is_dropped_and_repaired(
-    fleet: Fleet, spoil: Callable[[Json], Json]
+async def test_corrupt_pull_is_dropped_and_repeated(
+    fleet: Fleet, corrupt: Callable[[Json], Json]
 ) -> None:
-    spoiled = 0
+    corrupted = 0
 
-    def spoil_some(answer: Json) -> Json:
-        nonlocal spoiled
-        spoiled += spoil(answer) != answer and spoiled < 12
-        return spoil(answer) if spoiled < 12 else answer
+    def corrupt_some(answer: Json) -> Json:
+        nonlocal corrupted
+        corrupted += corrupt(answer) != answer and corrupted < 12
+        return corrupt(answer) if corrupted < 12 else answer
 
     for host in fleet.hosts:
         call = host.peers.call
@@ -200,19 +202,19 @@
         async def faulty(
             peer: HostRef, path: str, body: Json, timeout: float, call: Any = call
         ) -> Json:
-            return spoil_some(await call(peer, path, body, timeout))
+            return corrupt_some(await call(peer, path, body, timeout))
 
         host.peers.call = faulty  # type: ignore[method-assign]
         host.relaying = host is fleet.hosts[0]
     await fleet.hosts[0].apply(2, "second")
     await asyncio.sleep(60.0)
-    assert spoiled == 12
+    assert corrupted == 12
     assert fleet.versions() == {2}
     assert all(host.versions == [1, 2] for host in fleet.hosts)
 
 
 @using(fleet_of, run_virtual)
-async def test_an_edition_that_this_release_refuses_is_not_put_in_force(
+async def test_version_that_fails_validation_is_not_activated_or_pulled_again(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def accept_all(
@@ -239,7 +241,7 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_a_false_rumour_moves_nobody_and_is_forgotten(fleet: Fleet) -> None:
+async def test_announced_version_that_does_not_exist_is_dropped(fleet: Fleet) -> None:
     keeper = fleet.hosts[5].keeper
     keeper.record_peer_version(1000, fleet.hosts[3].ref)
     await asyncio.sleep(60.0)
@@ -248,7 +250,7 @@
 
 
 @using(fleet_of, run_virtual)
-async def test_a_failing_callback_does_not_keep_others_from_the_news(
+async def test_failing_callback_does_not_prevent_later_callbacks(
     fleet: Fleet,
 ) -> None:
     host = fleet.hosts[2]
@@ -260,14 +262,14 @@
 
 @pytest.mark.parametrize("body", [{}, {"have": "x"}, {"want": 3}, {"offer": 2}])
 @using(fleet_of, run_virtual)
-async def test_a_malformed_question_is_refused(fleet: Fleet, body: Json) -> None:
+async def test_malformed_request_is_refused(fleet: Fleet, body: Json) -> None:
     with pytest.raises(RefusalError) as refused:
         await fleet.hosts[0].peers.call(fleet.hosts[1].ref, "config", body, 1.0)
     assert refused.value.verdict is Verdict.NOT_RUN
 
 
 @on_loop
-async def test_edits_pass_through_the_http_store() -> None:
+async def test_edits_are_distributed_through_the_http_store() -> None:
     standin = StoreStandin()
     await standin.listen()
     stores = []
@@ -284,8 +286,8 @@
         standin.drop_watches()
         edits = [host.apply(3, host.ref.host, 1) for host in fleet.hosts]
         results = await asyncio.gather(*edits, return_exceptions=True)
-        assert sum(isinstance(one, SnapshotManifest) for one in results) == 1
-        assert sum(isinstance(one, EditConflictError) for one in results) == 5
+        assert sum(isinstance(result, SnapshotManifest) for result in results) == 1
+        assert sum(isinstance(result, EditConflictError) for result in results) == 5
         await until(lambda: fleet.versions() == {2})
         await fleet.hosts[2].restart()
         assert fleet.hosts[2].versions == [2]
@@ -295,33 +297,33 @@
 
 
 class Outcomes:
-    """Hold what each edit's operator was told, against the history."""
+    """Record the outcome of each edit and compare it with the history."""
 
     def __init__(self) -> None:
-        self.told: dict[str, Verdict] = {}
+        self.verdicts: dict[str, Verdict] = {}
         self.versions: dict[str, int] = {}
 
     async def apply(self, fleet: Fleet, at: int, edit: int) -> None:
-        """Apply an edit at one host and keep the answer."""
+        """Apply an edit at one host and record the outcome."""
         name = f"edit-{edit}"
         try:
-            head = await fleet.hosts[at].apply(edit + 10, name)
+            manifest = await fleet.hosts[at].apply(edit + 10, name)
         except RefusalError as refusal:
-            self.told[name] = refusal.verdict
+            self.verdicts[name] = refusal.verdict
             return
-        self.told[name] = Verdict.DONE
-        self.versions[name] = head.version
+        self.verdicts[name] = Verdict.DONE
+        self.versions[name] = manifest.version
 
     def compare(self, history: dict[int, str]) -> None:
-        """Hold the answers against the versions that came to stand."""
-        stands = list(history.values())
+        """Check the recorded outcomes against the accepted versions."""
+        accepted = list(history.values())
         assert sorted(history) == list(range(1, len(history) + 1))
-        assert len(set(stands)) == len(stands)
-        for name, verdict in self.told.items():
+        assert len(set(accepted)) == len(accepted)
+        for name, verdict in self.verdicts.items():
             if verdict is Verdict.DONE:
                 assert history[self.versions[name]] == name
             if verdict is Verdict.NOT_RUN:
-                assert name not in stands
+                assert name not in accepted
 
 
 HOSTS = st.integers(0, 5)
@@ -347,7 +349,7 @@
 
 @given(STEPS)
 @settings(max_examples=100)
-def test_an_accepted_configuration_is_in_force_everywhere_and_never_reverts(
+def test_accepted_configuration_reaches_all_hosts_and_never_reverts(
     steps: list[tuple[str, int]],
 ) -> None:
     outcomes = Outcomes()
@@ -359,7 +361,7 @@
                 await outcomes.apply(fleet, at, number)
             case "race":
                 edits = [(at, number * 100), ((at + 3) % 6, number * 100 + 1)]
-                await asyncio.gather(*(outcomes.apply(fleet, *one) for one in edits))
+                await asyncio.gather(*(outcomes.apply(fleet, *edit) for edit in edits))
             case "restart":
                 await host.restart()
             case "down":
@@ -392,9 +394,9 @@
                 await asyncio.sleep(0.05)
             fleet.end_faults()
             await asyncio.sleep(20.0)
-            heads = await fleet.hosts[0].editor.history(100)
-            assert fleet.versions() == {heads[0].version}
+            manifests = await fleet.hosts[0].editor.history(100)
+            assert fleet.versions() == {manifests[0].version}
             assert not any(host.fell for host in fleet.hosts)
-            outcomes.compare({head.version: head.edit_id for head in heads})
+            outcomes.compare({one.version: one.edit_id for one in manifests})
 
     run_virtual(main())
--- a/tests/test_delta.py
+++ b/tests/test_delta.py
@@ -1,4 +1,4 @@
-"""Differences between documents give the document back, or fail."""
+"""Guard against deltas that restore a wrong document."""
 
 import pytest
 from hypothesis import given, strategies as st
@@ -13,18 +13,18 @@
 
 
 @given(DOCUMENTS, DOCUMENTS)
-def test_a_difference_gives_the_document_back(document: bytes, base: bytes) -> None:
+def test_delta_restores_the_document(document: bytes, base: bytes) -> None:
     delta = Delta.from_json(make_delta(document, base).to_json())
     assert apply_delta(delta, base) == document
 
 
 def routes(count: int, changed: int = -1) -> bytes:
-    """Return a document of so many parts, one of which may be changed."""
+    """Return a document of `count` objects, with the one at `changed` modified."""
     parts = [f'{{"r{n}":{int(n == changed)}}}' for n in range(count)]
     return ("[" + ",".join(parts) + "]").encode()
 
 
-def test_a_small_change_of_a_long_document_is_short() -> None:
+def test_small_change_of_a_long_document_has_a_short_delta() -> None:
     delta = make_delta(routes(1500, 700), routes(1500))
     assert len(delta.packed) < 200 < len(make_delta(routes(1500), b"").packed)
 
@@ -39,18 +39,18 @@
         Delta(EMPTY_DIGEST, digest(b"x"), make_delta(b"[[0,2]]", b"").packed[:-4]),
     ],
 )
-def test_a_wrong_difference_gives_nothing(delta: Delta) -> None:
+def test_delta_with_wrong_digest_or_content_is_refused(delta: Delta) -> None:
     with pytest.raises(WireError):
         apply_delta(delta, b"")
 
 
 @pytest.mark.parametrize("value", [None, [], ["a", "b"], ["a", "b", 3], {"a": 1}])
-def test_a_malformed_difference_is_refused(value: object) -> None:
+def test_malformed_delta_is_refused(value: object) -> None:
     with pytest.raises(WireError):
         Delta.from_json(value)
 
 
-def test_a_part_that_the_base_lacks_is_refused() -> None:
+def test_delta_for_another_base_is_refused() -> None:
     base = b"{}{}"
     delta = make_delta(b"{}{}{}", base)
     with pytest.raises(WireError):
--- a/tests/test_hostlist_http.py
+++ b/tests/test_hostlist_http.py
@@ -1,4 +1,4 @@
-"""The host list's adapter against its stand-in."""
+"""Guard against host lists that are misread or failures that go unreported."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -50,7 +50,7 @@
 
 
 @using(lambda: listed(lag=60.0))
-async def test_a_change_shows_only_after_the_lag(pair: Pair) -> None:
+async def test_change_is_listed_only_after_the_lag(pair: Pair) -> None:
     standin, hosts = pair
     assert await hosts.hosts(1.0) == []
     standin.changes[0].at -= 90.0
@@ -60,7 +60,7 @@
 
 
 @using(listed)
-async def test_a_list_that_is_down_is_unavailable(pair: Pair) -> None:
+async def test_host_list_that_is_down_is_reported_as_unavailable(pair: Pair) -> None:
     standin, hosts = pair
     standin.down = True
     with pytest.raises(HostListUnavailableError):
@@ -70,7 +70,7 @@
 
 
 @using(listed)
-async def test_an_answer_of_another_form_is_no_list(pair: Pair) -> None:
+async def test_malformed_response_is_reported_as_unavailable(pair: Pair) -> None:
     standin, hosts = pair
     hosts.url = hosts.url.with_path("/nothing")
     with pytest.raises(HostListUnavailableError):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A target that leaves gets no new work, and a lead moves away first."""
+"""Guard against new work on leaving targets and against needless write outages."""
 
 import asyncio
 from typing import cast
@@ -19,7 +19,7 @@
 
 
 class FakeHome:
-    """Carry what the module under test reads and sets."""
+    """Provide the attributes of a home that the handler uses."""
 
     def __init__(self) -> None:
         self.group = GROUP
@@ -27,8 +27,8 @@
         self.leaving = False
 
 
-class FakeKeeper:
-    """Hand the lead over in `lasts` seconds, or fail."""
+class FakeManager:
+    """Hand over the primary role in `lasts` seconds, or fail."""
 
     def __init__(self, primary: str, lasts: float, succeeds: bool = True) -> None:
         self.view = GroupView("db", 1, primary)
@@ -37,18 +37,18 @@
         self.asked = 0
 
     async def hand_over(self, timeout: float) -> bool:
-        """Pretend to move the lead."""
+        """Simulate a handover."""
         self.asked += 1
         await asyncio.sleep(min(self.lasts, timeout))
         return self.succeeds
 
 
-def part(home: FakeHome | None, keeper: FakeKeeper) -> LeavingTargetHandler:
-    """Return the part under test on fakes."""
+def make_handler(home: FakeHome | None, manager: FakeManager) -> LeavingTargetHandler:
+    """Return a handler with a fake home and group manager."""
     clock = LoopClock()
     return LeavingTargetHandler(
         lambda member: cast("None", home),
-        lambda group: cast(GroupManager, keeper),
+        lambda group: cast(GroupManager, manager),
         clock,
         Timeline("h1", clock),
     )
@@ -56,38 +56,38 @@
 
 @pytest.mark.parametrize("succeeds", [True, False])
 @in_virtual_time
-async def test_a_leaving_primary_takes_no_new_work_after_the_hand_over(
+async def test_leaving_primary_takes_no_new_work_after_the_handover(
     succeeds: bool,
 ) -> None:
-    home, keeper = FakeHome(), FakeKeeper("db-a", 60.0, succeeds)
-    leaving = part(home, keeper)
-    # A repeated message starts no second hand-over.
+    home, manager = FakeHome(), FakeManager("db-a", 60.0, succeeds)
+    leaving = make_handler(home, manager)
+    # A repeated notification starts no second handover.
     await leaving.handle_leaving({"member": "db-a", "leaving": True})
     await leaving.handle_leaving({"member": "db-a", "leaving": True})
     await asyncio.sleep(1.0)
     assert not home.leaving
     await asyncio.sleep(1.0)
     assert home.leaving
-    assert keeper.asked == 1
+    assert manager.asked == 1
     event = leaving.timeline.events[-1]
     assert event.kind is EventKind.TARGET_LEAVING
     assert event.detail == {"moved": succeeds}
 
 
 @in_virtual_time
-async def test_a_leaving_replica_takes_no_new_work_at_once_and_may_come_back() -> None:
-    home, keeper = FakeHome(), FakeKeeper("db-b", 60.0)
-    leaving = part(home, keeper)
+async def test_leaving_replica_takes_no_new_work_until_it_stops_leaving() -> None:
+    home, manager = FakeHome(), FakeManager("db-b", 60.0)
+    leaving = make_handler(home, manager)
     await leaving.handle_leaving({"member": "db-a", "leaving": True})
     await asyncio.sleep(0)
     assert home.leaving
-    assert keeper.asked == 0
+    assert manager.asked == 0
     await leaving.handle_leaving({"member": "db-a", "leaving": False})
     assert not home.leaving
 
 
 @in_virtual_time
-async def test_a_host_that_is_not_home_says_so() -> None:
-    leaving = part(None, FakeKeeper("db-a", 0.0))
+async def test_notification_to_a_host_that_is_not_the_home_is_refused() -> None:
+    leaving = make_handler(None, FakeManager("db-a", 0.0))
     with pytest.raises(RefusalError):
         await leaving.handle_leaving({"member": "db-a", "leaving": True})
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Hosts and targets that the platform takes away, and a list that lags."""
+"""Guard against leaving hosts or targets being missed, or drained by a stale list."""
 
 import random
 from collections.abc import AsyncIterator
@@ -36,7 +36,7 @@
 
 
 class FakeHostList(HostList):
-    """Serve what a test puts in."""
+    """Serve the entries set by a test."""
 
     def __init__(self) -> None:
         self.lines: list[HostListEntry] = []
@@ -52,19 +52,19 @@
 
 
 class Scene:
-    """One relay with the list before it and a home for all targets."""
+    """Hold a relay that polls a fake host list and is the home of all targets."""
 
     def __init__(self) -> None:
         network = FakeNetwork()
         self.host = FakeHost(network, ME, [])
-        self.told: list[Json] = []
-        self.host.routes.add("leaving", self.take)
+        self.notifications: list[Json] = []
+        self.host.routes.add("leaving", self.record_notification)
         self.other = FakeHost(network, OTHER, [ME.address])
         self.host.membership.merge_record(self.other.membership.own_record, 0.0)
         self.lines = FakeHostList()
         group = Group("db", "feedlog-db", (TARGET, FAR), 2, 15)
         catalog = Catalog(1, "comiso", {"db": group}, Workspaces(), Limits())
-        self.listing = HostListPoller(
+        self.poller = HostListPoller(
             self.lines,
             self.host.membership,
             self.host.directory,
@@ -73,21 +73,21 @@
             self.host.clock,
             random.Random(0),
         )
-        # The home of the target is this host whatever the hash says.
+        # Makes this host the home of all targets regardless of their hash.
         directory = self.host.directory
         directory.home = lambda member, zone: ME  # type: ignore[method-assign]
 
-    async def take(self, body: Json) -> Json:
-        """Note what a home is told."""
-        self.told.append(body)
+    async def record_notification(self, body: Json) -> Json:
+        """Record a notification to a home."""
+        self.notifications.append(body)
         return {}
 
     def list_host(self, state: ListedState) -> None:
-        """Let the list show the other host in `state`."""
+        """Set the list to the other host in `state`."""
         self.lines.lines = [HostListEntry("h2", "comiso", OTHER.address, state)]
 
     def list_target(self, member: Member, state: ListedState) -> None:
-        """Let the list show a target in `state`."""
+        """Set the list to one target in `state`."""
         self.lines.lines = [
             HostListEntry(
                 member.member_id, member.zone, member.address, state, ListedKind.TARGET
@@ -96,95 +96,101 @@
 
 
 @asynccontextmanager
-async def a_scene() -> AsyncIterator[Scene]:
-    """Run a scene."""
+async def running_scene() -> AsyncIterator[Scene]:
+    """Yield a scene and stop its hosts afterwards."""
     scene = Scene()
     yield scene
     scene.host.crash()
     scene.other.crash()
 
 
-@using(a_scene, run_virtual)
-async def test_a_host_that_turns_to_leaving_is_told_at_the_next_poll(
+@using(running_scene, run_virtual)
+async def test_host_listed_as_leaving_is_marked_at_the_next_poll(
     scene: Scene,
 ) -> None:
     scene.list_host(ListedState.LIVE)
-    await scene.listing.poll()
+    await scene.poller.poll()
     assert scene.host.state("h2") is MembershipState.LIVE
     scene.list_host(ListedState.LEAVING)
-    await scene.listing.poll()
+    await scene.poller.poll()
     assert scene.host.state("h2") is MembershipState.LEAVING
 
 
-@using(a_scene, run_virtual)
-async def test_a_line_left_from_an_earlier_life_drains_no_new_host(
+@using(running_scene, run_virtual)
+async def test_outdated_entry_of_a_previous_incarnation_is_ignored(
     scene: Scene,
 ) -> None:
     scene.list_host(ListedState.LEAVING)
-    await scene.listing.poll()
+    await scene.poller.poll()
     await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS / 2)
-    await scene.listing.poll()
+    await scene.poller.poll()
     assert scene.host.state("h2") is MembershipState.LIVE
     scene.list_host(ListedState.LIVE)
-    await scene.listing.poll()
+    await scene.poller.poll()
     await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS)
     assert scene.host.state("h2") is MembershipState.LIVE
 
 
-@using(a_scene, run_virtual)
-async def test_a_line_that_stays_is_believed_by_a_relay_that_saw_no_turn(
+@using(running_scene, run_virtual)
+async def test_lasting_leaving_entry_is_applied_without_a_seen_change(
     scene: Scene,
 ) -> None:
     scene.list_host(ListedState.LEAVING)
-    await scene.listing.poll()
+    await scene.poller.poll()
     await scene.host.clock.sleep(LEAVING_CONFIRMATION_SECONDS + 1.0)
-    await scene.listing.poll()
+    await scene.poller.poll()
     assert scene.host.state("h2") is MembershipState.LEAVING
 
 
-@using(a_scene, run_virtual)
-async def test_the_home_of_a_leaving_target_is_told_until_the_target_is_back(
+@using(running_scene, run_virtual)
+async def test_home_is_notified_of_a_leaving_target_until_it_stops_leaving(
     scene: Scene,
 ) -> None:
     scene.list_target(TARGET, ListedState.LEAVING)
-    await scene.listing.poll()
-    await scene.listing.poll()
+    await scene.poller.poll()
+    await scene.poller.poll()
     scene.list_target(TARGET, ListedState.LIVE)
-    await scene.listing.poll()
-    await scene.listing.poll()
+    await scene.poller.poll()
+    await scene.poller.poll()
     leaving = {"member": "db-a", "leaving": True}
-    assert scene.told == [leaving, leaving, {"member": "db-a", "leaving": False}]
+    assert scene.notifications == [
+        leaving,
+        leaving,
+        {"member": "db-a", "leaving": False},
+    ]
 
 
-@using(a_scene, run_virtual)
-async def test_a_zone_without_hosts_is_looked_after_from_here(scene: Scene) -> None:
+@using(running_scene, run_virtual)
+async def test_targets_in_a_zone_without_hosts_are_handled_by_other_relays(
+    scene: Scene,
+) -> None:
     scene.list_target(FAR, ListedState.LEAVING)
-    await scene.listing.poll()
-    assert scene.told == [{"member": "db-b", "leaving": True}]
+    await scene.poller.poll()
+    assert scene.notifications == [{"member": "db-b", "leaving": True}]
 
 
-@using(a_scene, run_virtual)
-async def test_a_list_that_is_down_changes_nothing(scene: Scene) -> None:
+@using(running_scene, run_virtual)
+async def test_unavailable_host_list_changes_nothing(scene: Scene) -> None:
     scene.list_host(ListedState.LIVE)
-    await scene.listing.poll()
+    await scene.poller.poll()
     scene.list_host(ListedState.LEAVING)
     scene.lines.down = True
-    await scene.listing.poll()
+    await scene.poller.poll()
     assert scene.host.state("h2") is MembershipState.LIVE
-    assert await scene.listing.addresses() == []
+    assert await scene.poller.addresses() == []
 
 
 @pytest.mark.parametrize(
     ("lines", "seconds"),
     [(0, 1.0), (300, 1.0), (900, 3.0), (5000, MAX_POLL_INTERVAL_SECONDS)],
 )
-@using(a_scene, run_virtual)
-async def test_a_long_list_is_read_more_rarely(
+@using(running_scene, run_virtual)
+async def test_poll_interval_grows_with_the_length_of_the_list(
     scene: Scene, lines: int, seconds: float
 ) -> None:
     scene.lines.lines = [
         HostListEntry(f"h{number}", "ispica", "127.0.0.1:1", ListedState.LIVE)
         for number in range(lines)
     ]
-    await scene.listing.poll()
-    assert scene.listing.interval() == seconds
+    await scene.poller.poll()
+    assert scene.poller.interval() == seconds
--- a/tests/test_membership_directory.py
+++ b/tests/test_membership_directory.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, shares and the directory, by properties."""
+"""Guard against homes that differ between hosts, and against exceeded quotas."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def hosts_of(counts: tuple[int, ...]) -> list[HostRef]:
-    """Return so many hosts in each zone."""
+    """Return `counts[i]` hosts in the i-th zone."""
     return [
         HostRef(f"{zone}-{number}", zone, f"10.0.{index}.1:{number + 1}")
         for index, zone in enumerate(ZONES)
@@ -29,7 +29,7 @@
 
 
 def table_of(records: list[HostRecord]) -> MembershipTable:
-    """Return a table in which each host was live before it got its state."""
+    """Return a table of records, each applied after a live record of its host."""
     table = MembershipTable()
     for record in records:
         live = HostRecord(record.ref, record.incarnation, penalty=record.penalty)
@@ -38,8 +38,8 @@
     return table
 
 
-def drawn(seed: int, refs: list[HostRef]) -> list[HostRecord]:
-    """Return a record in some state for each host."""
+def random_records(seed: int, refs: list[HostRef]) -> list[HostRecord]:
+    """Return a record in a random state for each host."""
     rng = random.Random(seed)
     return [
         HostRecord(ref, 10, rng.choice(list(MembershipState)), rng.choice([0, 0, 0, 2]))
@@ -48,7 +48,7 @@
 
 
 @given(connections, st.sets(st.integers(0, 300)))
-def test_shares_of_any_believers_fit_the_connections(
+def test_quotas_of_any_ranks_fit_the_connection_limit(
     count: int, ranks: set[int]
 ) -> None:
     assert sum(connection_quota(count, rank) for rank in ranks) <= count
@@ -56,63 +56,63 @@
 
 
 @given(connections)
-def test_shares_fall_with_the_rank(count: int) -> None:
-    shares = [connection_quota(count, rank) for rank in range(8)]
-    assert shares == sorted(shares, reverse=True)
+def test_quotas_decrease_with_the_rank(count: int) -> None:
+    quotas = [connection_quota(count, rank) for rank in range(8)]
+    assert quotas == sorted(quotas, reverse=True)
     if count >= 10:
-        assert shares[0] == int(count * 0.47)
-        assert shares[1] == int(count * 0.27)
+        assert quotas[0] == int(count * 0.47)
+        assert quotas[1] == int(count * 0.27)
 
 
 @given(connections.filter(lambda count: count >= 3))
-def test_two_hosts_that_both_take_themselves_for_the_first_fit(count: int) -> None:
+def test_two_hosts_that_both_act_as_home_fit_the_connection_limit(count: int) -> None:
     assert 2 * connection_quota(count, 0) <= count
 
 
 @given(sizes, st.lists(seeds, min_size=1, max_size=6), connections)
-def test_hosts_with_any_views_of_the_same_hosts_stay_within_the_connections(
+def test_homes_of_diverging_views_fit_the_connection_limit(
     counts: tuple[int, ...], views: list[int], count: int
 ) -> None:
     refs = hosts_of(counts)
     for member, zone in TARGETS:
-        given_out: dict[str, int] = {}
+        assigned: dict[str, int] = {}
         for seed in views:
-            table = table_of(drawn(seed, refs))
+            table = table_of(random_records(seed, refs))
             directory = MembershipDirectory(refs[0], table)
             home = directory.home(member, zone)
             if home is None:
                 continue
             rank = directory.rank_of(member, zone, home.host)
             assert rank is not None
-            given_out[home.host] = connection_quota(count, rank)
-        assert sum(given_out.values()) <= count
+            assigned[home.host] = connection_quota(count, rank)
+        assert sum(assigned.values()) <= count
 
 
 @given(sizes, seeds, seeds)
-def test_equal_tables_give_equal_homes_whatever_the_order(
+def test_equal_tables_select_equal_homes_in_any_order(
     counts: tuple[int, ...], seed: int, order: int
 ) -> None:
-    records = drawn(seed, hosts_of(counts))
+    records = random_records(seed, hosts_of(counts))
     shuffled = records[:]
     random.Random(order).shuffle(shuffled)
-    one, other = table_of(records), table_of(shuffled)
-    assert one.digest() == other.digest()
-    assert one.buckets == other.buckets
-    here = MembershipDirectory(records[0].ref, one)
-    there = MembershipDirectory(records[-1].ref, other)
+    table, other_table = table_of(records), table_of(shuffled)
+    assert table.digest() == other_table.digest()
+    assert table.buckets == other_table.buckets
+    directory = MembershipDirectory(records[0].ref, table)
+    other_directory = MembershipDirectory(records[-1].ref, other_table)
     for member, zone in TARGETS:
-        assert here.ranked(member, zone) == there.ranked(member, zone)
-        first = here.ranked(member, zone)[:1]
-        home = here.home(member, zone)
+        assert directory.ranked(member, zone) == other_directory.ranked(member, zone)
+        first = directory.ranked(member, zone)[:1]
+        home = directory.home(member, zone)
         assert first == ([] if home is None else [home])
 
 
 @given(sizes, seeds)
-def test_homes_are_live_of_the_zone_and_steady_where_that_can_be(
+def test_home_is_live_in_the_zone_and_without_penalty_if_possible(
     counts: tuple[int, ...], seed: int
 ) -> None:
-    records = drawn(seed, hosts_of(counts))
-    live = {one.ref: one.penalty for one in records if one.live}
+    records = random_records(seed, hosts_of(counts))
+    live = {record.ref: record.penalty for record in records if record.live}
     directory = MembershipDirectory(records[0].ref, table_of(records))
     for member, zone in TARGETS:
         home = directory.home(member, zone)
@@ -120,17 +120,17 @@
             assert home is None
             continue
         assert home is not None
-        near = {ref: value for ref, value in live.items() if ref.zone == zone}
-        pool = near or live
-        assert home in pool
-        assert pool[home] == 0 or all(pool.values())
+        in_zone = {ref: value for ref, value in live.items() if ref.zone == zone}
+        candidates = in_zone or live
+        assert home in candidates
+        assert candidates[home] == 0 or all(candidates.values())
 
 
 @given(sizes, seeds)
-def test_the_successor_is_the_home_once_this_host_has_left(
+def test_successor_becomes_the_home_after_this_host_leaves(
     counts: tuple[int, ...], seed: int
 ) -> None:
-    records = drawn(seed, hosts_of(counts))
+    records = random_records(seed, hosts_of(counts))
     me = records[0].ref
     before = MembershipDirectory(me, table_of(records))
     records[0] = HostRecord(me, 11, MembershipState.LEAVING)
@@ -139,7 +139,7 @@
         assert before.successor(member, zone) == after.home(member, zone)
 
 
-def test_a_lost_host_moves_only_its_own_targets() -> None:
+def test_removed_host_moves_only_its_own_targets() -> None:
     hosts = [f"host-{number}" for number in range(20)]
     keys = [f"target-{number}" for number in range(500)]
     before = {key: ranked_hosts(key, hosts) for key in keys}
@@ -150,14 +150,14 @@
 
 
 @given(sizes, seeds, seeds)
-def test_tables_merge_to_the_same_whatever_the_order_and_repeats(
+def test_tables_converge_in_any_order_of_updates_and_repeats(
     counts: tuple[int, ...], seed: int, order: int
 ) -> None:
-    """Records travel by several ways; each way must lead to the same table."""
+    """Guard against merges that depend on the path a record takes."""
     rng = random.Random(seed)
     refs = hosts_of(counts)
     records = [HostRecord(ref, 0) for ref in refs]
-    news = [
+    updates = [
         HostRecord(
             rng.choice(refs), rng.randrange(3), rng.choice(list(MembershipState))
         )
@@ -166,7 +166,7 @@
     tables = []
     for shuffler in (random.Random(order), random.Random(order + 1)):
         table = table_of(records)
-        sequence = news + news[:5]
+        sequence = updates + updates[:5]
         shuffler.shuffle(sequence)
         for record in sequence:
             table.apply(record, 1.0)
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Membership of several hosts under faults, in virtual time."""
+"""Guard against late failure detection and false positives under faults."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -22,7 +22,7 @@
 
 @asynccontextmanager
 async def hosts_of(zones: dict[str, int]) -> AsyncIterator[FakeHosts]:
-    """Run hosts that know one another."""
+    """Run hosts and yield them once their views agree."""
     hosts = FakeHosts(zones)
     await hosts.until_agreed()
     await asyncio.sleep(3.0)
@@ -43,34 +43,36 @@
 
 
 def out_of(hosts: FakeHosts, host: str, *viewers: str) -> Callable[[], bool]:
-    """Return whether `host` is not live for the viewers, or for all others."""
-    names = viewers or [one for one in hosts.hosts if one != host]
+    """Return a condition: `host` is not live for `viewers`, by default all others."""
+    names = viewers or [name for name in hosts.hosts if name != host]
     return lambda: all(host not in hosts[name].live() for name in names)
 
 
-THREE = {"a": 3, "b": 3, "c": 3}
-nine_hosts = partial(hosts_of, THREE)
+THREE_ZONES = {"a": 3, "b": 3, "c": 3}
+nine_hosts = partial(hosts_of, THREE_ZONES)
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_dead_host_is_out_of_every_view_in_time(hosts: FakeHosts) -> None:
+async def test_crashed_host_leaves_all_views_in_time(hosts: FakeHosts) -> None:
     hosts["a-1"].crash()
     assert await hosts.until_agreed() < TAKE_OVER_BOUND
-    kinds = [(one.kind, one.subject) for one in hosts["a-0"].timeline.events]
-    assert (EventKind.MEMBER_LEFT, "a-1") in kinds
+    events = [(event.kind, event.subject) for event in hosts["a-0"].timeline.events]
+    assert (EventKind.MEMBER_LEFT, "a-1") in events
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_host_that_ended_doubts_nobody(hosts: FakeHosts) -> None:
-    ended = hosts["a-1"]
-    ended.task.cancel()
+async def test_probe_requests_after_shutdown_are_ignored(hosts: FakeHosts) -> None:
+    stopped = hosts["a-1"]
+    stopped.task.cancel()
     await asyncio.sleep(0.1)
-    ended.heartbeats.request_probe("b-0")
-    ended.heartbeats.discovery.update_listed_addresses(["10.9.9.9:1"])
+    stopped.heartbeats.request_probe("b-0")
+    stopped.heartbeats.discovery.update_listed_addresses(["10.9.9.9:1"])
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_hanging_host_is_out_in_time_and_comes_back(hosts: FakeHosts) -> None:
+async def test_paused_host_leaves_all_views_in_time_and_returns(
+    hosts: FakeHosts,
+) -> None:
     hosts.network.pause("b-0")
     assert await until(out_of(hosts, "b-0")) < TAKE_OVER_BOUND
     await asyncio.sleep(20.0)
@@ -79,7 +81,9 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_two_neighbours_hang_at_once(hosts: FakeHosts) -> None:
+async def test_two_adjacent_hosts_paused_together_are_detected(
+    hosts: FakeHosts,
+) -> None:
     hosts.network.pause("a-0")
     hosts.network.pause("a-1")
     await asyncio.gather(
@@ -91,7 +95,7 @@
 
 
 @in_virtual_time
-async def test_the_only_host_of_a_zone_is_watched_from_another() -> None:
+async def test_only_host_of_a_zone_is_monitored_from_another_zone() -> None:
     async with hosts_of({"a": 3, "b": 1}) as hosts:
         hosts.network.pause("b-0")
         bound = TAKE_OVER_BOUND + 1.0
@@ -99,7 +103,9 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_restart_at_the_same_address_supersedes(hosts: FakeHosts) -> None:
+async def test_restart_at_the_same_address_replaces_the_incarnation(
+    hosts: FakeHosts,
+) -> None:
     old = hosts["a-1"]
     incarnation = old.membership.own_record.incarnation
     old.crash()
@@ -113,7 +119,7 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_another_host_at_the_same_address_replaces_the_former(
+async def test_new_host_at_the_same_address_replaces_the_previous_host(
     hosts: FakeHosts,
 ) -> None:
     old = hosts["a-1"]
@@ -126,7 +132,7 @@
 
 
 @in_virtual_time
-async def test_a_leaving_host_is_out_at_once_and_then_gone() -> None:
+async def test_leaving_host_leaves_all_views_immediately() -> None:
     async with hosts_of({"a": 2, "b": 1}) as hosts:
         hosts["a-1"].membership.leave()
         assert await until(out_of(hosts, "a-1")) < 0.05
@@ -139,18 +145,18 @@
 
 @pytest.mark.parametrize("back", [False, True])
 @using(nine_hosts, run_virtual)
-async def test_a_one_way_cut_between_two_hosts_kills_neither(
+async def test_one_way_partition_of_two_hosts_removes_neither(
     hosts: FakeHosts, back: bool
 ) -> None:
-    one, other = ("a-1", "a-0") if back else ("a-0", "a-1")
-    hosts.network.cut(one, other)
+    sender, receiver = ("a-1", "a-0") if back else ("a-0", "a-1")
+    hosts.network.cut(sender, receiver)
     for _ in range(100):
         await asyncio.sleep(0.1)
         assert hosts.agree()
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_zone_cut_off_and_healed(hosts: FakeHosts) -> None:
+async def test_views_agree_after_a_zone_partition_heals(hosts: FakeHosts) -> None:
     inside = hosts.in_zone("a")
     outside = hosts.in_zone("b") + hosts.in_zone("c")
     hosts.network.isolate(inside, outside)
@@ -159,12 +165,14 @@
     await asyncio.sleep(30.0)
     hosts.network.heal()
     assert await hosts.until_agreed() < 10.0
-    penalties = [one.membership.own_record.penalty for one in hosts.running()]
+    penalties = [host.membership.own_record.penalty for host in hosts.running()]
     assert penalties == [0] * len(penalties)
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_pause_of_this_host_makes_nobody_dead(hosts: FakeHosts) -> None:
+async def test_host_resumed_after_a_pause_removes_no_other_host(
+    hosts: FakeHosts,
+) -> None:
     for _ in range(2):
         hosts.network.pause("a-0")
         await asyncio.sleep(7.3)
@@ -177,24 +185,24 @@
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_pause_gives_a_suspected_host_a_fresh_chance(hosts: FakeHosts) -> None:
-    one = hosts["a-0"]
-    one.membership.suspect(one.table.records["a-1"])
+async def test_pause_restarts_the_suspicion_timers(hosts: FakeHosts) -> None:
+    viewer = hosts["a-0"]
+    viewer.membership.suspect(viewer.table.records["a-1"])
     hosts.network.pause("a-0")
     await asyncio.sleep(4.0)
     hosts.network.resume("a-0")
     await asyncio.sleep(2.0)
     left = [
         event.subject
-        for event in one.timeline.events
+        for event in viewer.timeline.events
         if event.kind is EventKind.MEMBER_LEFT
     ]
     assert left == []
-    assert one.state("a-1") is MembershipState.LIVE
+    assert viewer.state("a-1") is MembershipState.LIVE
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_flapping_host_ranks_last_until_it_was_steady(hosts: FakeHosts) -> None:
+async def test_flapping_host_ranks_last_until_it_is_stable(hosts: FakeHosts) -> None:
     for _ in range(3):
         hosts.network.pause("a-0")
         await until(out_of(hosts, "a-0"))
@@ -206,12 +214,12 @@
             ranked = hosts[viewer].directory.ranked(f"t{number}", "a")
             assert ranked[-1].host == "a-0"
     await asyncio.sleep(60.0)
-    firsts = [hosts["b-2"].directory.home(f"t{n}", "a") for n in range(20)]
-    assert "a-0" in {ref.host for ref in firsts if ref is not None}
+    homes = [hosts["b-2"].directory.home(f"t{n}", "a") for n in range(20)]
+    assert "a-0" in {ref.host for ref in homes if ref is not None}
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_host_that_missed_all_news_is_repaired(hosts: FakeHosts) -> None:
+async def test_host_with_missing_records_is_repaired(hosts: FakeHosts) -> None:
     table = hosts["a-0"].table
     loop = asyncio.get_running_loop()
     for host in hosts.in_zone("c"):
@@ -221,36 +229,36 @@
 
 
 @in_virtual_time
-async def test_versions_ride_on_heartbeats() -> None:
+async def test_heartbeats_spread_the_configuration_version() -> None:
     async with hosts_of({"a": 12, "b": 12}) as hosts:
-        for one in hosts.running():
-            adopt_versions(one.membership)
+        for host in hosts.running():
+            adopt_versions(host.membership)
         hosts["b-1"].membership.set_configuration_version(7)
         assert await until(lambda: versions(hosts) == {7}) < 2.0
 
 
 def adopt_versions(membership: Membership) -> None:
-    """Put each version in force that a peer states."""
+    """Adopt each newer version that a peer reports."""
     membership.on_newer_configuration = (
         lambda peer, version: membership.set_configuration_version(version)
     )
 
 
 def versions(hosts: FakeHosts) -> set[int]:
-    """Return the versions in force."""
-    return {one.membership.configuration_version for one in hosts.running()}
+    """Return the set of active versions."""
+    return {host.membership.configuration_version for host in hosts.running()}
 
 
-def test_a_lossy_network_declares_no_living_host_dead() -> None:
+def test_packet_loss_removes_no_live_host() -> None:
     async def main() -> int:
-        hosts = FakeHosts(THREE, FakeNetwork(seed=3))
+        hosts = FakeHosts(THREE_ZONES, FakeNetwork(seed=3))
         await hosts.until_agreed()
         hosts.network.loss = 0.02
         await asyncio.sleep(120.0)
         left = [
             event
-            for one in hosts.running()
-            for event in one.timeline.events
+            for host in hosts.running()
+            for event in host.timeline.events
             if event.kind is EventKind.MEMBER_LEFT
         ]
         await hosts.stop()
@@ -261,13 +269,13 @@
 
 @in_virtual_time
 async def test_hosts_that_are_all_slow_stay_live() -> None:
-    """Answers take longer than is waited for, as when all hosts are overloaded."""
+    """Guard against false positives while all hosts are slower than the timeout."""
     async with hosts_of({"a": 6, "b": 6}) as hosts:
         hosts.network.delay = 0.08
         lost = 0
         for _ in range(300):
             await asyncio.sleep(0.1)
-            lost += sum(len(hosts.hosts) - len(one.live()) for one in hosts.running())
+            lost += sum(len(hosts.hosts) - len(host.live()) for host in hosts.running())
         share = lost / (300 * len(hosts.hosts) ** 2)
         assert share < 0.01
         hosts.network.delay = 0.0005
@@ -276,25 +284,24 @@
 
 
 def test_hosts_that_are_all_slow_stay_live_in_the_mean() -> None:
-    """Answers take longer than is waited for, as when all hosts are overloaded.
+    """Guard against false positives while all hosts are slower than the timeout.
 
-    One course of events says little: of 24 a sixth is above the bound, whatever
-    else hosts tell each other, while the mean stays well below it.
+    Single runs vary too much for this bound, so it applies to the mean of several.
     """
     shares = [run_virtual(share_not_live(seed)) for seed in range(12)]
     assert sum(shares) / len(shares) < 0.01
 
 
 async def share_not_live(seed: int) -> float:
-    """Return the share of views in which a slow host is not live; all agree later."""
+    """Return the share of missing hosts in all views while hosts are slow."""
     async with hosts_of({"a": 6, "b": 6}) as hosts:
-        for one in hosts.running():
-            one.heartbeats.rng.seed(f"{one.ref.host} {seed}")
+        for host in hosts.running():
+            host.heartbeats.rng.seed(f"{host.ref.host} {seed}")
         hosts.network.delay = 0.08
         lost = 0
         for _ in range(300):
             await asyncio.sleep(0.1)
-            lost += sum(len(hosts.hosts) - len(one.live()) for one in hosts.running())
+            lost += sum(len(hosts.hosts) - len(host.live()) for host in hosts.running())
         hosts.network.delay = 0.0005
         await asyncio.sleep(5.0)
         assert hosts.agree()
@@ -302,7 +309,7 @@
 
 
 @in_virtual_time
-async def test_a_dead_host_that_the_platform_no_longer_lists_is_let_go() -> None:
+async def test_dead_host_that_is_no_longer_listed_is_gone() -> None:
     async with hosts_of({"a": 3, "b": 1}) as hosts:
         hosts["a-1"].crash()
         await hosts.until_agreed()
@@ -320,47 +327,47 @@
 
 
 @in_virtual_time
-async def test_two_fleets_that_started_apart_find_each_other_by_the_list() -> None:
+async def test_separate_fleets_discover_each_other_through_the_host_list() -> None:
     network = FakeNetwork()
-    one, other = FakeHosts({"a": 2}, network), FakeHosts({})
+    fleet, other = FakeHosts({"a": 2}, network), FakeHosts({})
     other.network = network
     other.start("b-0", "b", "10.0.0.9:1")
     other.start("b-1", "b", "10.0.0.9:2")
     await asyncio.sleep(3.0)
-    assert one["a-0"].live() == {"a-0", "a-1"}
-    one["a-0"].heartbeats.discovery.update_listed_addresses(["10.0.0.9:1"])
+    assert fleet["a-0"].live() == {"a-0", "a-1"}
+    fleet["a-0"].heartbeats.discovery.update_listed_addresses(["10.0.0.9:1"])
     await asyncio.sleep(8.0)
-    everyone = {"a-0", "a-1", "b-0", "b-1"}
-    for fake in one.running() + other.running():
-        assert fake.live() == everyone
-    await one.stop()
+    all_hosts = {"a-0", "a-1", "b-0", "b-1"}
+    for host in fleet.running() + other.running():
+        assert host.live() == all_hosts
+    await fleet.stop()
     await other.stop()
 
 
 @using(nine_hosts, run_virtual)
-async def test_a_crash_is_noticed_in_time_by_slow_hosts(hosts: FakeHosts) -> None:
-    for one in hosts.running():
+async def test_slow_hosts_detect_a_crash_in_time(hosts: FakeHosts) -> None:
+    for host in hosts.running():
         for _ in range(5):
-            one.heartbeats.health.worsen()
+            host.heartbeats.health.worsen()
     await asyncio.sleep(0.5)
     hosts["a-1"].crash()
-    near = [hosts["a-0"], hosts["a-2"]]
+    viewers = [hosts["a-0"], hosts["a-2"]]
     await until(
-        lambda: any(one.state("a-1") is not MembershipState.LIVE for one in near)
+        lambda: any(host.state("a-1") is not MembershipState.LIVE for host in viewers)
     )
     bound = HeartbeatTiming().refute_timeout + 2 * HeartbeatTiming().tick_interval
     assert await until(out_of(hosts, "a-1", "a-0", "a-2")) < bound
 
 
-pairs_of_hosts = partial(hosts_of, {"a": 2, "b": 2, "c": 2, "d": 3})
+four_zones = partial(hosts_of, {"a": 2, "b": 2, "c": 2, "d": 3})
 
 
 @pytest.mark.parametrize("wait", [0.25 * step for step in range(8)])
-@using(pairs_of_hosts, run_virtual)
-async def test_a_hang_is_noticed_in_time_while_a_zone_is_cut_off(
+@using(four_zones, run_virtual)
+async def test_paused_host_is_detected_in_time_during_a_zone_partition(
     hosts: FakeHosts, wait: float
 ) -> None:
-    outside = [one for zone in "bcd" for one in hosts.in_zone(zone)]
+    outside = [host for zone in "bcd" for host in hosts.in_zone(zone)]
     hosts.network.isolate(hosts.in_zone("a"), outside)
     await asyncio.sleep(wait)
     hosts.network.pause("b-0")
--- a/tests/test_store_http.py
+++ b/tests/test_store_http.py
@@ -1,4 +1,4 @@
-"""The store's adapter against its stand-in, with the faults of the platform."""
+"""Guard against store failures that the HTTP client misreports or retries."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -39,7 +39,7 @@
 
 
 @using(store_of)
-async def test_a_value_changes_only_against_its_revision(pair: Pair) -> None:
+async def test_write_requires_the_current_revision(pair: Pair) -> None:
     _, store = pair
     assert await store.get("config", 1.0) is None
     first = await store.put("config", b"\x00one", 0, 1.0)
@@ -58,7 +58,7 @@
 
 
 @using(store_of)
-async def test_a_value_over_a_megabyte_is_refused(pair: Pair) -> None:
+async def test_value_above_the_size_limit_is_refused(pair: Pair) -> None:
     _, store = pair
     largest = bytes(MAX_VALUE)
     entry = await store.put("config", largest, 0, 5.0)
@@ -70,21 +70,21 @@
 
 
 @using(store_of)
-async def test_a_watch_waits_for_a_change_and_counts_as_one_call(pair: Pair) -> None:
+async def test_watch_waits_for_a_change_in_one_request(pair: Pair) -> None:
     standin, store = pair
     first = await store.put("config", b"one", 0, 1.0)
     assert await store.watch("config", 0, 5.0) == first
     assert await store.watch("config", first.revision, 0.05) is None
-    watching = asyncio.create_task(store.watch("config", first.revision, 5.0))
+    watch_task = asyncio.create_task(store.watch("config", first.revision, 5.0))
     await until(lambda: standin.watching)
     await store.put("other", b"x", 0, 1.0)
     second = await store.put("config", b"two", first.revision, 1.0)
-    assert await watching == second
+    assert await watch_task == second
     assert standin.calls == {"put": 3, "watch": 3}
 
 
 @using(store_of)
-async def test_a_lost_answer_leaves_the_change_in_effect_and_is_not_repeated(
+async def test_write_with_lost_response_takes_effect_and_is_not_retried(
     pair: Pair,
 ) -> None:
     standin, store = pair
@@ -99,7 +99,7 @@
 
 
 @using(lambda: store_of(Random(7)))
-async def test_answers_are_lost_by_the_injected_random_source(pair: Pair) -> None:
+async def test_responses_are_lost_by_the_injected_random_source(pair: Pair) -> None:
     standin, store = pair
     standin.lose_chance = 0.5
     lost = []
@@ -116,16 +116,16 @@
 
 
 @using(store_of)
-async def test_a_store_that_is_down_changes_nothing_and_breaks_watches(
+async def test_store_that_is_down_changes_nothing_and_fails_watches(
     pair: Pair,
 ) -> None:
     standin, store = pair
     first = await store.put("config", b"one", 0, 1.0)
-    watching = asyncio.create_task(store.watch("config", first.revision, 5.0))
+    watch_task = asyncio.create_task(store.watch("config", first.revision, 5.0))
     await until(lambda: standin.watching)
     standin.down = True
     with pytest.raises(StoreUnavailableError):
-        await watching
+        await watch_task
     with pytest.raises(StoreUnavailableError):
         await store.put("config", b"two", first.revision, 1.0)
     standin.down = False
@@ -133,17 +133,17 @@
 
 
 @using(store_of)
-async def test_dropped_watches_are_told_apart_from_quiet_ones(pair: Pair) -> None:
+async def test_dropped_watch_is_reported_as_unavailable(pair: Pair) -> None:
     standin, store = pair
-    watching = asyncio.create_task(store.watch("config", 0, 5.0))
+    watch_task = asyncio.create_task(store.watch("config", 0, 5.0))
     await until(lambda: standin.watching)
     standin.drop_watches()
     with pytest.raises(StoreUnavailableError):
-        await watching
+        await watch_task
 
 
 @using(store_of)
-async def test_a_slow_store_runs_into_the_timeout_and_may_have_changed(
+async def test_write_that_times_out_may_have_taken_effect(
     pair: Pair,
 ) -> None:
     standin, store = pair
@@ -155,28 +155,28 @@
 
 
 @using(store_of)
-async def test_a_stale_read_gives_an_older_revision(pair: Pair) -> None:
+async def test_stale_read_returns_an_older_revision(pair: Pair) -> None:
     standin, store = pair
     entry = StoreEntry("config", b"", 0)
-    seen = []
+    entries = []
     for value in (b"one", b"two", b"three"):
         entry = await store.put("config", value, entry.revision, 1.0)
-        seen.append(entry)
+        entries.append(entry)
     standin.stale_reads = 1
-    assert await store.get("config", 1.0) == seen[1]
+    assert await store.get("config", 1.0) == entries[1]
     standin.stale_reads = 9
-    assert await store.get("config", 1.0) == seen[0]
+    assert await store.get("config", 1.0) == entries[0]
 
 
 @using(store_of)
-async def test_keys_of_a_lease_vanish_when_it_lapses(pair: Pair) -> None:
+async def test_keys_of_a_lease_are_deleted_when_it_expires(pair: Pair) -> None:
     standin, store = pair
-    number = (await store.ask("grant", {"ttl": 60.0}, 1.0))["lease"]
-    lease = standin.leases[number]
-    body = {"key": "host", "value": "eA==", "expected": 0, "lease": number}
+    lease_id = (await store.ask("grant", {"ttl": 60.0}, 1.0))["lease"]
+    lease = standin.leases[lease_id]
+    body = {"key": "host", "value": "eA==", "expected": 0, "lease": lease_id}
     await store.ask("put", body, 1.0)
     lease.expires -= 50.0
-    await store.ask("keep_alive", {"lease": number}, 1.0)
+    await store.ask("keep_alive", {"lease": lease_id}, 1.0)
     lease.expires -= 50.0
     assert await store.get("host", 1.0) is not None
     lease.expires -= 50.0
@@ -187,17 +187,17 @@
 
 
 @using(store_of)
-async def test_a_lease_lapses_by_itself(pair: Pair) -> None:
+async def test_lease_expires_without_requests(pair: Pair) -> None:
     standin, store = pair
-    number = standin.grant(0.05)["lease"]
-    body = {"key": "host", "value": "eA==", "expected": 0, "lease": number}
+    lease_id = standin.grant(0.05)["lease"]
+    body = {"key": "host", "value": "eA==", "expected": 0, "lease": lease_id}
     standin.put(body)
     await until(lambda: standin.newest("host") is None)
     assert not standin.leases
 
 
 @using(store_of)
-async def test_a_malformed_call_is_refused_without_effect(pair: Pair) -> None:
+async def test_malformed_request_is_refused_without_effect(pair: Pair) -> None:
     standin, store = pair
     for path, body in (
         ("put", {"key": "config"}),
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces as the platform's configuration states them, good or bad."""
+"""Guard against invalid workspaces that grant access or disable valid ones."""
 
 from typing import Any
 
@@ -33,7 +33,7 @@
 
 
 def configuration(*tenants: Any, **route: Any) -> bytes:
-    """Return a configuration with these workspaces."""
+    """Encode a platform configuration with the given workspaces."""
     return encode(
         {
             "version": 3,
@@ -45,12 +45,12 @@
 
 
 def read(value: bytes) -> RouteTable:
-    """Read a configuration as a host does that has it from the store."""
+    """Read a configuration as a host does after fetching it from the store."""
     documents = PlatformDocuments()
     return documents.read_table(documents.without_keys(value))
 
 
-def test_a_workspace_is_read_with_digests_of_its_keys() -> None:
+def test_workspace_is_read_with_digests_of_its_keys() -> None:
     table = read(configuration(GOOD))
     farm = table.workspaces.by_name["farm"]
     assert farm.digests == {key_digest("key-one"), key_digest("key-two")}
@@ -60,30 +60,30 @@
     assert not table.routes["db1"].public
 
 
-def test_keys_are_not_in_what_is_kept_and_handed_on() -> None:
+def test_stored_and_forwarded_documents_contain_no_keys() -> None:
     kept = PlatformDocuments().without_keys(configuration(GOOD))
     assert b"key-one" not in kept
     assert decode(kept)["tenants"][0]["rate_per_s"] == 15
-    # Handed on, it is read alike, and stays as it is to the byte.
+    # A forwarded document is unchanged and gives the same route table.
     assert PlatformDocuments().without_keys(kept) == kept
     assert PlatformDocuments().read_table(kept) == read(configuration(GOOD))
 
 
-def test_keys_under_an_escaped_name_are_not_kept() -> None:
+def test_keys_under_an_escaped_field_name_are_removed() -> None:
     value = configuration(GOOD).replace(b'"api_keys"', b'"api\\u005fkeys"')
     assert b"key-one" not in PlatformDocuments().without_keys(value)
 
 
 @pytest.mark.parametrize("public", [True, False])
-def test_a_route_is_public_if_it_says_so(public: bool) -> None:
+def test_route_is_public_as_configured(public: bool) -> None:
     assert read(configuration(GOOD, public=public)).routes["db1"].public is public
 
 
-def test_without_workspaces_no_route_needs_a_key() -> None:
+def test_routes_are_public_if_no_workspaces_are_configured() -> None:
     message = decode(configuration())
     del message["tenants"]
     assert read(encode(message)).routes["db1"].public
-    # An empty list says that nobody has a key.
+    # With an empty list, no key is valid and routes stay private.
     assert not read(configuration()).routes["db1"].public
 
 
@@ -99,7 +99,7 @@
         ({"burst": None}, 15.0, 15.0),
     ],
 )
-def test_a_rate_that_is_none_admits_nothing(
+def test_invalid_rate_or_burst_admits_nothing(
     change: Json, rate: float | None, burst: float
 ) -> None:
     found = read(configuration({**GOOD, **change})).workspaces.by_name["farm"]
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("rate", [float("nan"), float("inf")])
-def test_a_rate_that_is_no_number_admits_nothing(rate: float) -> None:
+def test_non_finite_rate_admits_nothing(rate: float) -> None:
     assert sanitize_rate(rate) == 0.0
 
 
@@ -125,7 +125,7 @@
         None,
     ],
 )
-def test_a_bad_workspace_leaves_the_others(bad: Any) -> None:
+def test_invalid_workspace_does_not_affect_others(bad: Any) -> None:
     table = read(configuration(bad, GOOD))
     assert table.workspaces.find_by_digest(key_digest("key-bad")) is None
     assert table.workspaces.find_by_digest("") is None
@@ -133,7 +133,7 @@
     assert holder is not None and holder.name == "farm"
 
 
-def test_a_key_of_two_workspaces_is_nobodys() -> None:
+def test_key_of_two_workspaces_is_accepted_for_neither() -> None:
     other = {**GOOD, "name": "mill", "api_keys": ["key-two", "key-four"]}
     workspaces = read(configuration(GOOD, other)).workspaces
     assert workspaces.find_by_digest(key_digest("key-two")) is None
@@ -141,8 +141,8 @@
     assert workspaces.by_digest[key_digest("key-four")].name == "mill"
 
 
-def test_many_keys_are_looked_up_in_one_step() -> None:
-    """840 workspaces with 5,000 keys, and one with 10,000."""
+def test_keys_of_many_workspaces_are_found() -> None:
+    """Guard against lookups that fail with many keys per workspace."""
     many = [
         Workspace(
             f"w{index}",
