--- a/src/reedhook/process/configuring/configuration_edit.py
+++ b/src/reedhook/process/configuring/configuration_edit.py
@@ -216,7 +216,7 @@
         return not_run(RefusalReason.CONFLICT, detail)
 
     async def conflict(self, stored: StoredHead) -> EditConflictError:
-        """Delete the parts of this edit and return the conflict."""
+        """Delete the parts that only this edit uses and return the conflict."""
         newest = stored.manifest
         assert newest is not None
         winner = await self.read_manifest(self.parent + 1, newest)
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -254,7 +254,7 @@
                 self.watch()
 
     def resume(self, pause: float, now: float) -> None:
-        """Restart the timers of suspected and dead hosts after a pause of this host."""
+        """Restart the timers of hosts that are not live after a pause of this host."""
         log.info(
             "This host was paused for {:.2f} s; restarting suspicion timers.", pause
         )
--- a/src/reedhook/process/fleet/hostlist_poller.py
+++ b/src/reedhook/process/fleet/hostlist_poller.py
@@ -136,7 +136,7 @@
         return lines
 
     def update_leaving_host(self, line: HostListEntry) -> None:
-        """Mark a host as leaving once its entry is not outdated."""
+        """Mark a host as leaving unless its entry may be outdated."""
         if line.state is not ListedState.LEAVING:
             self.leaving_since.pop(line.host, None)
             return
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -182,7 +182,7 @@
         return True
 
     def handle_death_report(self, died: Any) -> None:
-        """Handle a peer's report that it had declared this host dead.
+        """Handle a peer's report that an incarnation of this host died.
 
         :raises WireError: if the report is malformed.
         """
--- a/src/reedhook/version/workspace.py
+++ b/src/reedhook/version/workspace.py
@@ -11,7 +11,7 @@
 """Maximum length of a caller's key."""
 
 SHOWN_DIGITS: Final = 8
-"""Hex digits of a key digest in logs; too few to test guessed keys against."""
+"""Hex digits of a key digest in logs: enough to identify a key, not to guess it."""
 
 
 class Workspace(Record):
