--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -430,7 +430,11 @@
     """Return the refusal of a request whose handler failed."""
     context = request.get(REQUEST_CONTEXT)
     detail = "internal error; see the log of this host"
-    if context is not None and context.forwarded and context.kind not in NO_EFFECT_KINDS:
+    if (
+        context is not None
+        and context.forwarded
+        and context.kind not in NO_EFFECT_KINDS
+    ):
         return may_have_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
     return not_run(RefusalReason.INTERNAL, detail, INTERNAL_RETRY_MS)
 
