--- a/tests/test_channel_arrival.py
+++ b/tests/test_channel_arrival.py
@@ -1,4 +1,4 @@
-"""Answers that arrive bit by bit over one connection."""
+"""Responses that arrive in pieces: progress extends the timeout, a stall does not."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,53 +11,55 @@
 from .support import on_loop
 
 PIECES = 8
-GAP = 0.03
-"""Seconds between two pieces; all take longer than the timeout."""
+PIECE_INTERVAL = 0.03
+"""Seconds between two pieces; the whole response takes longer than the timeout."""
 
 TIMEOUT = 0.1
-PATIENT = 30.0
-IMPATIENT = 0.2
+LONG_TIMEOUT = 30.0
+SHORT_PROGRESS_TIMEOUT = 0.2
 
 
 @asynccontextmanager
-async def answering(pieces: int) -> AsyncIterator[str]:
-    """Yield the address of a server whose answer has eight pieces.
+async def response_server(pieces: int) -> AsyncIterator[str]:
+    """Yield the address of a server that announces a body of eight pieces.
 
     :param pieces: how many of them it sends.
     """
 
-    async def answer(
+    async def respond(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % PIECES)
         for _ in range(pieces):
-            await asyncio.sleep(GAP)
+            await asyncio.sleep(PIECE_INTERVAL)
             writer.write(b"x")
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     yield f"{host}:{port}"
     server.close()
 
 
 @on_loop
-async def test_an_answer_that_goes_on_is_waited_for() -> None:
-    async with answering(PIECES) as address:
-        channel = await open_channel(address, PATIENT)
-        answer = await channel.exchange("", b"", TIMEOUT, progress_timeout=PATIENT)
-        assert answer.body == b"x" * PIECES
-        assert answer.transfer_seconds > 0.0
+async def test_progress_extends_the_timeout() -> None:
+    async with response_server(PIECES) as address:
+        channel = await open_channel(address, LONG_TIMEOUT)
+        response = await channel.exchange(
+            "", b"", TIMEOUT, progress_timeout=LONG_TIMEOUT
+        )
+        assert response.body == b"x" * PIECES
+        assert response.transfer_seconds > 0.0
         channel.close()
 
 
-@pytest.mark.parametrize("patience", [0.0, IMPATIENT])
+@pytest.mark.parametrize("progress_timeout", [0.0, SHORT_PROGRESS_TIMEOUT])
 @on_loop
-async def test_an_answer_that_stops_is_given_up(patience: float) -> None:
-    async with answering(1) as address:
-        channel = await open_channel(address, PATIENT)
+async def test_stalled_response_times_out(progress_timeout: float) -> None:
+    async with response_server(1) as address:
+        channel = await open_channel(address, LONG_TIMEOUT)
         with pytest.raises(ResponseIncompleteError):
-            await channel.exchange("", b"", TIMEOUT, progress_timeout=patience)
+            await channel.exchange("", b"", TIMEOUT, progress_timeout=progress_timeout)
         assert channel.closed
--- a/tests/test_connection_reset.py
+++ b/tests/test_connection_reset.py
@@ -1,4 +1,4 @@
-"""What was sent and given up must not arrive after a partition has healed."""
+"""Abandoned requests must not be delivered once a network partition has healed."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from reedhook.platform.driver import WireDriver
 from reedhook.version.route_table import TargetAnnouncement
 
-SHORT = 0.05
-PATIENCE = 2.0
+SHORT_TIMEOUT = 0.05
+LONG_TIMEOUT = 2.0
 
 
-class Silent:
-    """Read what comes, answer the first line only, and note how it ends."""
+class SilentServer:
+    """Read all input, reply to the first line only, and record the connection's end."""
 
     def __init__(self, first: bytes) -> None:
         self.first = first
@@ -44,28 +44,28 @@
         writer.close()
 
 
-def test_a_call_that_was_given_up_is_reset() -> None:
+def test_timed_out_channel_exchange_resets_the_connection() -> None:
     async def main() -> None:
-        silent = Silent(b"")
+        silent = SilentServer(b"")
         server = await silent.start()
-        channel = await open_channel(silent.address, PATIENCE)
+        channel = await open_channel(silent.address, LONG_TIMEOUT)
         with pytest.raises(ResponseIncompleteError):
-            await channel.exchange("work", b"{}", SHORT)
-        assert await asyncio.wait_for(silent.ending, PATIENCE) == "reset"
+            await channel.exchange("work", b"{}", SHORT_TIMEOUT)
+        assert await asyncio.wait_for(silent.ending, LONG_TIMEOUT) == "reset"
         server.close()
 
     asyncio.run(main())
 
 
-def test_a_statement_that_was_given_up_is_reset() -> None:
+def test_timed_out_statement_resets_the_connection() -> None:
     async def main() -> None:
-        silent = Silent(b"READY I 1.1\r\n")
+        silent = SilentServer(b"READY I 1.1\r\n")
         server = await silent.start()
         entry = TargetAnnouncement("i-1", "db", silent.address, "z", False, False)
-        connection = await WireDriver("h1").connect(entry, PATIENCE)
+        connection = await WireDriver("h1").connect(entry, LONG_TIMEOUT)
         with pytest.raises(SessionTargetNoReplyError):
-            await connection.exchange([TargetQuery("1", "READ a")], SHORT)
-        assert await asyncio.wait_for(silent.ending, PATIENCE) == "reset"
+            await connection.exchange([TargetQuery("1", "READ a")], SHORT_TIMEOUT)
+        assert await asyncio.wait_for(silent.ending, LONG_TIMEOUT) == "reset"
         server.close()
 
     asyncio.run(main())
--- a/tests/test_home_health.py
+++ b/tests/test_home_health.py
@@ -1,4 +1,4 @@
-"""Half-open connections, dead and slow targets, and the state that follows."""
+"""Half-open connections, dead and slow targets, and the reported state."""
 
 import asyncio
 
@@ -14,24 +14,24 @@
 from .fakes_target import FakeTarget
 from .home_support import home_at, kinds, refusal_of, statement, timed
 
-DETECTION = 0.31
-"""Seconds: hold and margin of the state question, then the probe window."""
+DETECTION_SECONDS = 0.31
+"""Seconds: duration and margin of the state poll, then the probe window."""
 
-REPLICA_DETECTION = 0.61
-"""The same for a replica, whose question is held for longer."""
+REPLICA_DETECTION_SECONDS = 0.61
+"""The same for a replica, whose state poll takes longer."""
 
 
-async def warm(home: TargetHome) -> None:
-    """Open connections and learn the state."""
+async def warm_up(home: TargetHome) -> None:
+    """Open connections and receive the state."""
     await home.run(statement(StatementKind.READ))
     await asyncio.sleep(0.5)
 
 
 @in_virtual_time
-async def test_a_read_on_a_silent_connection_is_answered_on_a_new_one() -> None:
+async def test_read_on_a_silent_connection_is_retried_on_a_new_one() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.silence_all()
         result, seconds = await timed(home.run(statement(StatementKind.READ)))
         assert result.rows == [[1]]
@@ -42,10 +42,10 @@
 
 
 @in_virtual_time
-async def test_a_write_with_an_id_on_a_silent_connection_runs_once() -> None:
+async def test_write_with_an_id_on_a_silent_connection_runs_once() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.silence_all()
         write = statement(StatementKind.WRITE, "ticket", request_id="r1")
         result = await home.run(write)
@@ -54,12 +54,12 @@
 
 
 @in_virtual_time
-async def test_a_write_without_an_id_is_told_that_it_may_have_run() -> None:
+async def test_unanswered_write_without_an_id_may_have_run() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         write = statement(StatementKind.WRITE, "ticket", remaining=5.0)
         await home.run(write)
-        await warm(home)
+        await warm_up(home)
         target.silence_all()
         refusal, seconds = await timed(refusal_of(home.run(write)))
         assert refusal.verdict is Verdict.MAY_HAVE_RUN
@@ -72,9 +72,9 @@
 async def test_a_dead_target_is_known_without_traffic() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.dead = True
-        await asyncio.sleep(DETECTION)
+        await asyncio.sleep(DETECTION_SECONDS)
         assert home.unreachable_since is not None
         refusal, seconds = await timed(
             refusal_of(home.run(statement(StatementKind.WRITE)))
@@ -90,10 +90,10 @@
 
 
 @in_virtual_time
-async def test_a_replica_is_asked_seldom_and_told_of_at_once() -> None:
+async def test_replica_is_polled_rarely_but_reports_changes_at_once() -> None:
     target = FakeTarget(role=Role.REPLICA)
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         before = target.state_questions
         await asyncio.sleep(4.0)
         assert 8 <= target.state_questions - before <= 10
@@ -101,25 +101,25 @@
         await asyncio.sleep(0.01)
         assert home.state is not None and home.state.role is Role.PRIMARY
         target.dead = True
-        await asyncio.sleep(DETECTION)
+        await asyncio.sleep(DETECTION_SECONDS)
         assert home.unreachable_since is not None
 
 
 @in_virtual_time
-async def test_a_dead_replica_is_known_without_traffic() -> None:
+async def test_dead_replica_is_detected_without_traffic() -> None:
     target = FakeTarget(role=Role.REPLICA)
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.dead = True
-        await asyncio.sleep(REPLICA_DETECTION)
+        await asyncio.sleep(REPLICA_DETECTION_SECONDS)
         assert home.unreachable_since is not None
 
 
 @in_virtual_time
-async def test_a_target_that_dies_just_after_a_probe_is_known_at_once() -> None:
+async def test_target_that_dies_just_after_a_probe_is_detected_at_once() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.silence_all()
         await home.run(statement(StatementKind.READ))
         await asyncio.sleep(0.02)
@@ -132,28 +132,28 @@
 
 
 @in_virtual_time
-async def test_a_dead_target_stays_suspected_while_its_connections_close() -> None:
+async def test_dead_target_stays_unreachable_while_its_connections_close() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
-        kept = [await home.pool.open_control(1.0) for _ in range(5)]
+        await warm_up(home)
+        connections = [await home.pool.open_control(1.0) for _ in range(5)]
         target.dead = True
         await asyncio.sleep(1.0)
         since = home.unreachable_since
         assert since is not None
         target.close_delay = 0.9
         home.pool.share = home.pool.open
-        for connection in kept:
+        for connection in connections:
             home.pool.discard(connection)
         assert not await home.health.probe_now()
         assert home.unreachable_since == since
 
 
 @in_virtual_time
-async def test_a_target_that_is_dead_for_an_hour_is_found_alive_again() -> None:
+async def test_target_that_returns_after_an_hour_is_detected() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.dead = True
         await asyncio.sleep(3600.0)
         assert home.unreachable_since is not None
@@ -164,10 +164,10 @@
 
 
 @in_virtual_time
-async def test_a_dead_target_ends_statements_in_progress_at_once() -> None:
+async def test_dead_target_ends_statements_in_progress_at_once() -> None:
     target = FakeTarget(service=0.2)
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         write = asyncio.create_task(
             refusal_of(home.run(statement(StatementKind.WRITE)))
         )
@@ -177,14 +177,14 @@
         (written, seconds), was_read = await asyncio.gather(timed(write), read)
         assert written.verdict is Verdict.MAY_HAVE_RUN
         assert was_read.verdict is Verdict.NOT_RUN
-        assert seconds <= DETECTION
+        assert seconds <= DETECTION_SECONDS
 
 
 @in_virtual_time
-async def test_a_refused_connection_is_known_sooner_than_a_silent_one() -> None:
+async def test_refused_connection_is_detected_sooner_than_a_silent_one() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.refusing = True
         target.silence_all()
         await asyncio.sleep(0.16)
@@ -192,7 +192,7 @@
 
 
 @in_virtual_time
-async def test_a_living_but_slow_target_is_not_suspected() -> None:
+async def test_slow_target_stays_reachable() -> None:
     target = FakeTarget(service=1.5)
     async with home_at(target) as home:
         await asyncio.sleep(0.1)
@@ -203,7 +203,7 @@
 
 
 @in_virtual_time
-async def test_stalled_writes_of_a_living_target_are_told_and_run_once() -> None:
+async def test_stalled_writes_of_a_live_target_are_reported_and_run_once() -> None:
     target = FakeTarget()
 
     def ticket(number: int) -> Statement:
@@ -212,7 +212,7 @@
         )
 
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.service_of = lambda sql: 60.0 if sql.startswith("ticket") else 0.002
         writes = [refusal_of(home.run(ticket(number))) for number in range(6)]
         refusals = await asyncio.gather(*writes)
@@ -231,7 +231,7 @@
 
 
 @in_virtual_time
-async def test_a_text_known_to_be_slow_is_run_once() -> None:
+async def test_statement_known_to_be_slow_is_run_once() -> None:
     target = FakeTarget(service=0.6)
     async with home_at(target) as home:
         await home.run(statement(StatementKind.READ, "report", remaining=5.0))
@@ -242,7 +242,7 @@
 
 
 @in_virtual_time
-async def test_the_other_connections_are_verified_after_a_silence() -> None:
+async def test_idle_connections_are_verified_after_one_went_silent() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         reads = [home.run(statement(StatementKind.READ)) for _ in range(6)]
@@ -256,10 +256,10 @@
 
 
 @in_virtual_time
-async def test_the_state_follows_changes_and_wakes_who_waits() -> None:
+async def test_state_change_wakes_its_waiters() -> None:
     target = FakeTarget(role=Role.REPLICA)
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         assert home.state is not None
         known = home.state.revision
         waiting = asyncio.create_task(timed(home.wait_for_state_change(known, 5.0)))
@@ -271,25 +271,25 @@
 
 
 @in_virtual_time
-async def test_an_older_state_does_not_replace_a_newer_one() -> None:
+async def test_older_state_does_not_replace_a_newer_one() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
-        old = target.state_now()
-        asked = home.clock.monotonic()
+        await warm_up(home)
+        old_state = target.state_now()
+        requested_at = home.clock.monotonic()
         target.append()
         await asyncio.sleep(0.05)
-        home.merge_state(old, asked)
+        home.merge_state(old_state, requested_at)
         assert home.state is not None
         assert home.state.applied == Position(1, 1)
 
 
 @in_virtual_time
-async def test_a_restarted_target_with_a_lower_revision_is_believed() -> None:
+async def test_lower_revision_of_a_restarted_target_is_accepted() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         target.revision = 50
-        await warm(home)
+        await warm_up(home)
         target.revision = 2
         target.change(applied=Position(1, 9))
         await asyncio.sleep(0.5)
@@ -301,7 +301,7 @@
 async def test_control_calls_survive_a_silent_connection() -> None:
     target = FakeTarget(role=Role.REPLICA)
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.silence_all()
         state = await home.raise_term(4, "host-1", timeout=0.5)
         assert state.promised == 4
@@ -311,10 +311,10 @@
 
 
 @in_virtual_time
-async def test_a_dead_target_fails_a_control_call_in_time() -> None:
+async def test_control_call_to_a_dead_target_fails_in_time() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         target.dead = True
         try:
             _, seconds = await timed(home.fetch_state(0.3))
@@ -324,10 +324,10 @@
 
 
 @in_virtual_time
-async def test_what_a_target_at_rest_is_asked() -> None:
+async def test_idle_target_is_polled_at_a_bounded_rate() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
-        await warm(home)
+        await warm_up(home)
         before = target.state_questions
         await asyncio.sleep(10.0)
         assert target.state_questions - before <= 101
--- a/tests/test_home_interleaving.py
+++ b/tests/test_home_interleaving.py
@@ -1,4 +1,4 @@
-"""Transactions and single statements together, under any faults and order."""
+"""Interleaved transactions and statements under faults never mix or misreport."""
 
 import asyncio
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 class Plan:
-    """Stand for one transaction that a test runs, and what came of it."""
+    """Run one transaction and track its outcome."""
 
     def __init__(self, number: int, values: dict[str, Any]) -> None:
         self.name = f"t{number}"
@@ -46,18 +46,18 @@
         self.ended: TargetResult | RefusalError | None = None
 
     async def run(self, home: TargetHome) -> None:
-        """Go through the transaction, giving up early if the test says so."""
+        """Run the transaction, with the client timeout of the test."""
         await asyncio.sleep(self.values["start"])
         try:
             async with asyncio.timeout(self.values["patience"]):
-                await self.go_through(home)
+                await self.run_steps(home)
         except TimeoutError:
             return
 
-    async def go_through(self, home: TargetHome) -> None:
+    async def run_steps(self, home: TargetHome) -> None:
         """Begin, send the steps, and end."""
-        begun = statement(StatementKind.BEGIN, transaction=self.name)
-        if isinstance(await outcome_of(home.run(begun)), RefusalError):
+        begin = statement(StatementKind.BEGIN, transaction=self.name)
+        if isinstance(await outcome_of(home.run(begin)), RefusalError):
             return
         for number, pause in enumerate(self.values["steps"]):
             await asyncio.sleep(pause)
@@ -71,7 +71,7 @@
             self.ended = await outcome_of(home.run(end))
 
     def check(self, target: FakeTarget) -> None:
-        """Hold the ending against what the target committed."""
+        """Check the outcome against what the target committed."""
         committed = [
             texts for texts in target.commits if texts and self.sent[:1] == texts[:1]
         ]
@@ -124,7 +124,7 @@
 
 
 @in_virtual_time
-async def test_a_reason_is_told_when_a_transaction_is_gone() -> None:
+async def test_commit_of_an_unknown_transaction_is_refused_with_a_reason() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         unknown = await outcome_of(
--- a/tests/test_home_limits.py
+++ b/tests/test_home_limits.py
@@ -1,4 +1,4 @@
-"""Limits that change while a home is in use."""
+"""Limits that change while a home is in use must apply at once."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 @in_virtual_time
-async def test_a_shorter_queue_holds_for_the_next_statement() -> None:
+async def test_lower_queue_limit_applies_to_the_next_statement() -> None:
     async with home_at(FakeTarget(), queue=64) as home:
         home.update_limits(Limits(queue=1))
         outcomes = await asyncio.gather(
@@ -25,7 +25,7 @@
 
 
 @in_virtual_time
-async def test_a_shorter_idle_time_ends_the_next_transaction() -> None:
+async def test_shorter_idle_time_applies_to_the_next_transaction() -> None:
     async with home_at(FakeTarget(), transaction_idle_ms=10000) as home:
         home.update_limits(Limits(transaction_idle_ms=100))
         await home.run(statement(StatementKind.BEGIN, transaction="t1"))
--- a/tests/test_home_transactions.py
+++ b/tests/test_home_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions pinned to connections of their own."""
+"""Transactions pinned to connections: isolation, verdicts and release."""
 
 import asyncio
 
@@ -42,10 +42,10 @@
 
 
 @in_virtual_time
-async def test_statements_of_two_transactions_stay_on_their_connections() -> None:
+async def test_statements_of_transactions_stay_on_their_connections() -> None:
     target = FakeTarget()
 
-    async def whole(home: TargetHome, name: str) -> None:
+    async def run_transaction(home: TargetHome, name: str) -> None:
         await begin(home, name)
         for number in range(5):
             await step(home, name, f"step{number}")
@@ -53,7 +53,9 @@
         await commit(home, name)
 
     async with home_at(target) as home:
-        await asyncio.gather(*(whole(home, f"t{number}") for number in range(8)))
+        await asyncio.gather(
+            *(run_transaction(home, f"t{number}") for number in range(8))
+        )
     assert len(target.commits) == 8
     for texts in target.commits:
         assert len({text.split(":")[0] for text in texts}) == 1
@@ -64,7 +66,7 @@
 
 
 @in_virtual_time
-async def test_two_statements_of_one_transaction_at_once_are_refused() -> None:
+async def test_concurrent_statement_of_a_transaction_is_refused() -> None:
     target = FakeTarget(service=0.05)
     async with home_at(target) as home:
         await begin(home, "t1")
@@ -79,19 +81,21 @@
 
 
 @in_virtual_time
-async def test_another_caller_cannot_reach_a_transaction() -> None:
+async def test_another_caller_cannot_use_a_transaction() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
-        stranger = statement(StatementKind.COMMIT, transaction="t1", caller="report")
-        refusal = await refusal_of(home.run(stranger))
+        foreign_commit = statement(
+            StatementKind.COMMIT, transaction="t1", caller="report"
+        )
+        refusal = await refusal_of(home.run(foreign_commit))
         assert refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
         assert refusal.verdict is Verdict.NOT_RUN
         await commit(home, "t1")
 
 
 @in_virtual_time
-async def test_an_idle_transaction_is_rolled_back() -> None:
+async def test_idle_transaction_is_rolled_back() -> None:
     target = FakeTarget()
     async with home_at(target, transaction_idle_ms=500) as home:
         await begin(home, "t1")
@@ -105,7 +109,7 @@
 
 
 @in_virtual_time
-async def test_a_lost_step_ends_the_transaction_as_not_run() -> None:
+async def test_lost_step_ends_the_transaction_as_not_run() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
@@ -123,7 +127,7 @@
     ("point", "times"), [(Break.BEFORE_EFFECT, 0), (Break.AFTER_EFFECT, 1)]
 )
 @in_virtual_time
-async def test_a_lost_commit_may_have_run(point: Break, times: int) -> None:
+async def test_lost_commit_may_have_run(point: Break, times: int) -> None:
     target = FakeTarget()
     target.abrupt = True
     async with home_at(target) as home:
@@ -133,7 +137,7 @@
 
 
 @in_virtual_time
-async def test_a_commit_in_doubt_stays_in_doubt_when_it_is_repeated() -> None:
+async def test_repeat_of_a_lost_commit_still_may_have_run() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         for name in ("lost", "cut"):
@@ -142,12 +146,12 @@
         target.breaks = [Break.AFTER_EFFECT]
         first = await refusal_of(commit(home, "lost"))
         target.service = 9.0
-        cut = asyncio.create_task(refusal_of(commit(home, "cut")))
+        pending = asyncio.create_task(refusal_of(commit(home, "cut")))
         await asyncio.sleep(0.1)
         await home.close(grace=0.2)
         for refusal in (
             first,
-            await cut,
+            await pending,
             await refusal_of(commit(home, "lost")),
             await refusal_of(commit(home, "cut")),
         ):
@@ -159,7 +163,7 @@
 
 
 @in_virtual_time
-async def test_a_commit_on_a_connection_that_the_target_closed_did_not_run() -> None:
+async def test_commit_on_a_connection_closed_by_the_target_did_not_run() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
@@ -192,7 +196,7 @@
 
 
 @in_virtual_time
-async def test_a_refused_commit_frees_the_connection_by_closing_it() -> None:
+async def test_refused_commit_closes_its_connection() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
@@ -223,7 +227,7 @@
 
 
 @in_virtual_time
-async def test_a_transaction_waits_for_another_to_end() -> None:
+async def test_transaction_waits_for_another_to_end() -> None:
     target = FakeTarget()
     async with home_at(target, share=3) as home:
         await begin(home, "t1")
@@ -237,7 +241,7 @@
 
 
 @in_virtual_time
-async def test_closing_lets_an_open_transaction_end() -> None:
+async def test_close_lets_an_open_transaction_end() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
@@ -255,7 +259,7 @@
 
 
 @in_virtual_time
-async def test_closing_ends_a_transaction_past_the_grace() -> None:
+async def test_close_rolls_back_a_transaction_after_the_grace_period() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await begin(home, "t1")
--- a/tests/test_home_verdicts.py
+++ b/tests/test_home_verdicts.py
@@ -1,4 +1,4 @@
-"""Each verdict against the truth of the target, and the budgets, under faults."""
+"""Verdicts must match what the target ran, and budgets must hold, under faults."""
 
 import asyncio
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 class Attempt:
-    """Stand for one write that a test sends, and what came of it."""
+    """Send one write and track its outcome."""
 
     def __init__(self, number: int, values: dict[str, Any]) -> None:
         self.sql = f"write {number}"
@@ -47,7 +47,7 @@
         )
 
     async def run(self, home: TargetHome) -> None:
-        """Send the write, giving it up early if the test says so."""
+        """Send the write, with the client timeout of the test."""
         await asyncio.sleep(self.values["pause"])
         try:
             async with asyncio.timeout(self.values["patience"]):
@@ -56,7 +56,7 @@
             self.outcome = None
 
     def check(self, target: FakeTarget) -> None:
-        """Hold the outcome against what took effect."""
+        """Check the outcome against what the target ran."""
         times = target.ran[self.sql]
         assert times <= 1
         if isinstance(self.outcome, TargetResult):
@@ -90,7 +90,7 @@
 async def bring_about(
     target: FakeTarget, events: list[tuple[float, str]], end: asyncio.Event
 ) -> None:
-    """Let the incidents happen, then let the target be well."""
+    """Inject the incidents, then restore the target."""
     for pause, incident in events:
         await asyncio.sleep(pause)
         if incident == "silence":
@@ -138,7 +138,7 @@
     ("point", "times"), [(Break.BEFORE_EFFECT, 0), (Break.AFTER_EFFECT, 1)]
 )
 @in_virtual_time
-async def test_a_broken_write_is_answered_by_what_is_known(
+async def test_write_on_a_broken_connection_may_have_run(
     point: Break, times: int
 ) -> None:
     target = FakeTarget()
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("point", [Break.BEFORE_EFFECT, Break.AFTER_EFFECT])
 @in_virtual_time
-async def test_a_broken_write_with_an_id_is_answered_by_the_repeat(
+async def test_write_with_an_id_on_a_broken_connection_is_repeated(
     point: Break,
 ) -> None:
     target = FakeTarget()
@@ -166,7 +166,7 @@
 
 
 @in_virtual_time
-async def test_a_refused_repeat_does_not_make_the_first_attempt_not_run() -> None:
+async def test_refused_repeat_does_not_make_the_first_attempt_not_run() -> None:
     target = FakeTarget()
     target.abrupt = True
     async with home_at(target) as home:
@@ -181,7 +181,7 @@
 
 
 @in_virtual_time
-async def test_connections_that_the_target_closed_are_replaced() -> None:
+async def test_connections_closed_by_the_target_are_replaced() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await asyncio.gather(
@@ -211,7 +211,7 @@
     ],
 )
 @in_virtual_time
-async def test_refusals_of_the_target_keep_their_reason(
+async def test_refusals_by_the_target_keep_their_reason(
     code: str, reason: RefusalReason
 ) -> None:
     target = FakeTarget()
@@ -224,7 +224,7 @@
 
 
 @in_virtual_time
-async def test_a_leaving_target_gets_no_new_work_but_ends_what_it_has() -> None:
+async def test_leaving_target_gets_no_new_work_but_ends_current_work() -> None:
     target = FakeTarget(service=0.1)
     async with home_at(target) as home:
         running = asyncio.create_task(home.run(statement(StatementKind.WRITE, "old")))
@@ -238,7 +238,7 @@
 
 
 @in_virtual_time
-async def test_closing_ends_what_runs_and_refuses_what_waits() -> None:
+async def test_close_ends_running_and_refuses_waiting_statements() -> None:
     target = FakeTarget(service=0.2)
     async with home_at(target) as home:
         writes = [
@@ -258,7 +258,7 @@
 
 
 @in_virtual_time
-async def test_a_full_target_refuses_what_was_not_sent() -> None:
+async def test_statement_at_a_full_target_did_not_run() -> None:
     target = FakeTarget(limit=0)
     async with home_at(target) as home:
         refusal, seconds = await timed(
@@ -271,7 +271,7 @@
 
 
 @in_virtual_time
-async def test_connections_are_set_up_one_at_a_time_beside_probes() -> None:
+async def test_connections_are_opened_one_at_a_time_beside_probes() -> None:
     target = FakeTarget(service=0.05)
     async with home_at(target) as home:
         reads = [
@@ -287,7 +287,7 @@
 
 
 @in_virtual_time
-async def test_unused_connections_are_closed_after_a_while() -> None:
+async def test_unused_connections_are_closed() -> None:
     target = FakeTarget()
     async with home_at(target) as home:
         await asyncio.gather(
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -1,4 +1,4 @@
-"""The home of a target whose answers leave a transaction open."""
+"""Session homes: reuse of connections, bounded waits and stalled targets."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,11 +27,11 @@
 from .fakes_members import FakeDriver, FakePhrases
 
 TEXTS = {SessionStatementKind.READ: "READ a", SessionStatementKind.WRITE: "WRITE a b"}
-MANY = 100
+MANY_BUSY_REPLIES = 100
 
 
-class OneConnection:
-    """A home with a single connection, so that sessions must share it."""
+class SingleConnectionHome:
+    """A home with a single connection, which sessions must share."""
 
     def __init__(self) -> None:
         clock = LoopClock()
@@ -70,26 +70,26 @@
 
 
 @asynccontextmanager
-async def one_connection() -> AsyncIterator[OneConnection]:
-    """Yield a home; what its target ran is judged at the end."""
-    one = OneConnection()
-    yield one
-    await one.home.close()
-    assert not one.promises.violations
+async def single_connection_home() -> AsyncIterator[SingleConnectionHome]:
+    """Yield a home and check for violations by its target at the end."""
+    fixture = SingleConnectionHome()
+    yield fixture
+    await fixture.home.close()
+    assert not fixture.promises.violations
 
 
 @in_virtual_time
-async def test_a_commit_that_is_turned_away_frees_the_connection() -> None:
-    """The target keeps the transaction open; nobody else may meet it."""
-    async with one_connection() as one:
-        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
-        one.group.primary.busy = MANY
-        reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
+async def test_busy_commit_frees_the_connection() -> None:
+    """The target keeps the transaction open; no other session may run in it."""
+    async with single_connection_home() as fixture:
+        await fixture.run("s1", SessionStatementKind.WRITE, "t1", first=True)
+        fixture.group.primary.busy = MANY_BUSY_REPLIES
+        reply = await fixture.run("s1", SessionStatementKind.COMMIT, "t1")
         assert reply.fault is StatementFault.BUSY
-        one.group.primary.busy = 0
-        reply = await one.run("s2", SessionStatementKind.READ)
+        fixture.group.primary.busy = 0
+        reply = await fixture.run("s2", SessionStatementKind.READ)
         assert reply.fault is StatementFault.NONE
-        assert not one.promises.committed
+        assert not fixture.promises.committed
 
 
 @pytest.mark.parametrize(
@@ -101,30 +101,30 @@
     ],
 )
 @in_virtual_time
-async def test_a_step_that_is_turned_away_is_tried_again(
+async def test_busy_step_is_retried(
     kind: SessionStatementKind,
 ) -> None:
-    """Else a full queue would cost the caller its whole transaction."""
-    async with one_connection() as one:
-        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
-        one.group.primary.busy = 2
-        reply = await one.run("s1", kind, "t1")
+    """A refusal would cost the caller the whole transaction."""
+    async with single_connection_home() as fixture:
+        await fixture.run("s1", SessionStatementKind.WRITE, "t1", first=True)
+        fixture.group.primary.busy = 2
+        reply = await fixture.run("s1", kind, "t1")
         assert reply.fault is StatementFault.NONE
         if kind is not SessionStatementKind.COMMIT:
-            reply = await one.run("s1", SessionStatementKind.COMMIT, "t1")
+            reply = await fixture.run("s1", SessionStatementKind.COMMIT, "t1")
         assert reply.fault is StatementFault.NONE
-        assert one.promises.committed
+        assert fixture.promises.committed
 
 
 @in_virtual_time
-async def test_a_single_statement_that_left_a_transaction_open_is_not_shared() -> None:
-    async with one_connection() as one:
-        await one.run("s1", SessionStatementKind.READ)
-        (lane,) = one.home.connections.idle
-        lane.connection.session.open = "write"  # type: ignore[attr-defined]
-        one.promises.sent["w2"] = Sent("READ a", "t", {}, {})
-        one.sent += 1
-        await one.home.run(
+async def test_connection_left_in_a_transaction_is_not_reused() -> None:
+    async with single_connection_home() as fixture:
+        await fixture.run("s1", SessionStatementKind.READ)
+        (pooled,) = fixture.home.connections.idle
+        pooled.connection.session.open = "write"  # type: ignore[attr-defined]
+        fixture.promises.sent["w2"] = Sent("READ a", "t", {}, {})
+        fixture.sent += 1
+        await fixture.home.run(
             SessionStatement(
                 "db",
                 "",
@@ -139,18 +139,18 @@
                 0.8,
             )
         )
-        assert not one.home.connections.idle
+        assert not fixture.home.connections.idle
 
 
 @in_virtual_time
-async def test_a_statement_waits_for_a_connection_for_a_bounded_time() -> None:
-    """Waiting to the end of its time would leave the caller none to try again."""
-    async with one_connection() as one:
-        await one.run("s1", SessionStatementKind.WRITE, "t1", first=True)
-        begun = asyncio.get_running_loop().time()
+async def test_wait_for_a_connection_is_bounded() -> None:
+    """The caller must have time left to retry."""
+    async with single_connection_home() as fixture:
+        await fixture.run("s1", SessionStatementKind.WRITE, "t1", first=True)
+        started = asyncio.get_running_loop().time()
         with pytest.raises(RefusalError) as caught:
-            await one.run("s2", SessionStatementKind.READ)
-        waited = asyncio.get_running_loop().time() - begun
+            await fixture.run("s2", SessionStatementKind.READ)
+        waited = asyncio.get_running_loop().time() - started
         assert waited <= MAX_CONNECTION_WAIT_SECONDS + 0.01
         assert caught.value.reason is RefusalReason.OVERLOADED
         assert caught.value.verdict is Verdict.NOT_RUN
@@ -158,54 +158,58 @@
 
 
 @in_virtual_time
-async def test_a_statement_behind_too_many_others_is_refused_at_once() -> None:
-    async with one_connection() as one:
+async def test_statement_is_refused_at_once_if_its_expected_wait_is_too_long() -> None:
+    async with single_connection_home() as fixture:
         for number in range(4):
-            # Four transactions of 0.4 s each tell how long connections are lent.
-            await one.run("s1", SessionStatementKind.WRITE, f"t{number}", first=True)
+            # Four transactions of 0.4 s each set the mean lend time.
+            await fixture.run(
+                "s1", SessionStatementKind.WRITE, f"t{number}", first=True
+            )
             await asyncio.sleep(0.4)
-            await one.run("s1", SessionStatementKind.COMMIT, f"t{number}")
-        await one.run("s1", SessionStatementKind.WRITE, "t", first=True)
-        waiting = asyncio.ensure_future(one.run("s2", SessionStatementKind.READ))
+            await fixture.run("s1", SessionStatementKind.COMMIT, f"t{number}")
+        await fixture.run("s1", SessionStatementKind.WRITE, "t", first=True)
+        waiting = asyncio.ensure_future(fixture.run("s2", SessionStatementKind.READ))
         await asyncio.sleep(0.0)
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         with pytest.raises(RefusalError) as caught:
-            await one.run("s3", SessionStatementKind.READ)
-        assert asyncio.get_running_loop().time() - begun < 0.01
+            await fixture.run("s3", SessionStatementKind.READ)
+        assert asyncio.get_running_loop().time() - started < 0.01
         assert caught.value.verdict is Verdict.NOT_RUN
         assert (caught.value.retry_after_ms or 0) >= 300
-        await one.run("s1", SessionStatementKind.COMMIT, "t")
+        await fixture.run("s1", SessionStatementKind.COMMIT, "t")
         assert (await waiting).fault is StatementFault.NONE
 
 
 @in_virtual_time
-async def test_a_free_connection_is_lent_whatever_others_waited_for() -> None:
-    async with one_connection() as one:
+async def test_free_connection_is_lent_despite_long_lend_times() -> None:
+    async with single_connection_home() as fixture:
         for number in range(4):
-            await one.run("s1", SessionStatementKind.WRITE, f"t{number}", first=True)
+            await fixture.run(
+                "s1", SessionStatementKind.WRITE, f"t{number}", first=True
+            )
             await asyncio.sleep(1.0)
-            await one.run("s1", SessionStatementKind.COMMIT, f"t{number}")
+            await fixture.run("s1", SessionStatementKind.COMMIT, f"t{number}")
         assert (
-            await one.run("s2", SessionStatementKind.READ)
+            await fixture.run("s2", SessionStatementKind.READ)
         ).fault is StatementFault.NONE
 
 
 @in_virtual_time
-async def test_nobody_waits_for_a_target_that_answers_nothing() -> None:
-    """Its home refuses at once, and whoever waits there by then."""
-    async with one_connection() as one:
-        await one.run("s1", SessionStatementKind.READ)
-        one.group.primary.down = True
-        first = asyncio.ensure_future(one.run("s1", SessionStatementKind.READ))
+async def test_stalled_target_refuses_new_and_queued_statements() -> None:
+    """New statements are refused at once, and so are queued ones."""
+    async with single_connection_home() as fixture:
+        await fixture.run("s1", SessionStatementKind.READ)
+        fixture.group.primary.down = True
+        first = asyncio.ensure_future(fixture.run("s1", SessionStatementKind.READ))
         await asyncio.sleep(STALLED_AFTER_SECONDS + 0.01)
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         with pytest.raises(RefusalError) as caught:
-            await one.run("s2", SessionStatementKind.READ)
-        assert asyncio.get_running_loop().time() == begun
+            await fixture.run("s2", SessionStatementKind.READ)
+        assert asyncio.get_running_loop().time() == started
         assert caught.value.reason is RefusalReason.TARGET_UNREACHABLE
         assert caught.value.verdict is Verdict.NOT_RUN
         with pytest.raises(RefusalError):
             await first
-        one.group.primary.down = False
-        reply = await one.run("s1", SessionStatementKind.READ)
+        fixture.group.primary.down = False
+        reply = await fixture.run("s1", SessionStatementKind.READ)
         assert reply.fault is StatementFault.NONE
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -1,4 +1,4 @@
-"""Sessions that share connections in turns never meet each other's state."""
+"""Sessions that share connections never see the settings of other sessions."""
 
 import asyncio
 from typing import TypeAlias
@@ -22,7 +22,7 @@
 from .fakes_members import FakeDriver, FakePhrases
 
 Step: TypeAlias = tuple[int, str, str]
-"""A session, what it does, and with which value."""
+"""A session, its action, and the value of the action."""
 
 SESSIONS = 4
 CONNECTIONS = 2
@@ -39,8 +39,8 @@
 )
 
 
-class SessionOfHome:
-    """Hold what one session has set and prepared, and its transaction."""
+class ModelSession:
+    """Track the settings, prepared statements and transaction of one session."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -71,7 +71,7 @@
 
 
 class HomeOfSessions:
-    """Drive a home with the steps of many sessions."""
+    """Run the steps of several sessions at one home."""
 
     def __init__(self) -> None:
         clock = LoopClock()
@@ -89,51 +89,51 @@
             lambda position, asked: None,
             3.0,
         )
-        self.sessions = [SessionOfHome(f"s{one}") for one in range(SESSIONS)]
+        self.sessions = [ModelSession(f"s{number}") for number in range(SESSIONS)]
 
     async def step(self, step: Step) -> None:
-        """Take one step of one session."""
-        number, what, value = step
+        """Run one step of one session."""
+        number, action, value = step
         session = self.sessions[number]
-        if what == "set":
+        if action == "set":
             session.state["value v"] = f"SET v {value}"
             session.values["v"] = value
-        elif what == "prepare":
+        elif action == "prepare":
             writes = value == "1"
             shape = "WRITE" if writes else "READ"
             session.state[f"prepared p{value}"] = f"PREPARE p{value} {shape} q"
             session.prepared[f"p{value}"] = writes
-        elif what == "deallocate":
+        elif action == "deallocate":
             session.state.pop(f"prepared p{value}", None)
             session.prepared.pop(f"p{value}", None)
-        elif what == "begin" and not session.transaction:
+        elif action == "begin" and not session.transaction:
             session.transaction = f"{session.name}.t{session.sent}"
             session.opened = False
-        elif what == "rollback" or what == "break":
-            self.end(session, what)
-        elif what in ("read", "write"):
+        elif action == "rollback" or action == "break":
+            self.end(session, action)
+        elif action in ("read", "write"):
             kind = (
                 SessionStatementKind.READ
-                if what == "read"
+                if action == "read"
                 else SessionStatementKind.WRITE
             )
-            await self.run(session, kind, "READ a" if what == "read" else "WRITE a b")
-        elif what == "commit" and session.opened:
+            await self.run(session, kind, "READ a" if action == "read" else "WRITE a b")
+        elif action == "commit" and session.opened:
             await self.run(session, SessionStatementKind.COMMIT, "COMMIT")
             session.transaction = ""
 
-    def end(self, session: SessionOfHome, what: str) -> None:
-        """Roll a transaction back, or lose the connections that are idle."""
-        if what == "break":
+    def end(self, session: ModelSession, action: str) -> None:
+        """Roll back a transaction, or close the idle connections."""
+        if action == "break":
             self.home.connections.drop_idle()
             return
         self.home.transactions.end(session.transaction)
         session.transaction = ""
 
     async def run(
-        self, session: SessionOfHome, kind: SessionStatementKind, text: str
+        self, session: ModelSession, kind: SessionStatementKind, text: str
     ) -> None:
-        """Run a statement and check what it met."""
+        """Run a statement and check the session state that it saw."""
         work = session.work(kind, text)
         self.promises.sent[work.id] = Sent(
             text, work.transaction, dict(session.values), dict(session.prepared)
@@ -141,16 +141,16 @@
         try:
             reply = await self.home.run(work)
         except RefusalError:
-            # No connection came free: nothing ran.
+            # No connection became free, so nothing ran.
             assert work.id not in self.group.primary.runs
             self.home.transactions.end(session.transaction)
             session.transaction = ""
             return
         session.opened = bool(session.transaction)
-        self.judge(session, reply)
+        self.check_reply(session, reply)
 
-    def judge(self, session: SessionOfHome, reply: SessionTargetReply) -> None:
-        """Compare what a read saw with the session's state."""
+    def check_reply(self, session: ModelSession, reply: SessionTargetReply) -> None:
+        """Compare the result of a read with the session's state."""
         assert reply.fault is StatementFault.NONE
         if not reply.rows:
             return
--- a/tests/test_self_feeding.py
+++ b/tests/test_self_feeding.py
@@ -1,10 +1,7 @@
-"""No failure feeds itself: once its trigger has ended, service is back.
+"""Metastable failures: service must recover once an overload or outage has ended.
 
-The pattern: many hosts before targets with few slots, over links of bounded rate;
-callers come back when they are refused, up to three times. A trigger makes far more
-work than there is room for, or cuts hosts off, or ends them. Whatever hosts then do
-to find each other, the store and the targets anew, and whatever callers repeat, must
-not keep the trouble up.
+Retries of callers and reconnects of hosts must not keep the system overloaded, with
+few slots per target and links of limited rate.
 """
 
 import asyncio
@@ -22,37 +19,36 @@
 from .session_world import SessionWorld
 from .thin_links import ThinNetwork
 
-RATE = 1_250_000.0
-"""Bytes a second of a host's link each way, the least of the sizes to serve."""
+LINK_RATE = 1_250_000.0
+"""Bytes per second of a host's link in each direction."""
 
 SLOTS = 2
-WORK = 0.01
-"""Statements at a time at a target, and seconds of one: 200 a second."""
+STATEMENT_SECONDS = 0.01
+"""Slots of a target, and seconds per statement: a capacity of 200 per second."""
 
 CALLERS = 60
-PAUSE = 0.4
-"""Callers, and seconds between two of their statements in the mean: 150 a second,
-half of them for the primary, of the 200 that it can run."""
+MEAN_PAUSE = 0.4
+"""Callers, and mean seconds between their statements: 150 per second, half of them
+for the primary."""
 
 TRIES = 3
-PATIENCE = 1.0
+REPLY_TIMEOUT = 1.0
 RETRY_MS = 50
-"""Seconds that a caller waits for an answer, and when it comes back untold."""
+"""Reply timeout of a caller in seconds, and its default retry delay."""
 
-TRIGGER = 4.0
-BACK_WITHIN = 5.0
-MEASURED = 4.0
-"""Seconds: how long a trigger lasts, until service is to be back, and over which it
-is then measured."""
+TRIGGER_SECONDS = 4.0
+RECOVERY_SECONDS = 5.0
+MEASURED_SECONDS = 4.0
+"""Seconds that a trigger lasts, that the recovery may take, and of a measurement."""
 
-SERVED = 0.95
-"""Share of statements that are served in up to three tries."""
+MIN_SUCCESS_SHARE = 0.95
+"""Least share of statements that succeed within the allowed tries."""
 
 
-class Crowd:
-    """Callers at all hosts, and how their statements ended.
+class Callers:
+    """Callers at all hosts, and the outcomes of their statements.
 
-    :ivar ended: when each statement was first sent, and whether it was served.
+    :ivar ended: time of the first try of each statement, and whether it succeeded.
     """
 
     def __init__(self, world: SessionWorld, seed: int) -> None:
@@ -62,32 +58,32 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def join(self, count: int, until: float) -> None:
-        """Let so many more callers work until a moment."""
+        """Start `count` more callers that run until `until`."""
         for number in range(count):
             kind = ("tickets", "views", "reports", "views")[number % 4]
             self.tasks.append(asyncio.create_task(self.work(kind, until)))
 
     async def work(self, database: str, until: float) -> None:
-        """Send one statement after the other."""
+        """Send statements one after another."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            await asyncio.sleep(self.random.expovariate(1.0 / PAUSE))
-            asked = loop.time()
+            await asyncio.sleep(self.random.expovariate(1.0 / MEAN_PAUSE))
+            sent_at = loop.time()
             served = False
             for _ in range(TRIES):
-                served = await self.tried(database)
+                served = await self.try_once(database)
                 if served:
                     break
-            self.ended.append((asked, served))
+            self.ended.append((sent_at, served))
 
-    async def tried(self, database: str) -> bool:
-        """Send a statement in a session of its own; return whether it was served.
+    async def try_once(self, database: str) -> bool:
+        """Send a statement in a new session; return whether it succeeded.
 
-        Who is refused comes back when told to.
+        After a failure, wait for the retry delay of the refusal.
         """
         retry_ms = None
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT):
                 names = sorted(self.world.hosts)
                 caller = await self.world.caller(self.random.choice(names), database)
                 writes = database == "tickets"
@@ -97,108 +93,117 @@
                 if reply.refusal is not None:
                     retry_ms = reply.refusal.retry_after_ms
         except (RefusalError, TimeoutError, IndexError):
-            # No host runs, or it has no configuration yet, or it was ended.
+            # No host runs, or it has no configuration yet, or it was killed.
             pass
         await asyncio.sleep((retry_ms or RETRY_MS) / 1000.0)
         return False
 
-    def served(self, since: float, until: float) -> float:
-        """Return the share of statements first sent in a time that were served."""
+    def success_share(self, since: float, until: float) -> float:
+        """Return the share of successes among statements first sent in an interval."""
         ended = [served for asked, served in self.ended if since <= asked < until]
         assert ended
         return sum(ended) / len(ended)
 
 
-async def burst(crowd: Crowd) -> None:
-    """Four times the callers come, 600 statements a second."""
-    crowd.join(3 * CALLERS, asyncio.get_running_loop().time() + TRIGGER)
-    await asyncio.sleep(TRIGGER)
+async def burst(callers: Callers) -> None:
+    """Four times as many callers send 600 statements per second."""
+    callers.join(3 * CALLERS, asyncio.get_running_loop().time() + TRIGGER_SECONDS)
+    await asyncio.sleep(TRIGGER_SECONDS)
 
 
-async def healed_cut(crowd: Crowd) -> None:
-    """A zone is cut off from the others, the store and their targets."""
-    crowd.world.cut_zone("z1")
-    await asyncio.sleep(TRIGGER)
-    crowd.world.heal()
+async def zone_partition(callers: Callers) -> None:
+    """A zone is isolated from the others, the store and their targets."""
+    callers.world.cut_zone("z1")
+    await asyncio.sleep(TRIGGER_SECONDS)
+    callers.world.heal()
 
 
-async def power_lost(crowd: Crowd) -> None:
-    """All hosts end at once, and start again within 0.3 s."""
-    for name in list(crowd.world.hosts):
-        await crowd.world.kill(name)
+async def all_hosts_killed(callers: Callers) -> None:
+    """All hosts are killed at once, and restart after 1 s within 0.3 s."""
+    for name in list(callers.world.hosts):
+        await callers.world.kill(name)
     await asyncio.sleep(1.0)
-    await started(crowd, crowd.world.refs)
+    await start_hosts(callers, callers.world.refs)
 
 
-async def half_killed(crowd: Crowd) -> None:
-    """Half of the hosts end at once, and start again within 0.3 s."""
-    refs = crowd.world.refs[::2]
+async def half_of_hosts_killed(callers: Callers) -> None:
+    """Half of the hosts are killed at once, and restart after 0.3 s within 0.3 s."""
+    refs = callers.world.refs[::2]
     for ref in refs:
-        await crowd.world.kill(ref.host)
+        await callers.world.kill(ref.host)
     await asyncio.sleep(0.3)
-    await started(crowd, refs)
+    await start_hosts(callers, refs)
 
 
-async def store_away(crowd: Crowd) -> None:
-    """The store answers nobody."""
-    crowd.world.store.silent |= {ref.host for ref in crowd.world.refs}
-    await asyncio.sleep(TRIGGER)
-    crowd.world.store.silent.clear()
+async def store_outage(callers: Callers) -> None:
+    """The store is unreachable."""
+    callers.world.store.silent |= {ref.host for ref in callers.world.refs}
+    await asyncio.sleep(TRIGGER_SECONDS)
+    callers.world.store.silent.clear()
 
 
-async def dark_primary(crowd: Crowd) -> None:
-    """The primary answers nobody any more."""
-    crowd.world.group.primary.down = True
-    await asyncio.sleep(TRIGGER)
+async def primary_outage(callers: Callers) -> None:
+    """The primary stops replying for good."""
+    callers.world.group.primary.down = True
+    await asyncio.sleep(TRIGGER_SECONDS)
 
 
-async def started(crowd: Crowd, refs: list[HostRef]) -> None:
-    """Start hosts within 0.3 s."""
+async def start_hosts(callers: Callers, refs: list[HostRef]) -> None:
+    """Start hosts at random times within 0.3 s."""
 
     async def start(ref: HostRef) -> None:
-        await asyncio.sleep(crowd.random.uniform(0.0, 0.3))
-        await crowd.world.start_host(ref)
+        await asyncio.sleep(callers.random.uniform(0.0, 0.3))
+        await callers.world.start_host(ref)
 
     await asyncio.gather(*map(start, refs))
 
 
-TRIGGERS = [burst, healed_cut, power_lost, half_killed, store_away, dark_primary]
+TRIGGERS = [
+    burst,
+    zone_partition,
+    all_hosts_killed,
+    half_of_hosts_killed,
+    store_outage,
+    primary_outage,
+]
 
 
-CASES = [(one, 4) for one in TRIGGERS]
-CASES += [(burst, 20), (healed_cut, 20), (power_lost, 65)]
-"""Triggers, and hosts in each of three zones."""
+CASES = [(trigger, 4) for trigger in TRIGGERS]
+CASES += [(burst, 20), (zone_partition, 20), (all_hosts_killed, 65)]
+"""Triggers, and the number of hosts in each of three zones."""
 
 
 @pytest.mark.parametrize(("trigger", "hosts_a_zone"), CASES)
-def test_service_is_back_once_the_trigger_has_ended(
-    trigger: Callable[[Crowd], Awaitable[None]], hosts_a_zone: int
+def test_service_recovers_after_the_trigger_has_ended(
+    trigger: Callable[[Callers], Awaitable[None]], hosts_a_zone: int
 ) -> None:
-    run_virtual(played(trigger, hosts_a_zone))
+    run_virtual(measure_recovery(trigger, hosts_a_zone))
 
 
-async def played(
-    trigger: Callable[[Crowd], Awaitable[None]], hosts_a_zone: int
+async def measure_recovery(
+    trigger: Callable[[Callers], Awaitable[None]], hosts_a_zone: int
 ) -> None:
-    """Serve, have the trouble, and measure before and after."""
+    """Measure the share of successes before and after a trigger."""
     loop = asyncio.get_running_loop()
-    network = ThinNetwork(RATE, hosts_a_zone)
+    network = ThinNetwork(LINK_RATE, hosts_a_zone)
     world = SessionWorld(hosts_a_zone, 3, hosts_a_zone, network=network)
     for number, target in enumerate(world.group.members):
-        world.slots[target] = Slots(SLOTS, WORK, number)
+        world.slots[target] = Slots(SLOTS, STATEMENT_SECONDS, number)
     await world.start()
-    crowd = Crowd(world, hosts_a_zone)
-    crowd.join(CALLERS, loop.time() + 4 * MEASURED + TRIGGER + BACK_WITHIN)
-    begun = loop.time()
-    await asyncio.sleep(MEASURED)
-    await trigger(crowd)
-    back = loop.time() + BACK_WITHIN
-    await asyncio.sleep(BACK_WITHIN + MEASURED)
-    before = crowd.served(begun, begun + MEASURED)
-    after = crowd.served(back, back + MEASURED - 1.0)
-    for task in crowd.tasks:
+    callers = Callers(world, hosts_a_zone)
+    callers.join(
+        CALLERS, loop.time() + 4 * MEASURED_SECONDS + TRIGGER_SECONDS + RECOVERY_SECONDS
+    )
+    started_at = loop.time()
+    await asyncio.sleep(MEASURED_SECONDS)
+    await trigger(callers)
+    recovered_at = loop.time() + RECOVERY_SECONDS
+    await asyncio.sleep(RECOVERY_SECONDS + MEASURED_SECONDS)
+    before = callers.success_share(started_at, started_at + MEASURED_SECONDS)
+    after = callers.success_share(recovered_at, recovered_at + MEASURED_SECONDS - 1.0)
+    for task in callers.tasks:
         task.cancel()
-    assert before >= SERVED
-    assert after >= SERVED
+    assert before >= MIN_SUCCESS_SHARE
+    assert after >= MIN_SUCCESS_SHARE
     world.check()
     await world.stop()
--- a/tests/test_target_http.py
+++ b/tests/test_target_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapter of targets: one connection, whole answers, honest errors."""
+"""HTTP targets: no hidden reconnects or retries, and no incomplete responses."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,21 +20,21 @@
 from .support import on_loop, using
 from .support_group import INSERT, SELECT, applied, connect, group_of
 
-GREETING = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
-NOTHING = (
+HELLO_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+EMPTY_RESULT = (
     b'{"columns":[],"rows":[],"rowcount":0,"position":[1,1],'
     b'"term":1,"role":"primary","repeated":false}'
 )
 
 
 class RawTarget:
-    """Answer the greeting, then each request with the next raw answer.
+    """Reply to ``hello``, then to each request with the next raw response.
 
-    An answer of None closes the connection.
+    A response of None closes the connection.
     """
 
-    def __init__(self, answers: list[bytes | None]) -> None:
-        self.answers = answers
+    def __init__(self, responses: list[bytes | None]) -> None:
+        self.responses = responses
         self.accepted = 0
         self.requests = 0
         self.port = 0
@@ -45,14 +45,14 @@
         self.accepted += 1
         try:
             await self.request(reader)
-            writer.write(GREETING)
+            writer.write(HELLO_RESPONSE)
             while True:
                 await self.request(reader)
                 self.requests += 1
-                answer = self.answers.pop(0)
-                if answer is None:
+                response = self.responses.pop(0)
+                if response is None:
                     break
-                writer.write(answer)
+                writer.write(response)
         except asyncio.IncompleteReadError:
             pass
         writer.close()
@@ -68,28 +68,28 @@
 
 
 @asynccontextmanager
-async def raw_target(*answers: bytes | None) -> AsyncIterator[RawTarget]:
-    raw = RawTarget(list(answers))
+async def raw_target(*responses: bytes | None) -> AsyncIterator[RawTarget]:
+    raw = RawTarget(list(responses))
     server = await asyncio.start_server(raw.serve, "127.0.0.1", 0)
     raw.port = server.sockets[0].getsockname()[1]
     async with server:
         yield raw
 
 
-def whole(body: bytes) -> bytes:
+def http_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 @using(group_of)
-async def test_a_write_reaches_the_replicas(group: GroupStandin) -> None:
+async def test_write_reaches_the_replicas(group: GroupStandin) -> None:
     first, second, _ = group.members.values()
-    one = await connect(first)
-    other = await connect(second)
-    written = await one.write(INSERT, ["pomace"], None, 1.0)
+    primary = await connect(first)
+    replica = await connect(second)
+    written = await primary.write(INSERT, ["pomace"], None, 1.0)
     assert written.position == Position(1, 3)
     assert written.role is Role.PRIMARY
-    await applied(other, written.position)
-    read = await other.read(SELECT, [], 1.0)
+    await applied(replica, written.position)
+    read = await replica.read(SELECT, [], 1.0)
     assert read.rows == [["pomace"]]
     assert read.columns == ["load"]
     assert read.position == written.position
@@ -97,31 +97,33 @@
 
 
 @using(group_of)
-async def test_no_listener_means_that_nothing_was_sent(group: GroupStandin) -> None:
+async def test_connect_without_a_listener_raises_unreachable(
+    group: GroupStandin,
+) -> None:
     await group.primary.kill()
     with pytest.raises(TargetUnreachableError):
         await connect(group.primary)
 
 
 @using(lambda: group_of(connections=3))
-async def test_a_full_target_says_so_and_has_room_after_a_close(
+async def test_full_target_accepts_a_connection_after_a_close(
     group: GroupStandin,
 ) -> None:
-    open_ones = [await connect(group.primary) for _ in range(3)]
+    connections = [await connect(group.primary) for _ in range(3)]
     with pytest.raises(TargetFullError):
         await connect(group.primary)
     assert group.primary.open_connections == 3
-    await open_ones[0].close()
-    state = await open_ones[1].state(1.0)
+    await connections[0].close()
+    state = await connections[1].state(1.0)
     while state.connections == 3:
-        state = await open_ones[1].wait_state(state.revision, 1.0)
-    again = await connect(group.primary)
-    assert (await again.state(1.0)).connections == 3
+        state = await connections[1].wait_state(state.revision, 1.0)
+    reopened = await connect(group.primary)
+    assert (await reopened.state(1.0)).connections == 3
     assert group.primary.peak_connections == 3
 
 
 @using(lambda: raw_target(None))
-async def test_a_broken_connection_is_neither_replaced_nor_is_the_request_repeated(
+async def test_broken_connection_is_not_replaced_and_the_request_not_repeated(
     raw: RawTarget,
 ) -> None:
     connection = await raw.connect()
@@ -134,7 +136,7 @@
 
 
 @using(group_of)
-async def test_a_connection_that_ended_while_idle_sends_nothing(
+async def test_connection_closed_while_idle_sends_nothing(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -148,28 +150,28 @@
 
 
 @on_loop
-async def test_an_answer_cut_short_is_no_answer() -> None:
-    cut = whole(NOTHING)[:-10]
-    async with raw_target(cut, None) as raw:
+async def test_truncated_response_raises_no_reply() -> None:
+    truncated = http_response(EMPTY_RESULT)[:-10]
+    async with raw_target(truncated, None) as raw:
         connection = await raw.connect()
         with pytest.raises(TargetNoReplyError):
             await connection.read("SELECT 1", [], 0.2)
         assert connection.channel.closed
 
 
-@using(lambda: raw_target(whole(b'{"rows":[]}')))
-async def test_a_result_that_lacks_a_field_is_no_answer(raw: RawTarget) -> None:
+@using(lambda: raw_target(http_response(b'{"rows":[]}')))
+async def test_result_without_a_field_raises_no_reply(raw: RawTarget) -> None:
     connection = await raw.connect()
     with pytest.raises(TargetNoReplyError):
         await connection.write("DELETE FROM ticket", [], None, 1.0)
 
 
 @on_loop
-async def test_an_answer_that_nobody_asked_for_is_not_given_to_the_next_request() -> (
-    None
-):
-    stray = NOTHING.replace(b'"rowcount":0', b'"rowcount":7')
-    async with raw_target(whole(NOTHING) + whole(stray), None) as raw:
+async def test_unsolicited_response_is_not_taken_for_the_next_one() -> None:
+    unsolicited = EMPTY_RESULT.replace(b'"rowcount":0', b'"rowcount":7')
+    async with raw_target(
+        http_response(EMPTY_RESULT) + http_response(unsolicited), None
+    ) as raw:
         connection = await raw.connect()
         first = await connection.read("SELECT 1", [], 1.0)
         assert first.rowcount == 0
@@ -179,7 +181,7 @@
 
 
 @using(group_of)
-async def test_a_request_that_was_cancelled_leaves_no_usable_connection(
+async def test_cancelled_request_closes_the_connection(
     group: GroupStandin,
 ) -> None:
     group.primary.statement_time = 0.2
@@ -194,7 +196,7 @@
 
 
 @using(group_of)
-async def test_a_large_answer_is_read_whole(group: GroupStandin) -> None:
+async def test_large_response_is_read_completely(group: GroupStandin) -> None:
     connection = await connect(group.primary)
     load = "citrus" * 500_000
     await connection.write(INSERT, [load], None, 5.0)
@@ -203,7 +205,7 @@
 
 
 @using(group_of)
-async def test_parameters_that_json_cannot_carry_are_refused_before_sending(
+async def test_parameters_without_a_json_form_are_refused_before_sending(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -214,7 +216,7 @@
 
 
 @using(group_of)
-async def test_two_exchanges_at_once_on_one_connection_are_a_defect(
+async def test_concurrent_exchanges_on_one_connection_raise(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id and hold nothing of before."""
+"""Targets that restart under the same id after losing their data."""
 
 import asyncio
 
@@ -14,29 +14,31 @@
 from .support import using
 from .test_session_world import a_world, first_success, traffic
 
-ENTRY_LATE = 1.5
-"""Seconds after which a target announces itself; the store hears it at 1.2 s."""
+ANNOUNCE_DELAY = 1.5
+"""Seconds until a restarted target announces itself."""
 
-STORE_AWAY = 4.0
+STORE_OUTAGE_SECONDS = 4.0
 
 
-async def start_again(
-    world: SessionWorld, member: DatabaseMember, late: float = 0.0
+async def restart(
+    world: SessionWorld, member: DatabaseMember, announce_delay: float = 0.0
 ) -> None:
-    """Let a target start again, and announce itself."""
+    """Restart a target without its data, and announce it."""
     member.start_again()
-    await asyncio.sleep(late)
+    await asyncio.sleep(announce_delay)
     world.announce(member.entry)
 
 
 def replicas(world: SessionWorld) -> list[DatabaseMember]:
-    """Return the members that do not lead."""
+    """Return the members that are not the primary."""
     return [one for one in world.group.members.values() if not one.leads]
 
 
-@pytest.mark.parametrize("late", [0.0, ENTRY_LATE], ids=["at once", "entry late"])
-def test_a_primary_that_lost_everything_is_replaced(late: float) -> None:
-    """Its connections break, its next process is there at once, as a replica."""
+@pytest.mark.parametrize(
+    "announce_delay", [0.0, ANNOUNCE_DELAY], ids=["at once", "entry late"]
+)
+def test_primary_that_lost_its_data_is_replaced(announce_delay: float) -> None:
+    """Its connections break, and its new process starts at once as a replica."""
 
     async def play() -> None:
         world = SessionWorld()
@@ -45,7 +47,7 @@
         before = world.group.primary
         await asyncio.sleep(0.5)
         running = asyncio.create_task(traffic(world, 8.0, 2))
-        await start_again(world, before, late)
+        await restart(world, before, announce_delay)
         caller = await world.caller("h00", "tickets")
         assert await first_success(caller, 6.0) < 3.0
         await running
@@ -57,8 +59,8 @@
     run_virtual(play())
 
 
-def test_a_primary_that_comes_back_empty_and_leads_is_not_believed() -> None:
-    """It says that it leads its first term, as the very first process did."""
+def test_restarted_empty_primary_that_claims_its_role_is_replaced() -> None:
+    """It claims to be the primary of its first term, as its first process did."""
 
     async def play() -> None:
         world = SessionWorld()
@@ -69,7 +71,7 @@
         running = asyncio.create_task(traffic(world, 8.0, 2))
         before.start_again()
         before.leads = True
-        await asyncio.sleep(ENTRY_LATE)
+        await asyncio.sleep(ANNOUNCE_DELAY)
         world.announce(before.entry)
         await running
         assert world.group.primary is not before
@@ -80,15 +82,15 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_primary_that_started_again_is_not_taken_over(
+async def test_restarted_primary_is_not_kept_by_the_next_lease_holder(
     world: SessionWorld,
 ) -> None:
-    """Its holder is lost at the same time; the next one has the record only."""
+    """The lease holder fails too, so its successor knows only the record."""
     await traffic(world, 2.0, 3)
     await asyncio.sleep(0.5)
     before = world.group.primary
     holder = world.leader().me.host
-    await start_again(world, before)
+    await restart(world, before)
     before.leads = True
     await world.kill(holder)
     other = next(name for name in world.hosts if name != holder)
@@ -98,17 +100,17 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_primary_that_started_again_while_the_store_is_away(
+async def test_primary_restarted_during_a_store_outage_is_replaced(
     world: SessionWorld,
 ) -> None:
-    """No entry tells of it; what it states on new connections does."""
+    """Only the position reported on new connections shows the restart."""
     await traffic(world, 2.0, 4)
     await asyncio.sleep(0.5)
     before = world.group.primary
     world.store.silent |= set(world.hosts)
     before.start_again()
-    running = asyncio.create_task(traffic(world, STORE_AWAY + 4.0, 5))
-    await asyncio.sleep(STORE_AWAY)
+    running = asyncio.create_task(traffic(world, STORE_OUTAGE_SECONDS + 4.0, 5))
+    await asyncio.sleep(STORE_OUTAGE_SECONDS)
     world.announce(before.entry)
     world.store.silent.clear()
     caller = await world.caller("h00", "tickets")
@@ -118,10 +120,10 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_successor_that_started_again_is_not_ordered(
+async def test_restarted_successor_is_not_promoted(
     world: SessionWorld,
 ) -> None:
-    """It started between the decision on it and the order."""
+    """It restarted between its selection and the promotion order."""
     await traffic(world, 2.0, 6)
     await asyncio.sleep(0.5)
     host = world.leader()
@@ -130,22 +132,22 @@
     chosen: list[str] = []
     order = promotion.coordinator.order
 
-    async def late_order(service: str, target: str) -> object:
+    async def track_order(service: str, target: str) -> object:
         ordered.append(target)
         return await order(service, target)
 
     decide = promotion.decide_successor
 
-    async def lose_it(*arguments: object) -> bool:
+    async def restart_once(*arguments: object) -> bool:
         found = await decide(*arguments)  # type: ignore[arg-type]
         if found and not chosen:
             chosen.append(promotion.claim.record.successor)
-            await start_again(world, world.group.members[chosen[0]])
+            await restart(world, world.group.members[chosen[0]])
             await asyncio.sleep(0.7)
         return found
 
-    promotion.coordinator.order = late_order  # type: ignore[assignment, method-assign]
-    promotion.decide_successor = lose_it  # type: ignore[assignment, method-assign]
+    promotion.coordinator.order = track_order  # type: ignore[assignment, method-assign]
+    promotion.decide_successor = restart_once  # type: ignore[assignment, method-assign]
     world.group.primary.down = True
     caller = await world.caller("h00", "tickets")
     await first_success(caller, 20.0)
@@ -154,15 +156,15 @@
 
 
 @using(a_world, run_virtual)
-async def test_one_that_holds_nothing_is_not_promoted_over_one_that_holds_more(
+async def test_empty_replica_is_not_promoted_over_one_with_data(
     world: SessionWorld,
 ) -> None:
-    """The replica that holds everything cannot be reached for a while."""
+    """The replica that holds all entries is unreachable for a while."""
     await traffic(world, 2.0, 7)
     await asyncio.sleep(0.5)
     empty, full = replicas(world)
     empty.deaf = True
-    await start_again(world, empty)
+    await restart(world, empty)
     for host in world.hosts:
         world.group.cut(host, full.entry.target)
     world.group.primary.down = True
@@ -175,7 +177,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_what_was_learned_of_a_replica_does_not_speak_for_the_next(
+async def test_observations_of_a_replica_are_dropped_after_its_restart(
     world: SessionWorld,
 ) -> None:
     await traffic(world, 2.0, 8)
@@ -186,28 +188,34 @@
         for one in world.hosts.values()
         if target in one.statement_server.replica_homes
     )
-    old = host.statement_server.replica_homes[target]
-    seen = host.replicas.observations("db").target(target)
-    seen.position = Position(9, 9)
+    old_home = host.statement_server.replica_homes[target]
+    observations = host.replicas.observations("db").target(target)
+    observations.position = Position(9, 9)
     member.deaf = True
-    await start_again(world, member)
+    await restart(world, member)
     await asyncio.sleep(0.8)
     assert host.replicas.observations("db").target(target).position is None
     await traffic(world, 3.0, 9)
-    assert old.connections.closed
-    assert host.statement_server.replica_homes[target] is not old
+    assert old_home.connections.closed
+    assert host.statement_server.replica_homes[target] is not old_home
 
 
 @using(a_world, run_virtual)
-async def test_entries_of_other_writers_break_nothing(world: SessionWorld) -> None:
-    """Somebody scribbles over entries of targets while statements run."""
+async def test_invalid_entries_of_other_writers_do_no_harm(world: SessionWorld) -> None:
+    """Target entries are overwritten with invalid data while statements run."""
     running = asyncio.create_task(traffic(world, 6.0, 10))
     members = [one.entry for one in world.group.members.values()]
-    scribbles = [b"\xff", b"{}", b"[1]", encode({"entry": [1, 2]}), b'{"entry": 0}']
+    invalid_entries = [
+        b"\xff",
+        b"{}",
+        b"[1]",
+        encode({"entry": [1, 2]}),
+        b'{"entry": 0}',
+    ]
     for index in range(10):
         entry = members[index % len(members)]
-        world.store.write(TARGET_PREFIX + entry.target, scribbles[index % 5])
-        world.store.write(f"{TARGET_PREFIX}x{index}", scribbles[(index + 2) % 5])
+        world.store.write(TARGET_PREFIX + entry.target, invalid_entries[index % 5])
+        world.store.write(f"{TARGET_PREFIX}x{index}", invalid_entries[(index + 2) % 5])
         await asyncio.sleep(0.4)
         world.announce(entry)
     callers = await running
--- a/tests/test_workspace_connections.py
+++ b/tests/test_workspace_connections.py
@@ -1,6 +1,6 @@
-"""Connections that belong to workspaces: who gets which, and which makes room.
+"""Connections bound to workspaces: isolation, eviction and reuse.
 
-The pattern: more workspaces than a home may have connections open, of unequal size.
+More workspaces of unequal size use a home than it may have connections open.
 """
 
 import asyncio
@@ -19,89 +19,89 @@
 from .fakes_clock import LoopClock, in_virtual_time, run_virtual
 from .fakes_members import FakeDriver, FakePhrases
 
-LIMIT = 4
-MOST = 6
+MAX_IN_USE = 4
+MAX_OPEN = 6
 
 
-def lanes_of(
-    group: DatabaseGroup, limit: int = LIMIT, most: int = MOST
+def pool_of(
+    group: DatabaseGroup, max_in_use: int = MAX_IN_USE, max_open: int = MAX_OPEN
 ) -> SessionConnectionPool:
-    """Return the connections of one home."""
+    """Return the connection pool of one home."""
     return SessionConnectionPool(
         group.primary.entry,
         FakeDriver("h1", [group]),
         FakePhrases(),
-        limit,
+        max_in_use,
         LoopClock(),
-        max_open=most,
+        max_open=max_open,
     )
 
 
-async def use(lanes: SessionConnectionPool, workspace: str) -> PooledConnection:
+async def use(pool: SessionConnectionPool, workspace: str) -> PooledConnection:
     """Borrow a connection of a workspace and give it back."""
-    lane = await lanes.borrow("s", 1.0, workspace)
-    lanes.give_back(lane)
+    pooled = await pool.borrow("s", 1.0, workspace)
+    pool.give_back(pooled)
     await asyncio.sleep(0.01)
-    return lane
+    return pooled
 
 
 @in_virtual_time
-async def test_a_workspace_finds_its_connection_again() -> None:
-    lanes = lanes_of(DatabaseGroup("db", ["z0"]))
-    first = await use(lanes, "a")
-    await use(lanes, "b")
-    assert await use(lanes, "a") is first
-    assert lanes.open_count == 2
+async def test_workspace_reuses_its_connection() -> None:
+    pool = pool_of(DatabaseGroup("db", ["z0"]))
+    first = await use(pool, "a")
+    await use(pool, "b")
+    assert await use(pool, "a") is first
+    assert pool.open_count == 2
 
 
 @in_virtual_time
-async def test_the_one_idle_for_longest_makes_room() -> None:
-    lanes = lanes_of(DatabaseGroup("db", ["z0"]))
+async def test_least_recently_used_connection_is_evicted() -> None:
+    pool = pool_of(DatabaseGroup("db", ["z0"]))
     for name in "abcdef":
-        await use(lanes, name)
-    await use(lanes, "a")
-    await use(lanes, "g")
-    assert Counter(lane.workspace for lane in lanes.idle) == Counter("acdefg")
+        await use(pool, name)
+    await use(pool, "a")
+    await use(pool, "g")
+    assert Counter(pooled.workspace for pooled in pool.idle) == Counter("acdefg")
 
 
 @in_virtual_time
-async def test_a_workspace_with_two_idle_ones_gives_one_up_first() -> None:
-    lanes = lanes_of(DatabaseGroup("db", ["z0"]))
+async def test_workspace_with_two_idle_connections_loses_one_first() -> None:
+    pool = pool_of(DatabaseGroup("db", ["z0"]))
     for name in "abcd":
-        await use(lanes, name)
-    both = [await lanes.borrow("s", 1.0, "e") for _ in range(2)]
-    for lane in both:
-        lanes.give_back(lane)
-    await use(lanes, "f")
-    assert Counter(lane.workspace for lane in lanes.idle) == Counter("abcdef")
+        await use(pool, name)
+    both = [await pool.borrow("s", 1.0, "e") for _ in range(2)]
+    for pooled in both:
+        pool.give_back(pooled)
+    await use(pool, "f")
+    assert Counter(pooled.workspace for pooled in pool.idle) == Counter("abcdef")
 
 
 @in_virtual_time
-async def test_a_connection_goes_to_one_that_waits_of_its_workspace() -> None:
-    lanes = lanes_of(DatabaseGroup("db", ["z0"]), 1, 1)
-    lane = await lanes.borrow("s1", 1.0, "a")
-    other = asyncio.create_task(lanes.borrow("s2", 1.0, "b"))
-    same = asyncio.create_task(lanes.borrow("s3", 1.0, "a"))
+async def test_connection_goes_to_a_waiter_of_its_workspace() -> None:
+    pool = pool_of(DatabaseGroup("db", ["z0"]), 1, 1)
+    pooled = await pool.borrow("s1", 1.0, "a")
+    other = asyncio.create_task(pool.borrow("s2", 1.0, "b"))
+    same = asyncio.create_task(pool.borrow("s3", 1.0, "a"))
     await asyncio.sleep(0.01)
-    lanes.give_back(lane)
-    assert await same is lane
-    # Nobody of its workspace waits now: it is closed for the one that does.
-    lanes.give_back(lane)
+    pool.give_back(pooled)
+    assert await same is pooled
+    # No waiter of its workspace is left, so it is closed for the other workspace.
+    pool.give_back(pooled)
     assert (await other).workspace == "b"
-    assert lane.connection.closed
+    assert pooled.connection.closed
 
 
 @in_virtual_time
-async def test_a_target_that_is_full_gets_room_from_idle_ones() -> None:
+async def test_idle_connection_is_closed_when_the_target_is_full() -> None:
     group = DatabaseGroup("db", ["z0"], limit=3)
-    lanes = lanes_of(group)
+    pool = pool_of(group)
     for name in "abc":
-        await use(lanes, name)
-    assert (await use(lanes, "d")).workspace == "d"
-    assert lanes.open_count == 3
+        await use(pool, name)
+    assert (await use(pool, "d")).workspace == "d"
+    assert pool.open_count == 3
 
 
-def test_a_home_leaves_connections_for_a_successor() -> None:
+def test_home_leaves_connections_for_its_successor() -> None:
     for connections in range(2, 100):
         assert (
             connection_quota(connections, 0)
@@ -113,56 +113,56 @@
 @settings(max_examples=30, deadline=None)
 @given(seed=strategies.integers(0, 10**6))
 def test_no_workspace_gets_the_connection_of_another(seed: int) -> None:
-    """Sessions of many workspaces borrow, wait, give up, and lose connections."""
+    """Sessions of many workspaces borrow, wait, time out and lose connections."""
 
-    async def course() -> None:
+    async def run() -> None:
         rng = random.Random(seed)
-        group = DatabaseGroup("db", ["z0"], limit=MOST + 1)
-        lanes = lanes_of(group)
+        group = DatabaseGroup("db", ["z0"], limit=MAX_OPEN + 1)
+        pool = pool_of(group)
 
         async def session(workspace: str) -> None:
             for _ in range(15):
                 await asyncio.sleep(rng.uniform(0.0, 0.2))
                 try:
                     async with asyncio.timeout(rng.choice([0.005, 0.05, 1.0])):
-                        lane = await lanes.borrow("s", 0.5, workspace)
+                        pooled = await pool.borrow("s", 0.5, workspace)
                 except (RefusalError, TimeoutError):
                     continue
-                assert lane.workspace == workspace
-                assert getattr(lane.connection, "workspace") == workspace
-                assert lanes.in_use() <= LIMIT and lanes.open_count <= MOST
+                assert pooled.workspace == workspace
+                assert getattr(pooled.connection, "workspace") == workspace
+                assert pool.in_use() <= MAX_IN_USE and pool.open_count <= MAX_OPEN
                 await asyncio.sleep(rng.uniform(0.0, 0.1))
                 if rng.random() < 0.2:
-                    lanes.discard(lane)
+                    pool.discard(pooled)
                 else:
-                    lanes.give_back(lane)
+                    pool.give_back(pooled)
 
         names = [f"w{rng.randrange(9)}" for _ in range(14)]
         await asyncio.gather(*(session(name) for name in names))
-        assert not lanes.waiting
-        assert lanes.open_count == len(lanes.idle)
-        assert not lanes.lent
+        assert not pool.waiting
+        assert pool.open_count == len(pool.idle)
+        assert not pool.lent
 
-    run_virtual(course())
+    run_virtual(run())
 
 
-@pytest.mark.parametrize("most", [22, 33])
-def test_more_that_are_kept_open_fewer_anew(most: int) -> None:
-    """84 workspaces at a target, as many operations as it has slots for."""
+@pytest.mark.parametrize("max_open", [22, 33])
+def test_more_idle_connections_mean_fewer_new_ones(max_open: int) -> None:
+    """A larger pool of idle connections must reduce the number of new ones."""
 
-    async def course() -> int:
+    async def run() -> int:
         rng = random.Random(7)
         group = DatabaseGroup("db", ["z0"], limit=47)
-        lanes = lanes_of(group, 22, most)
+        pool = pool_of(group, 22, max_open)
         weights = [1.0 / (index + 1) for index in range(84)]
         opened = 0
         for _ in range(2000):
             (name,) = rng.choices([f"w{n}" for n in range(84)], weights)
-            before = {id(lane) for lane in lanes.idle}
-            lane = await lanes.borrow("s", 1.0, name)
-            opened += id(lane) not in before
-            lanes.give_back(lane)
+            before = {id(pooled) for pooled in pool.idle}
+            pooled = await pool.borrow("s", 1.0, name)
+            opened += id(pooled) not in before
+            pool.give_back(pooled)
         return opened
 
-    opened = run_virtual(course())
-    assert opened < (2000 * 0.6 if most == 22 else 2000 * 0.45)
+    opened = run_virtual(run())
+    assert opened < (2000 * 0.6 if max_open == 22 else 2000 * 0.45)
