--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -249,7 +249,7 @@
     def begin(self, kind: SessionCommandKind) -> SessionReply:
         """Begin a transaction locally; see `SessionTransaction`."""
         if self.state is not SessionState.IDLE:
-            raise bad_request_refusal("a transaction is already open")
+            raise bad_request_refusal("a transaction is open already")
         self.renew_route()
         self.begun += 1
         self.transaction = SessionTransaction(
