--- a/src/reedhook/process/__init__.py
+++ b/src/reedhook/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Components that live as long as the process."""
--- a/src/reedhook/process/assembly.py
+++ b/src/reedhook/process/assembly.py
@@ -1,4 +1,4 @@
-"""Put a host together with its adapters and its three HTTP servers."""
+"""Assemble a host with its adapters and its three HTTP servers."""
 
 from random import Random
 from typing import Final
@@ -26,7 +26,7 @@
 
 
 def assemble_host(settings: Settings) -> HostDaemon:
-    """Return the process of a host as the daemon runs it."""
+    """Return the host process that the daemon runs."""
     if settings.statsd is None:
         return assemble(settings, SystemClock(), Random(), MemoryMetrics())
     metrics = StatsdMetrics(settings.statsd, f"{METRICS_PREFIX}.{settings.host}")
@@ -40,7 +40,7 @@
     metrics: Metrics,
     companions: tuple[Companion, ...] = (),
 ) -> HostDaemon:
-    """Return the process of a host with the given clock and random source.
+    """Return a host process with the given clock and random source.
 
     :raises OSError: if a certificate file cannot be used.
     """
@@ -55,19 +55,19 @@
     tls: TlsContexts | None = None,
     companions: tuple[Companion, ...] = (),
 ) -> HostDaemon:
-    """Return the process of `host` with its three servers."""
+    """Return the process that runs `host` behind its three servers."""
     settings = host.settings
     endpoint = PeerEndpoint(host.routes, settings.peer_credential, host.timeline)
     callers = CallerEndpoint(host.api)
     operators_app = admin_app(host.admin, config_routes(host.admin, host.editor))
     limits = settings.limits
-    shown = None if tls is None else tls.callers
+    caller_tls = None if tls is None else tls.callers
     return HostDaemon(
         host,
-        HandlerServer("callers", callers.handle, settings.listen, limits, shown),
+        HandlerServer("callers", callers.handle, settings.listen, limits, caller_tls),
         PeerServer(endpoint, settings.peer_listen, None if tls is None else tls.peers),
         ApplicationServer(
-            "operators", operators_app, settings.admin_listen, limits, shown
+            "operators", operators_app, settings.admin_listen, limits, caller_tls
         ),
         host.clock,
         limits.shutdown_s,
@@ -82,7 +82,7 @@
     metrics: Metrics,
     tls: TlsContexts | None = None,
 ) -> Host:
-    """Return a host with HTTP adapters to the outside."""
+    """Return a host with HTTP adapters to the platform, targets and peers."""
     timeline = Timeline(settings.host, clock)
     me = HostRef(settings.host, settings.zone, settings.peer_listen)
     context = None if tls is None else tls.client
--- a/src/reedhook/process/caller_sessions.py
+++ b/src/reedhook/process/caller_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions that are open at this host, and their gentle end."""
+"""Client sessions that are open at this host, and their graceful close."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -15,48 +15,46 @@
 from .discovery.announcements import Announcements
 
 CONFIGURATION_TIMEOUT_SECONDS: Final = 1.5
-"""Seconds for which a new session waits for the first configuration; callers
-give up after 2 s."""
+"""Limit of a new session's wait for the first configuration; callers time out
+after 2 s."""
 
 ROTATION_DELAY_SECONDS: Final = 2.2
-"""Seconds for which the platform goes on sending new connections to a host that
-is not ready: it asks each second, twice."""
+"""Time until the load balancer stops sending connections to an unready host: it
+removes a host after two failed readiness checks, one a second."""
 
 POLL_INTERVAL_SECONDS: Final = 0.05
-"""Seconds between two looks at what is still open."""
-
 CLOSE_INTERVAL_SECONDS: Final = 1.0
-"""Seconds between two rounds in which idle sessions are closed at a host that gets
-no new ones; a caller that comes back all the same has some time in between."""
+"""Interval at which an unready host selects open sessions to close; a caller that
+reconnects to it nevertheless is served until the next round."""
 
 RETRY_MS: Final = 500
-"""When to come back to a host without a configuration, in milliseconds."""
+"""Retry delay for callers of a host without a configuration."""
 
 
 class CallerConnection(ABC):
-    """Hold the connection of one caller."""
+    """Represent the connection of one caller."""
 
     @abstractmethod
     def is_idle(self) -> bool:
-        """Say whether no answer is owed and no transaction is open."""
+        """Return whether no response is pending and no transaction is open."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close the connection once what was written has gone out."""
+        """Close the connection after flushing its write buffer."""
 
     @abstractmethod
     def abort_transaction(self, cause: str) -> None:
-        """End the open transaction on our own account."""
+        """Abort the open transaction, if any, on behalf of the host."""
 
     @abstractmethod
     def is_access_revoked(self) -> bool:
-        """Say whether the key of the caller opens nothing any more."""
+        """Return whether the caller's key no longer grants access."""
 
 
 class CallerSessions:
-    """Open sessions and keep the connections of callers.
+    """Open sessions and track the connections of callers.
 
-    :ivar leaving: whether sessions are closed when nothing is outstanding.
+    :ivar leaving: whether this host drains: sessions are closed when idle.
     """
 
     def __init__(
@@ -84,9 +82,9 @@
     async def open_session(self, database: str, key: str = "") -> Session:
         """Return a new session.
 
-        :param key: of the caller; empty for none.
-        :raises Refusal: if there is no such database, no configuration, or if the
-            key does not open the database.
+        :param key: the caller's access key; empty for none.
+        :raises RefusalError: if the database is unknown, if there is no
+            configuration yet, or if the key grants no access to the database.
         """
         if not self.announcements.configured.is_set():
             await self.wait_for_configuration()
@@ -116,7 +114,7 @@
     async def wait_for_configuration(self) -> None:
         """Wait for the first configuration.
 
-        :raises Refusal: if none comes in time.
+        :raises RefusalError: if none arrives in time.
         """
         try:
             async with asyncio.timeout(CONFIGURATION_TIMEOUT_SECONDS):
@@ -131,14 +129,16 @@
     async def drain(self, transactions: float) -> None:
         """Close all sessions as they become idle.
 
-        :param transactions: seconds for which open transactions may go on.
+        :param transactions: seconds after which open transactions are aborted.
         """
         self.leaving = True
-        begun = self.clock.monotonic()
-        while self.clock.monotonic() - begun < transactions:
+        started_at = self.clock.monotonic()
+        while self.clock.monotonic() - started_at < transactions:
             self.close_idle(self.connections)
-            rotated = self.clock.monotonic() - begun >= ROTATION_DELAY_SECONDS
-            if rotated and not self.connections:
+            out_of_rotation = (
+                self.clock.monotonic() - started_at >= ROTATION_DELAY_SECONDS
+            )
+            if out_of_rotation and not self.connections:
                 return
             await self.clock.sleep(POLL_INTERVAL_SECONDS)
         for connection in list(self.connections):
@@ -148,45 +148,43 @@
     async def close_while_unready(self, unready_seconds: Callable[[], float]) -> None:
         """Close idle sessions while this host is out of rotation, until cancelled.
 
-        Their callers open them again at a host that can serve them. Those in which
-        something is outstanding are closed as soon as it has ended: in the next
-        round, a tenth of the callers of a zone cut off was refused for 1 s more.
+        Their callers reconnect to a host that can serve them. Busy sessions are
+        closed as soon as they become idle, without waiting for the next round.
 
-        :param unready_seconds: returns for how many seconds this host has not been
-            ready,
-            though it goes on.
+        :param unready_seconds: returns how long this host has been unready, in
+            seconds; 0 while it is ready.
         """
         next_round = ROTATION_DELAY_SECONDS
-        moving: set[CallerConnection] = set()
+        closing: set[CallerConnection] = set()
         while True:
             await self.clock.sleep(POLL_INTERVAL_SECONDS)
-            lasted = unready_seconds()
-            if lasted == 0.0:
+            unready_for = unready_seconds()
+            if unready_for == 0.0:
                 next_round = ROTATION_DELAY_SECONDS
-                moving.clear()
-            elif lasted >= next_round:
-                next_round = lasted + CLOSE_INTERVAL_SECONDS
-                moving = set(self.connections)
-                self.decisions.record("sessions_moved", sessions=len(moving))
-            moving &= self.connections
-            self.close_idle(moving)
+                closing.clear()
+            elif unready_for >= next_round:
+                next_round = unready_for + CLOSE_INTERVAL_SECONDS
+                closing = set(self.connections)
+                self.decisions.record("sessions_moved", sessions=len(closing))
+            closing &= self.connections
+            self.close_idle(closing)
 
     def close_idle(self, among: Iterable[CallerConnection]) -> None:
-        """Close those sessions in which nothing is outstanding."""
+        """Close the idle ones of the given connections."""
         for connection in list(among):
             if connection.is_idle():
                 connection.close()
 
     def close_revoked(self) -> None:
-        """Close idle sessions whose keys were taken away; others stay as they are.
+        """Close idle sessions whose access key was revoked.
 
-        One that is busy is refused with its next statement.
+        The next statement of a busy session is refused instead.
         """
-        denied = [one for one in self.connections if one.is_access_revoked()]
-        if denied:
-            self.decisions.record("keys_removed", sessions=len(denied))
-        self.close_idle(denied)
+        revoked = [one for one in self.connections if one.is_access_revoked()]
+        if revoked:
+            self.decisions.record("keys_removed", sessions=len(revoked))
+        self.close_idle(revoked)
 
     def has_requests_in_progress(self) -> bool:
-        """Say whether an answer is owed to somebody."""
+        """Return whether a request or a transaction is in progress."""
         return any(not one.is_idle() for one in self.connections)
--- a/src/reedhook/process/collector.py
+++ b/src/reedhook/process/collector.py
@@ -1,14 +1,14 @@
-"""The garbage collector of a process that serves for long."""
+"""Garbage collector settings of a long-running process."""
 
 import gc
 
 
 def freeze_startup_objects() -> None:
-    """Let the collector leave alone what has been made so far.
+    """Exclude all objects that exist now from garbage collection.
 
-    Modules, settings and the like are never garbage. A full collection that
-    looks at them all holds up every statement and heartbeat of the host.
-    It is off until now where the program starts with `deploy/reedhookd.py`.
+    Modules and settings are never garbage, and a full collection that traverses
+    them blocks all statements and heartbeats of the host. `deploy/reedhookd.py`
+    disables the collector at startup; this function enables it.
     """
     gc.collect()
     gc.freeze()
--- a/src/reedhook/process/daemon.py
+++ b/src/reedhook/process/daemon.py
@@ -49,17 +49,17 @@
 
 
 def run_by_yaml(path: Path, check: bool) -> int:
-    """Run a host by its YAML settings; return the exit code."""
-    # Each kind of host loads only what it needs: all hosts start together after
-    # a loss of power, and the modules of the other kind take 0.2 s of a core.
+    """Run a host with YAML settings; return the exit code."""
+    # Imported here to keep startup short: each kind of host loads only the modules
+    # that it needs.
     from .assembly import assemble_host
     from .settings import load_settings
 
     try:
         settings = load_settings(path)
     except ExceptionGroup as errors:
-        for one in errors.exceptions:
-            print(f"reedhookd: {one}", file=sys.stderr)
+        for error in errors.exceptions:
+            print(f"reedhookd: {error}", file=sys.stderr)
         return DaemonExitCode.USAGE
     if check:
         print("The settings are fine.")
@@ -69,7 +69,7 @@
 
 
 def run_on_platform(named: str | None, check: bool) -> int:
-    """Run a host by the platform's settings file; return the exit code."""
+    """Run a host with the platform's settings file; return the exit code."""
     from ..platform.assembly import create_process
     from ..platform.settings import SettingsError, load, settings_path
 
@@ -87,36 +87,35 @@
 
 
 def serve(settings: HostSettings, assemble: Assemble) -> int:
-    """Run a host as a service until it is told to stop; return the exit code."""
+    """Run a host as an aiomisc service until a stop signal; return the exit code."""
     from .service import run_service
 
     return run_with_exit_code(HostRun(settings, assemble), run_service)
 
 
 def serve_bare(settings: HostSettings, assemble: Assemble) -> int:
-    """Run a host without a framework around it; return the exit code.
+    """Run a host without aiomisc until a stop signal; return the exit code.
 
-    Importing aiomisc takes 0.08 to 0.1 s of a core, a quarter of a start. After
-    a loss of power all hosts start together, and nobody serves meanwhile.
+    Importing aiomisc would take a large part of the startup time.
     """
     return run_with_exit_code(HostRun(settings, assemble), run_bare)
 
 
 def run_bare(run: HostRun) -> None:
-    """Run a host until it is told to stop."""
+    """Run a host on a uvloop event loop until a stop signal arrives."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run.whole())
 
 
 def run_with_exit_code(run: HostRun, way: Callable[[HostRun], None]) -> int:
-    """Run a host in some way; return the exit code."""
+    """Run a host with the given runner; return the exit code."""
     forbid_io_uring()
     try:
         way(run)
     except (OSError, IoUringInUseError) as error:
-        log.error("The host cannot start: {}.", error)
+        log.error("The host cannot start and exits: {}.", error)
         return DaemonExitCode.FAILED
     except Exception:
-        log.exception("The host failed.")
+        log.exception("The host failed with an unexpected error and exits.")
         return DaemonExitCode.FAILED
     return run.exit_code
--- a/src/reedhook/process/events/__init__.py
+++ b/src/reedhook/process/events/__init__.py
@@ -1,1 +1,1 @@
-"""The time line of events."""
+"""Timeline of events: recording, merging and rendering."""
--- a/src/reedhook/process/events/timeline.py
+++ b/src/reedhook/process/events/timeline.py
@@ -1,6 +1,6 @@
 """Bounded ring of typed events with hybrid logical clock stamps.
 
-docs/design/timeline.md tells why stamps far ahead are not adopted.
+See docs/design/timeline.md for why stamps far ahead are not adopted.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 
 class EventKind(str, Enum):
-    """Name what happened."""
+    """Enumerate the kinds of events."""
 
     HOST_STARTED = "host_started"
     HOST_STOPPING = "host_stopping"
@@ -43,10 +43,10 @@
 
 
 class Stamp(Record):
-    """Order events causally over processes.
+    """Order events causally across processes.
 
-    :param wall_ms: highest wall-clock time seen, in milliseconds.
-    :param count: breaks ties.
+    :param wall_ms: highest wall-clock time seen, in milliseconds since the epoch.
+    :param count: counter that orders stamps with equal `wall_ms`.
     """
 
     __slots__ = ("wall_ms", "count")
@@ -56,25 +56,25 @@
         self.count = count
 
     def to_json(self) -> list[int]:
-        """Return the stamp as it stands on the wire."""
+        """Return the JSON encoding of the stamp."""
         return [self.wall_ms, self.count]
 
     @classmethod
     def from_json(cls, value: Any) -> "Stamp":
-        """Read a stamp from the wire.
+        """Decode a stamp from JSON.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
         if not isinstance(value, list) or [type(one) for one in value] != [int, int]:
-            raise WireError("a stamp is two whole numbers")
+            raise WireError("a stamp must be a list of two integers")
         return cls(*value)
 
 
 class Event(Record):
-    """Carry one event.
+    """Represent one event.
 
-    :param subject: the group, target or host that it is about.
-    :param detail: what else is known, as plain JSON values.
+    :param subject: the group, target or host that the event concerns.
+    :param detail: additional fields, as plain JSON values.
     """
 
     __slots__ = ("stamp", "host", "kind", "subject", "detail")
@@ -94,7 +94,7 @@
         self.detail = detail
 
     def to_json(self) -> dict[str, Any]:
-        """Return the event as it stands on the wire."""
+        """Return the JSON encoding of the event."""
         return {
             "stamp": self.stamp.to_json(),
             "host": self.host,
@@ -105,9 +105,9 @@
 
     @classmethod
     def from_json(cls, message: Any) -> "Event":
-        """Read an event from the wire.
+        """Decode an event from JSON.
 
-        :raises WireError: if it has another form, or a kind of a newer program.
+        :raises WireError: if it is malformed or its kind is unknown.
         """
         try:
             return cls(
@@ -118,13 +118,13 @@
                 dict(message["detail"]),
             )
         except (KeyError, TypeError, ValueError) as error:
-            raise WireError(f"not an event: {error}") from error
+            raise WireError(f"malformed event: {error}") from error
 
 
 class Timeline:
-    """Keep the last events of this process.
+    """Record the latest events of this process in a ring buffer.
 
-    :ivar rejected: stamps of other processes that were too far ahead.
+    :ivar rejected: number of stamps of other processes that were too far ahead.
     """
 
     __slots__ = ("host", "clock", "stamp", "events", "rejected")
@@ -137,7 +137,7 @@
         self.rejected = 0
 
     def record(self, kind: EventKind, subject: str, **detail: Any) -> None:
-        """Append an event that happens now."""
+        """Append an event with the current time."""
         self.events.append(Event(self.tick(), self.host, kind, subject, detail))
 
     def tick(self) -> Stamp:
@@ -150,10 +150,10 @@
         return self.stamp
 
     def observe(self, wall_ms: int, count: int) -> None:
-        """Take note of the stamp on a message from another process.
+        """Advance the clock to the stamp of a message from another process.
 
-        A stamp more than `MAX_AHEAD_MS` ahead of the own wall clock is not
-        adopted: one host whose clock is wrong would move all others.
+        A stamp more than `MAX_AHEAD_MS` ahead of the local wall clock is not
+        adopted: one host with a wrong clock would advance the clocks of all others.
         """
         if (wall_ms, count) <= (self.stamp.wall_ms, self.stamp.count):
             return
--- a/src/reedhook/process/events/timeline_filter.py
+++ b/src/reedhook/process/events/timeline_filter.py
@@ -1,4 +1,4 @@
-"""Which events of a time line are asked for."""
+"""Filter for queries of timeline events."""
 
 from typing import Any
 
@@ -8,12 +8,12 @@
 
 
 class EventFilter(Record):
-    """Say which events are wanted; None stands for any.
+    """Select events; a criterion that is None matches all events.
 
-    :param names: a group and its targets; the event is about one of them.
-    :param host: the host that recorded it.
-    :param kinds: its kind is one of these.
-    :param since_ms: stamped no earlier, in milliseconds since the epoch.
+    :param names: a group and its targets; the event concerns one of them.
+    :param host: the host that recorded the event.
+    :param kinds: accepted kinds of events.
+    :param since_ms: earliest stamp, in milliseconds since the epoch.
     """
 
     __slots__ = ("names", "host", "kinds", "since_ms")
@@ -31,7 +31,7 @@
         self.since_ms = since_ms
 
     def accepts(self, event: Event) -> bool:
-        """Say whether `event` is wanted."""
+        """Return whether `event` matches all criteria."""
         if self.host is not None and event.host != self.host:
             return False
         if self.kinds is not None and event.kind not in self.kinds:
@@ -43,7 +43,7 @@
         return event.subject in self.names or event.detail.get("group") in self.names
 
     def to_json(self) -> Json:
-        """Return the filter as it stands on the wire."""
+        """Return the JSON encoding of the filter."""
         kinds = None if self.kinds is None else sorted(one.value for one in self.kinds)
         return {
             "names": None if self.names is None else sorted(self.names),
@@ -54,29 +54,29 @@
 
     @classmethod
     def from_json(cls, message: Json) -> "EventFilter":
-        """Read a filter from the wire.
+        """Decode a filter from JSON.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
         host, since_ms = message.get("host"), message.get("since_ms")
         if not isinstance(host, str | None) or type(since_ms) not in (int, type(None)):
-            raise WireError("not a filter of events")
+            raise WireError("malformed event filter")
         names = texts(message.get("names"))
         kinds = texts(message.get("kinds"))
         try:
-            known = None if kinds is None else frozenset(map(EventKind, kinds))
+            event_kinds = None if kinds is None else frozenset(map(EventKind, kinds))
         except ValueError as error:
-            raise WireError(f"unknown kind of event: {error}") from error
-        return cls(names, host, known, since_ms)
+            raise WireError(f"unknown event kind: {error}") from error
+        return cls(names, host, event_kinds, since_ms)
 
 
 def texts(value: Any) -> frozenset[str] | None:
-    """Return a list of texts from the wire as a set.
+    """Decode a JSON list of strings as a set; None stays None.
 
-    :raises WireError: if it is something else.
+    :raises WireError: if it is malformed.
     """
     if value is None:
         return None
     if not isinstance(value, list) or not all(isinstance(one, str) for one in value):
-        raise WireError("not a list of texts")
+        raise WireError("a list of strings is expected")
     return frozenset(value)
--- a/src/reedhook/process/events/timeline_html.py
+++ b/src/reedhook/process/events/timeline_html.py
@@ -1,4 +1,4 @@
-"""A history as one HTML page with a picture: hosts as lanes, events as marks."""
+"""Render an event history as an HTML page with a diagram of hosts and events."""
 
 from collections.abc import Iterable, Iterator
 from html import escape
@@ -81,7 +81,7 @@
 
 
 class MarkPosition(Record):
-    """Carry where an event stands in the picture, in pixels."""
+    """Represent the position of an event's mark in the diagram, in pixels."""
 
     __slots__ = ("event", "x", "y")
 
@@ -92,13 +92,14 @@
 
 
 class Picture:
-    """Lay the events of a history out.
+    """Compute the layout of the diagram of an event history.
 
-    Marks stand in causal order. The distance between two grows with the
-    logarithm of the time between them, so that the steps of a failover stay
-    apart on a page that spans hours.
+    Marks are placed in causal order. The distance between two marks is logarithmic
+    in the time between them, so that the steps of a failover remain distinguishable
+    in a history of hours.
 
-    :ivar lanes: the hosts and the height at which each has its lane.
+    :ivar lanes: the vertical position of the row of each host.
+    :ivar places: the positions of all events, in causal order.
     """
 
     __slots__ = ("lanes", "places", "width", "height")
@@ -118,16 +119,16 @@
         self.height = TOP + LANE * len(hosts) + MARGIN
 
     def x_of(self, event: Event) -> float:
-        """Return where `event`, or the next one after it, stands."""
-        wanted = order(event)
-        later = (one.x for one in self.places if order(one.event) >= wanted)
+        """Return the horizontal position of `event` or of the next event after it."""
+        key = order(event)
+        later = (place.x for place in self.places if order(place.event) >= key)
         return next(later, self.width)
 
 
 def distance(earlier: Event, later: Event) -> float:
-    """Return the distance between the marks of two neighbours, in pixels."""
-    passed = max(0, later.stamp.wall_ms - earlier.stamp.wall_ms)
-    return min(WIDEST_STEP, NARROWEST_STEP + STEP_PER_DECADE * log10(1 + passed))
+    """Return the distance between the marks of two adjacent events, in pixels."""
+    elapsed_ms = max(0, later.stamp.wall_ms - earlier.stamp.wall_ms)
+    return min(WIDEST_STEP, NARROWEST_STEP + STEP_PER_DECADE * log10(1 + elapsed_ms))
 
 
 def page_of(history: EventHistory, title: str = "Time line") -> str:
@@ -151,7 +152,7 @@
 
 
 def choices(events: tuple[Event, ...]) -> Iterator[str]:
-    """Give the choice of one subject."""
+    """Yield the selection list of subjects."""
     yield '<label>Show <select id="subject"><option value="">everything</option>'
     for subject in sorted({event.subject for event in events}):
         yield f"<option>{escape(subject)}</option>"
@@ -159,7 +160,7 @@
 
 
 def legend() -> Iterator[str]:
-    """Give the meaning of the colours."""
+    """Yield the legend of the colours."""
     yield "<p>"
     for colour, meaning in LEGEND.items():
         dot = f'<i style="background:{colour}"></i>'
@@ -168,24 +169,24 @@
 
 
 def picture(events: tuple[Event, ...]) -> Iterator[str]:
-    """Give the SVG picture."""
-    plan = Picture(events)
-    size = f'width="{plan.width:.0f}" height="{plan.height:.0f}"'
+    """Yield the SVG diagram."""
+    layout = Picture(events)
+    size = f'width="{layout.width:.0f}" height="{layout.height:.0f}"'
     yield f'<svg xmlns="http://www.w3.org/2000/svg" {size} role="img">'
     for failover in failovers(events):
-        yield from window(plan, failover)
-    for host, y in plan.lanes.items():
-        end = f"{plan.width:.0f}"
+        yield from window(layout, failover)
+    for host, y in layout.lanes.items():
+        end = f"{layout.width:.0f}"
         yield f'<line class="lane" x1="{LEFT}" x2="{end}" y1="{y}" y2="{y}"/>'
         yield f'<text x="8" y="{y + 4}">{escape(host)}</text>'
-    yield from time_labels(plan)
-    for place in plan.places:
+    yield from time_labels(layout)
+    for place in layout.places:
         yield mark(place)
     yield "</svg>"
 
 
 def window(plan: Picture, failover: Failover) -> Iterator[str]:
-    """Give the span from the first suspicion to writes that flow again."""
+    """Yield the rectangle from the first suspicion to the first resumed write."""
     if not failover.suspected or failover.resumed is None:
         return
     left = plan.x_of(failover.suspected[0])
@@ -197,12 +198,12 @@
 
 
 def time_labels(plan: Picture) -> Iterator[str]:
-    """Give times of day, spaced so that they don't overlap."""
-    free = 0.0
+    """Yield times of day, spaced so that they do not overlap."""
+    next_x = 0.0
     for place in plan.places:
-        if place.x < free:
+        if place.x < next_x:
             continue
-        free = place.x + LABEL_DISTANCE
+        next_x = place.x + LABEL_DISTANCE
         time = clock_time(place.event.stamp).split("T")[1]
         yield f'<text class="time" x="{place.x:.1f}" y="{TOP - 14}">{time}</text>'
 
@@ -211,23 +212,25 @@
     """Return the mark of one event."""
     event = place.event
     colour = COLOURS.get(event.kind, OTHER)
-    where = f'cx="{place.x:.1f}" cy="{place.y}" r="{RADIUS}" fill="{colour}"'
+    attributes = f'cx="{place.x:.1f}" cy="{place.y}" r="{RADIUS}" fill="{colour}"'
     words = (clock_time(event.stamp), event.host, event.kind.value, event.subject)
     title = escape(" ".join((*words, details(event))))
     subject = escape(event.subject)
-    return f'<circle data-subject="{subject}" {where}><title>{title}</title></circle>'
+    return (
+        f'<circle data-subject="{subject}" {attributes}><title>{title}</title></circle>'
+    )
 
 
 def failover_texts(history: EventHistory) -> Iterator[str]:
-    """Give the changes of primary in words."""
-    found = failovers(history.events)
-    if found:
-        text = "\n".join(line for one in found for line in failover_lines(one))
+    """Yield the changes of primary as text."""
+    changes = failovers(history.events)
+    if changes:
+        text = "\n".join(line for change in changes for line in failover_lines(change))
         yield f"<h2>Changes of primary</h2><pre>{escape(text)}</pre>"
 
 
 def table(events: Iterable[Event]) -> Iterator[str]:
-    """Give one row for each event."""
+    """Yield a table with one row for each event."""
     yield "<h2>Events</h2><table><tr><th>time<th>host<th>event<th>about<th>details</tr>"
     for event in events:
         subject = escape(event.subject)
--- a/src/reedhook/process/events/timeline_merge.py
+++ b/src/reedhook/process/events/timeline_merge.py
@@ -1,4 +1,4 @@
-"""One causal order of the events of many hosts, and what it tells of failovers."""
+"""Merge the events of many hosts in causal order and derive failovers from them."""
 
 import heapq
 from collections import defaultdict
@@ -10,11 +10,11 @@
 
 
 class EventHistory(Record):
-    """Carry the events of many hosts in one causal order.
+    """Represent the events of many hosts in one causal order.
 
-    :param events: in that order.
-    :param missing: why the events of a host are not there, by host.
-    :param cut: hosts that have older events than were asked for.
+    :param events: the events, in causal order.
+    :param missing: hosts whose events are missing, with the reason.
+    :param cut: hosts with older events that were left out.
     """
 
     __slots__ = ("events", "missing", "cut")
@@ -30,7 +30,7 @@
         self.cut = cut
 
     def to_json(self) -> Json:
-        """Return the history as it stands on the wire."""
+        """Return the JSON encoding of the history."""
         return {
             "events": [event.to_json() for event in self.events],
             "missing": self.missing,
@@ -39,22 +39,22 @@
 
     @classmethod
     def from_json(cls, message: Json) -> "EventHistory":
-        """Read a history from the wire.
+        """Decode a history from JSON.
 
-        :raises WireError: if an event has another form.
+        :raises WireError: if an event is malformed.
         """
         events = tuple(Event.from_json(one) for one in message["events"])
         return cls(events, dict(message["missing"]), tuple(message["cut"]))
 
 
 class Failover(Record):
-    """Tell one change of primary from the events about it.
+    """Represent one change of primary with the events of its steps.
 
-    :param suspected: suspicions of the former primary, by those who had them.
-    :param raised: the term was raised at a majority; None if nobody saw it.
-    :param promoted: the member was made primary; None if nobody saw it.
-    :param learned: how other hosts came to know.
-    :param resumed: the first write of the term was safe; None if not seen.
+    :param suspected: suspicions of the former primary.
+    :param raised: the term was raised at a majority; None if not recorded.
+    :param promoted: the member was promoted; None if not recorded.
+    :param learned: other hosts learned of the new primary.
+    :param resumed: the first write of the term was safe; None if not recorded.
     """
 
     __slots__ = (
@@ -87,66 +87,66 @@
 
 
 def merge(rings: Iterable[Iterable[Event]]) -> tuple[Event, ...]:
-    """Merge rings into one order that has each cause before its effects.
+    """Merge event rings into one causal order.
 
-    Each ring is in its own order already; equal stamps go by host.
+    Each ring must be sorted already; equal stamps are ordered by host.
     """
     return tuple(heapq.merge(*rings, key=order))
 
 
 def order(event: Event) -> tuple[int, int, str]:
-    """Return the place of an event in the causal order."""
+    """Return the sort key of an event in the causal order."""
     return event.stamp.wall_ms, event.stamp.count, event.host
 
 
 def failovers(events: Iterable[Event]) -> list[Failover]:
-    """Return the changes of primary that `events`, in causal order, tell of."""
+    """Return the changes of primary recorded in `events`, which are in causal order."""
     groups: dict[str, list[Event]] = defaultdict(list)
     for event in events:
         if event.kind in FAILOVER_KINDS:
             groups[event.subject].append(event)
-    found = [one for events in groups.values() for one in failovers_of(events)]
-    return sorted(found, key=first_event)
+    changes = [one for events in groups.values() for one in failovers_of(events)]
+    return sorted(changes, key=first_event)
 
 
 def failovers_of(events: list[Event]) -> list[Failover]:
     """Return the changes of primary of one group.
 
-    A host that learns of a primary at its start saw no change.
+    A host that learns of a primary when it starts has not seen a change.
     """
     terms = sorted({term_of(one) for one in events if one.kind in NEW_TERM_KINDS})
-    found = [failover_of(events, term) for term in terms]
-    return [one for one in found if one.suspected or one.raised or one.promoted]
+    changes = [failover_of(events, term) for term in terms]
+    return [one for one in changes if one.suspected or one.raised or one.promoted]
 
 
 def failover_of(events: list[Event], term: int) -> Failover:
     """Return the change of primary that led to `term`."""
-    ours = [one for one in events if term_of(one) == term]
-    learned = [one for one in ours if one.kind is EventKind.PRIMARY_LEARNED]
+    term_events = [one for one in events if term_of(one) == term]
+    learned = [one for one in term_events if one.kind is EventKind.PRIMARY_LEARNED]
     return Failover(
         group=events[0].subject,
         term=term,
         suspected=suspicions(events, term),
-        raised=last(ours, EventKind.TERM_RAISED),
-        promoted=last(ours, EventKind.PRIMARY_PROMOTED),
+        raised=last(term_events, EventKind.TERM_RAISED),
+        promoted=last(term_events, EventKind.PRIMARY_PROMOTED),
         learned=tuple(learned),
-        resumed=first(ours, EventKind.WRITES_RESUMED),
+        resumed=first(term_events, EventKind.WRITES_RESUMED),
     )
 
 
 def suspicions(events: list[Event], term: int) -> tuple[Event, ...]:
     """Return the suspicions that led to `term`.
 
-    A suspicion names the term of the primary that is suspected: the highest
-    one below `term` that anything is known of.
+    A suspicion carries the term of the suspected primary, which must be the highest
+    known term below `term`.
     """
-    wanted = EventKind.PRIMARY_SUSPECTED
-    found = [one for one in events if one.kind is wanted and term_of(one) < term]
-    former = max((term_of(one) for one in found), default=0)
-    led = [term_of(one) for one in events if one.kind in NEW_TERM_KINDS]
-    if any(former < one < term for one in led):
+    kind = EventKind.PRIMARY_SUSPECTED
+    earlier = [one for one in events if one.kind is kind and term_of(one) < term]
+    former_term = max((term_of(one) for one in earlier), default=0)
+    known_terms = [term_of(one) for one in events if one.kind in NEW_TERM_KINDS]
+    if any(former_term < one < term for one in known_terms):
         return ()
-    return tuple(one for one in found if term_of(one) == former)
+    return tuple(one for one in earlier if term_of(one) == former_term)
 
 
 def first(events: list[Event], kind: EventKind) -> Event | None:
@@ -160,16 +160,16 @@
 
 
 def term_of(event: Event) -> int:
-    """Return the term that an event names; 0 if it names none."""
+    """Return the term of an event; 0 if it has none."""
     term = event.detail.get("term")
     return term if isinstance(term, int) else 0
 
 
 def first_event(failover: Failover) -> tuple[int, int, str]:
-    """Return the place of a failover in the causal order."""
+    """Return the sort key of the first event of a failover."""
     steps = (*failover.suspected, failover.raised, failover.promoted)
-    known = (*steps, *failover.learned, failover.resumed)
-    return min(order(one) for one in known if one is not None)
+    all_steps = (*steps, *failover.learned, failover.resumed)
+    return min(order(one) for one in all_steps if one is not None)
 
 
 NEW_TERM_KINDS = frozenset({EventKind.PRIMARY_PROMOTED, EventKind.PRIMARY_LEARNED})
--- a/src/reedhook/process/events/timeline_text.py
+++ b/src/reedhook/process/events/timeline_text.py
@@ -1,4 +1,4 @@
-"""A history as text: one line for each event, then the changes of primary."""
+"""Render an event history as text: one line per event, then the failovers."""
 
 from collections.abc import Iterable, Iterator
 from datetime import UTC, datetime
@@ -9,7 +9,7 @@
 
 
 def text_of(history: EventHistory) -> str:
-    """Return the history as a person reads it."""
+    """Return the history as human-readable text."""
     lines = list(event_lines(history.events)) or ["No events."]
     for failover in failovers(history.events):
         lines += ["", *failover_lines(failover)]
@@ -19,7 +19,7 @@
 
 
 def gaps(history: EventHistory) -> Iterator[str]:
-    """Say what is not there."""
+    """Yield a line for each host with missing or omitted events."""
     for host, reason in sorted(history.missing.items()):
         yield f"The events of {host} are missing: {reason}."
     for host in sorted(history.cut):
@@ -27,7 +27,7 @@
 
 
 def event_lines(events: Iterable[Event]) -> Iterator[str]:
-    """Give one line for each event, in columns."""
+    """Yield one line for each event, in aligned columns."""
     rows = [
         (clock_time(one.stamp), one.host, one.kind.value, one.subject, details(one))
         for one in events
@@ -39,7 +39,7 @@
 
 
 def failover_lines(failover: Failover) -> Iterator[str]:
-    """Tell one change of primary step by step."""
+    """Yield the steps of one change of primary, in causal order."""
     start = failover.suspected[0] if failover.suspected else None
     yield f"Change of primary of {failover.group} to term {failover.term}:"
     for event, words in sorted(failover_steps(failover), key=step_order):
@@ -47,7 +47,7 @@
 
 
 def failover_steps(failover: Failover) -> Iterator[tuple[Event, str]]:
-    """Give each step with what its host did."""
+    """Yield the event of each step with its description."""
     for one in failover.suspected:
         yield one, f"suspected the primary{inline(one)}"
     if failover.raised:
@@ -63,7 +63,7 @@
 
 
 def step_order(step: tuple[Event, str]) -> tuple[int, int, str]:
-    """Return the place of a step in the causal order."""
+    """Return the sort key of a step in the causal order."""
     return order(step[0])
 
 
@@ -71,18 +71,18 @@
     """Return the time from `start` to `event`, or the time of day."""
     if start is None:
         return clock_time(event.stamp)
-    passed = event.stamp.wall_ms - start.stamp.wall_ms
-    return f"{passed:+7d} ms"
+    elapsed_ms = event.stamp.wall_ms - start.stamp.wall_ms
+    return f"{elapsed_ms:+7d} ms"
 
 
 def clock_time(stamp: Stamp) -> str:
-    """Return the time of day of a stamp, UTC."""
+    """Return the UTC time of a stamp in ISO 8601 format."""
     moment = datetime.fromtimestamp(stamp.wall_ms / 1000, UTC)
     return moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 def inline(event: Event) -> str:
-    """Return the details of an event in brackets, or nothing."""
+    """Return the details of an event in parentheses; empty if there are none."""
     text = details(event)
     return f" ({text})" if text else ""
 
@@ -94,7 +94,7 @@
 
 
 def plain(value: Any) -> str:
-    """Return a detail's value as a person writes it."""
+    """Return the value of a detail as human-readable text."""
     if isinstance(value, list | tuple):
         return "+".join(map(plain, value))
     return "-" if value is None else str(value)
--- a/src/reedhook/process/histograms.py
+++ b/src/reedhook/process/histograms.py
@@ -18,11 +18,11 @@
     1.0,
     2.0,
 )
-"""Upper bounds of the buckets in seconds; the objectives are among them."""
+"""Upper bounds of the buckets; must include the latency objectives."""
 
 
 class HistogramMetrics(MemoryMetrics):
-    """Keep a histogram of each duration beside the counters."""
+    """Keep counters, gauges and a histogram of each duration."""
 
     __slots__ = ("histograms", "sums")
 
@@ -40,7 +40,7 @@
         self.sums[name] += seconds
 
     def render(self) -> str:
-        """Return all values as text, one a line."""
+        """Return all metrics as text, one per line."""
         lines = [f"{name} {count}" for name, count in sorted(self.counters.items())]
         lines += [f"{name} {value}" for name, value in sorted(self.gauges.items())]
         for name in sorted(self.histograms):
@@ -48,7 +48,7 @@
         return "\n".join(lines) + "\n"
 
     def render_histogram(self, name: str) -> list[str]:
-        """Return a line for each bucket, with the counts of those below."""
+        """Return the lines of one histogram, with cumulative bucket counts."""
         lines = []
         total = 0
         for bound, count in zip(
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -1,4 +1,4 @@
-"""One host of the system: its parts and their order of start and end."""
+"""A host: its components and the order in which they start and stop."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -51,14 +51,14 @@
 
 
 class Host(Lifecycle):
-    """Hold the parts of one host.
+    """Assemble, start and stop the components of one host.
 
     :param store: the platform's key-value service.
     :param hostlist: the platform's list of hosts.
     :param targets: opens connections to targets.
-    :ivar routes: the handlers that other hosts call.
-    :ivar api: answers callers.
-    :ivar admin: answers operators.
+    :ivar routes: the handlers of peer requests.
+    :ivar api: handles requests of callers.
+    :ivar admin: handles requests of operators.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.connect()
 
     def make_membership(self) -> None:
-        """Make what knows the other hosts."""
+        """Create membership, host list polling and heartbeats."""
         self.membership = Membership(self.me, self.clock, self.random, self.timeline)
         self.directory = MembershipDirectory(self.me, self.membership.table)
         self.listing = HostListPoller(
@@ -117,7 +117,7 @@
         )
 
     def make_configuration(self) -> None:
-        """Make what accepts, fetches and passes on the configuration."""
+        """Create what accepts, fetches and distributes the configuration."""
         self.archive = SnapshotRepository(self.store)
         self.configuration = ConfigurationManager(
             self.me,
@@ -138,7 +138,7 @@
         )
 
     def make_groups(self) -> None:
-        """Make the homes of targets and the keepers of their groups."""
+        """Create the homes of targets and the managers of their groups."""
         self.homes = LocalHomes(
             self.membership,
             self.directory,
@@ -173,7 +173,7 @@
         )
 
     def make_requests(self) -> None:
-        """Make what routes the statements of callers."""
+        """Create what routes the statements of callers."""
         self.dispatch = StatementDispatcher(
             self.executor, self.directory, self.peers, self.catalog, self.clock
         )
@@ -204,12 +204,14 @@
         )
 
     def token_secrets(self) -> tuple[bytes, ...]:
-        """Return the secrets of session tokens; the first one signs."""
+        """Return the secrets of session tokens; the first one signs new tokens."""
         former = self.settings.former_token_secrets
-        return tuple(one.encode() for one in (self.settings.token_secret, *former))
+        return tuple(
+            secret.encode() for secret in (self.settings.token_secret, *former)
+        )
 
     def make_administration(self) -> None:
-        """Make what answers operators."""
+        """Create the administration API."""
         self.source = HostSource(
             self.timeline,
             self.membership,
@@ -229,7 +231,7 @@
         )
 
     def connect(self) -> None:
-        """Register the handlers of peer calls and tell the parts of each other."""
+        """Register peer handlers and connect the callbacks of the components."""
         self.heartbeats.register(self.routes)
         self.homes.register(self.routes)
         self.configuration.register(self.routes)
@@ -244,7 +246,7 @@
         self.configuration.on_change(self.apply_configuration)
 
     async def start(self) -> None:
-        """Join the other hosts and begin to serve."""
+        """Join the other hosts and start serving."""
         self.timeline.record(EventKind.HOST_STARTED, self.me.host, zone=self.me.zone)
         self.spawn(self.heartbeats.run())
         await self.heartbeats.discovery.joined.wait()
@@ -255,15 +257,16 @@
         self.source.state = HostPhase.SERVING
 
     async def drain(self) -> None:
-        """Hand the homes over, then let requests in progress end."""
+        """Hand over the homes, then let requests in progress finish."""
         if self.draining is None:
             self.draining = asyncio.create_task(self.hand_over())
         await self.draining
 
     async def hand_over(self) -> None:
-        """Leave: first as a home, then as an entry for callers.
+        """Hand over the homes, then stop accepting requests of callers.
 
-        Callers are served on while the balancer learns that this host leaves.
+        Callers are still served for `DRAIN_NOTICE_SECONDS`, until the load balancer
+        has noticed that this host leaves.
         """
         self.timeline.record(EventKind.HOST_STOPPING, self.me.host)
         self.source.state = HostPhase.DRAINING
@@ -275,7 +278,7 @@
         self.timeline.record(EventKind.DRAIN, self.me.host, step="done")
 
     async def close(self) -> None:
-        """Release everything at once."""
+        """Cancel all tasks and release all resources immediately."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -291,12 +294,12 @@
         await self.hostlist.close()
 
     def start_drain(self) -> None:
-        """Begin to drain; `on_drained` is called when that is done."""
+        """Start draining in the background; `on_drained` is called at the end."""
         task = asyncio.create_task(self.drain_and_notify())
         self.tasks.append(task)
 
     async def drain_and_notify(self) -> None:
-        """Drain on an order, then tell who waits for it."""
+        """Drain, then call `on_drained`."""
         await self.drain()
         self.on_drained()
 
@@ -305,13 +308,13 @@
         return self.configuration.catalog
 
     def apply_configuration(self, catalog: Catalog) -> None:
-        """Put a configuration in force in all parts."""
+        """Apply a configuration to all components."""
         self.membership.set_configuration_version(catalog.version)
         self.homes.apply(catalog)
         self.group_managers.apply_catalog(catalog)
 
     def heard_version(self, peer: HostRef, version: int) -> None:
-        """Pass on that a peer has a newer configuration."""
+        """Handle a peer's announcement of a newer configuration version."""
         self.configuration.record_peer_version(version, peer)
 
     def sample_peers(self, count: int) -> list[HostRef]:
@@ -320,7 +323,7 @@
         return self.random.sample(others, min(count, len(others)))
 
     def make_home(self, group: Group, member: Member, share: int) -> Home:
-        """Make the home of a target."""
+        """Create the home of a target."""
         catalog = self.catalog()
         return TargetHome(
             group,
@@ -335,7 +338,7 @@
         )
 
     def make_group_manager(self, group: Group) -> GroupManager:
-        """Make the keeper of a group."""
+        """Create the manager of a group."""
         return GroupManager(
             group,
             lambda: self.homes.of_group(group.name),
@@ -350,17 +353,20 @@
         )
 
     def suspect_host(self, peer: HostRef) -> None:
-        """Have a host asked that seems dead while its target lives."""
+        """Have heartbeats probe a host that did not respond."""
         self.heartbeats.request_probe(peer.host)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a task for as long as the host lives."""
+        """Run a background task until the host is closed; log its failure."""
         task = asyncio.create_task(coroutine)
         task.add_done_callback(report_failure)
         self.tasks.append(task)
 
 
 def report_failure(task: asyncio.Task[None]) -> None:
-    """Log what a task raised that should run for ever."""
+    """Log the exception of a background task that has failed."""
     if not task.cancelled() and task.exception() is not None:
-        log.error("A part of the host failed: {!r}.", task.exception())
+        log.error(
+            "A background task of the host failed and is not restarted: {!r}.",
+            task.exception(),
+        )
--- a/src/reedhook/process/io_uring.py
+++ b/src/reedhook/process/io_uring.py
@@ -1,4 +1,4 @@
-"""Keep the process off io_uring, which the machines don't offer."""
+"""Keep the process from using io_uring, which the machines do not support."""
 
 import os
 from collections.abc import MutableMapping
@@ -11,19 +11,19 @@
 
 
 class IoUringInUseError(RuntimeError):
-    """Say that the process holds io_uring descriptors."""
+    """Signal that the process holds io_uring descriptors."""
 
 
 def forbid_io_uring(environment: MutableMapping[str, str] = os.environ) -> None:
-    """Tell libuv to do without; has an effect only before the first loop is made."""
+    """Disable io_uring in libuv; must be called before the first loop is created."""
     environment[SWITCH] = "0"
 
 
 def require_no_io_uring(descriptors: Path = DESCRIPTORS) -> None:
-    """Look through the open descriptors.
+    """Check that no open descriptor belongs to io_uring.
 
-    :param descriptors: folder with one symbolic link for each descriptor.
-    :raises IoUringInUse: if one belongs to io_uring.
+    :param descriptors: directory with one symbolic link for each descriptor.
+    :raises IoUringInUseError: if a descriptor belongs to io_uring.
     """
     found = [link.name for link in descriptors.iterdir() if points_to_ring(link)]
     if found:
@@ -32,9 +32,9 @@
 
 
 def points_to_ring(link: Path) -> bool:
-    """Say whether the descriptor behind `link` belongs to io_uring."""
+    """Return whether the descriptor behind `link` belongs to io_uring."""
     try:
         return os.readlink(link) == IO_URING
     except OSError:
-        # The descriptor that lists the folder is closed by now.
+        # The descriptor that listed the directory is already closed.
         return False
--- a/src/reedhook/process/lifecycle.py
+++ b/src/reedhook/process/lifecycle.py
@@ -1,4 +1,4 @@
-"""Start and graceful end of a host with its three HTTP servers."""
+"""Start and graceful shutdown of a host with its three HTTP servers."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -20,34 +20,34 @@
 
 
 class Lifecycle(ABC):
-    """Start, drain and close what a host consists of.
+    """Start, drain and close the components of a host.
 
-    :ivar on_drained: called once a drain that an operator ordered is done.
+    :ivar on_drained: called when a drain requested by an operator has finished.
     """
 
     on_drained: Callable[[], None]
 
     @abstractmethod
     async def start(self) -> None:
-        """Join the other hosts and begin to serve."""
+        """Join the other hosts and start serving."""
 
     @abstractmethod
     async def drain(self) -> None:
-        """Announce the end, hand homes over, let work in progress end."""
+        """Announce the shutdown, hand over homes, let work in progress finish."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release everything at once."""
+        """Release all resources immediately."""
 
 
 class HostDaemon:
     """Run a host behind its servers.
 
     :param caller_server: serves callers; opened last and closed first.
-    :param peer_server: serves other hosts, which may wait for this one's homes.
+    :param peer_server: serves other hosts; open while homes are handed over.
     :param admin_server: serves operators.
-    :param shutdown_seconds: time in seconds for a graceful shutdown.
-    :param companions: run beside the host until it has stopped.
+    :param shutdown_seconds: time limit of a graceful shutdown, in seconds.
+    :param companions: background tasks that run until the host has stopped.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
     async def start(self) -> None:
         """Open the servers and start the host.
 
-        :raises OSError: if an address cannot be had.
+        :raises OSError: if an address cannot be bound.
         """
         self.host.on_drained = self.caller_server.start_leaving
         self.tasks = [asyncio.create_task(run(self.clock)) for run in self.companions]
@@ -93,18 +93,22 @@
         await self.caller_server.start()
 
     async def stop(self) -> None:
-        """Shut down without cutting a request in progress.
+        """Shut down and let requests in progress finish.
 
-        :raises ShutdownOverdue: once the bound has passed; what was still in
-            progress is cut then.
+        :raises ShutdownTimeoutError: if `shutdown_seconds` have passed; requests
+            still in progress are aborted.
         """
         try:
             async with asyncio.timeout(self.shutdown_seconds):
                 await self.drain()
         except TimeoutError as error:
-            log.error("Requests in progress are cut after {} s.", self.shutdown_seconds)
+            log.error(
+                "The graceful shutdown timed out after {} s;"
+                " requests in progress are aborted.",
+                self.shutdown_seconds,
+            )
             raise ShutdownTimeoutError(
-                f"not done after {self.shutdown_seconds} s"
+                f"shutdown not finished after {self.shutdown_seconds} s"
             ) from error
         finally:
             await self.host.close()
@@ -113,13 +117,13 @@
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def drain(self) -> None:
-        """Hand over, then close the servers one by one."""
-        log.info("The host drains.")
+        """Drain the host, then close the servers one by one."""
+        log.info("Draining the host.")
         self.caller_server.start_leaving()
-        # Idle clients get a chance to be told before their connections close.
+        # Let idle clients learn of the shutdown from their next response.
         await asyncio.gather(self.host.drain(), self.clock.sleep(DRAIN_NOTICE_SECONDS))
         self.peer_server.start_leaving()
         await self.caller_server.stop()
         await self.peer_server.stop()
         await self.admin_server.stop()
-        log.info("The host is drained.")
+        log.info("The host is drained and its servers are closed.")
--- a/src/reedhook/process/logs.py
+++ b/src/reedhook/process/logs.py
@@ -1,4 +1,4 @@
-"""Logs to standard error, each line with the prefix of the part that wrote it."""
+"""Logging to standard error, each line prefixed with the logger's name."""
 
 import sys
 from collections.abc import Iterator
@@ -16,9 +16,9 @@
 
 @contextmanager
 def logs(level: str, stream: TextIO | None = None) -> Iterator[None]:
-    """Send log records to `stream` while the context lasts.
+    """Write log records to `stream` while the context is active.
 
-    Records of libraries, which use the standard module, go the same way.
+    Records of libraries that use the standard `logging` module are included.
 
     :param level: the lowest level that is written, such as ``info``.
     :param stream: standard error if None.
@@ -27,7 +27,8 @@
     lines = logbook.StreamHandler(
         stream or sys.stderr, level=level.upper(), format_string=LINE
     )
-    # What is below the level would else reach logbook's own last handler.
+    # Without the null handler, records below the level would reach logbook's
+    # default handler.
     setup = logbook.NestedSetup([logbook.NullHandler(), lines])
     redirection = redirected_logging(set_root_logger_level=False)
     with setup.applicationbound(), redirection:
--- a/src/reedhook/process/network/__init__.py
+++ b/src/reedhook/process/network/__init__.py
@@ -1,1 +1,1 @@
-"""Servers, and calls between hosts."""
+"""HTTP servers, and calls between hosts."""
--- a/src/reedhook/process/network/answer_tracking_peers.py
+++ b/src/reedhook/process/network/answer_tracking_peers.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts, with a note of when hosts and zones last answered."""
+"""Peer client that tracks when hosts and zones last answered."""
 
 from ...clock import Clock
 from ...peer import HostRef, PeerClient
@@ -7,11 +7,11 @@
 
 
 class AnswerTrackingPeers(PeerClient):
-    """Pass calls on, and keep when each host and each zone last answered.
+    """Delegate calls and track when each host and each zone last answered.
 
-    :param delegate: makes the calls.
-    :ivar zone_answered_at: time of the last answer by zone, by `Clock.monotonic`.
-    :ivar host_answered_at: the same by host.
+    :param delegate: the client that makes the calls.
+    :ivar zone_answered_at: time of the last answer, by zone and `Clock.monotonic`.
+    :ivar host_answered_at: time of the last answer, by host and `Clock.monotonic`.
     """
 
     def __init__(self, delegate: PeerClient, clock: Clock) -> None:
@@ -24,26 +24,28 @@
         try:
             answer = await self.delegate.call(peer, path, body, timeout)
         except RefusalError:
-            # A refusal is an answer, too.
+            # A refusal also proves that the host is reachable.
             self.record_answer(peer)
             raise
         self.record_answer(peer)
         return answer
 
     def record_answer(self, peer: HostRef) -> None:
-        """Take note of an answer."""
+        """Record that a host has answered now."""
         now = self.clock.monotonic()
         self.zone_answered_at[peer.zone] = now
         self.host_answered_at[peer.host] = now
 
     def host_answered_since(self, host: str, moment: float) -> bool:
-        """Say whether a host has answered a call since then."""
+        """Return whether a host has answered a call after `moment`."""
         return self.host_answered_at.get(host, float("-inf")) > moment
 
     def other_zone_answered_since(self, zone: str, moment: float) -> bool:
-        """Say whether a host of any zone but this one has answered since then."""
+        """Return whether a host outside `zone` has answered a call after `moment`."""
         return any(
-            at > moment for other, at in self.zone_answered_at.items() if other != zone
+            answered_at > moment
+            for other, answered_at in self.zone_answered_at.items()
+            if other != zone
         )
 
     async def close(self) -> None:
--- a/src/reedhook/process/network/limits.py
+++ b/src/reedhook/process/network/limits.py
@@ -1,17 +1,17 @@
-"""Bounds on what the servers of a host accept."""
+"""Limits of what the servers of a host accept."""
 
 from ...record import Record
 
 
 class ServerLimits(Record):
-    """Bound what a host accepts from a connection.
+    """Limit what a host accepts from a connection.
 
-    :param body_bytes: size of a caller's or peer's request body.
-    :param admin_body_bytes: size of an operator's request body.
-    :param header_bytes: size of one header line.
-    :param keepalive_s: idle time after which a connection is closed.
-    :param shutdown_s: time for a graceful shutdown; past it the process ends
-        with an error.
+    :param body_bytes: maximum size of a caller's or peer's request body.
+    :param admin_body_bytes: maximum size of an operator's request body.
+    :param header_bytes: maximum size of one header line.
+    :param keepalive_s: idle time in seconds after which a connection is closed.
+    :param shutdown_s: time limit of a graceful shutdown, in seconds; the process
+        exits with an error if it is exceeded.
     """
 
     __slots__ = (
--- a/src/reedhook/process/network/listener.py
+++ b/src/reedhook/process/network/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket whose end resets no connection."""
+"""A listening socket that closes without resetting connections."""
 
 import asyncio
 import socket
@@ -15,12 +15,12 @@
 
 
 class Listener:
-    """Accept connections for a runner.
+    """Accept connections for an aiohttp runner.
 
-    :param runner: serves them; it is set up by `start`.
-    :param idle_grace: seconds for which connections without a request are left
-        open at the end, lest one of them be on its way.
-    :ivar address: ``IP:port``; with the port that was taken, once started.
+    :param runner: serves the connections; set up by `start`.
+    :param idle_grace: seconds for which `stop` leaves idle connections open, since
+        a request may be in transit.
+    :ivar address: ``IP:port``; with the actual port once started.
     """
 
     __slots__ = ("runner", "address", "idle_grace", "socket")
@@ -32,9 +32,9 @@
         self.socket: socket.socket | None = None
 
     async def start(self, tls: ssl.SSLContext | None) -> None:
-        """Listen.
+        """Start listening.
 
-        :raises OSError: if the address cannot be had.
+        :raises OSError: if the address cannot be bound.
         """
         await self.runner.setup()
         self.socket = bound_socket(self.address)
@@ -43,29 +43,28 @@
         self.address = address_of(self.socket)
 
     async def stop(self) -> None:
-        """Stop listening, let requests end, close idle connections.
+        """Stop listening, let requests finish, close idle connections.
 
-        A connection that was just accepted may carry a request that is not
-        read yet, so that connections get some time to become known as idle.
-        Requests in progress after the runner's own limit are cut.
+        A newly accepted connection may carry a request that has not been read yet,
+        so idle connections stay open for `idle_grace` seconds. Requests in progress
+        after the runner's shutdown timeout are aborted.
         """
         await self.stop_listening()
         await self.wait_until_unused()
         await self.runner.cleanup()
 
     async def stop_listening(self) -> None:
-        """Close the listening socket once its queue is empty."""
+        """Close the listening socket once its accept queue is empty."""
         if self.socket is not None and self.runner.sites:
             await end_listening(self.socket)
         for site in self.runner.sites:
             await site.stop()
 
     async def wait_until_unused(self) -> None:
-        """Return once no connection is open, or after `idle_grace` seconds.
+        """Wait until no connection is open, at most `idle_grace` seconds.
 
-        The first look comes late, since the last connections that were
-        accepted are not among the runner's yet; its own end would wait on
-        them for long.
+        Sleeps before the first check: the runner does not know the last accepted
+        connections yet, and its cleanup would wait long for them.
         """
         try:
             async with asyncio.timeout(self.idle_grace):
--- a/src/reedhook/process/network/parsing.py
+++ b/src/reedhook/process/network/parsing.py
@@ -1,4 +1,4 @@
-"""The answer to requests that are not HTTP, or pass a bound of it."""
+"""Responses to requests that are not valid HTTP or exceed a limit."""
 
 import asyncio
 from typing import Any, Final
@@ -12,16 +12,15 @@
 from ...wire import encode
 
 DETAIL_MOST: Final = 160
-"""Characters of the parser's words that are kept: it quotes what was sent, and
-a line of a log is not to grow with it."""
+"""Limit of the parser's message in a log line, since it quotes the request."""
 
 log = logbook.Logger("server")
 
 
 class RefusingServer(web.Server):
-    """Answer what cannot be parsed with a typed refusal, and one log line.
+    """Answer unparsable requests with a typed refusal and one log line.
 
-    aiohttp answers in plain text and logs a traceback for each.
+    aiohttp would answer in plain text and log a traceback for each.
     """
 
     def __init__(self, handler: Any, **options: Any) -> None:
@@ -34,7 +33,7 @@
 
 
 class RefusingHandler(RequestHandler):
-    """Serve one connection."""
+    """Serve one connection of a `RefusingServer`."""
 
     __slots__ = ()
 
@@ -48,7 +47,11 @@
         if not isinstance(exc, HttpProcessingError):
             return super().handle_error(request, status, exc, message)
         refusal = malformed_request_refusal(message or "")
-        log.warning("A request of {} was refused: {}", request.remote, refusal.detail)
+        log.warning(
+            "Refused a request from {}; closing the connection: {}",
+            request.remote,
+            refusal.detail,
+        )
         response = web.Response(
             body=encode(refusal.to_json()),
             status=refusal.status,
@@ -59,7 +62,7 @@
 
 
 def malformed_request_refusal(message: str) -> RefusalError:
-    """Return the refusal of a request by what the parser says."""
-    first = message.strip().partition("\n")[0]
-    detail = f"the request cannot be read: {first[:DETAIL_MOST]}"
+    """Return the refusal of a request that the parser rejected with `message`."""
+    first_line = message.strip().partition("\n")[0]
+    detail = f"the request cannot be parsed: {first_line[:DETAIL_MOST]}"
     return not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts over HTTP; `peer_wire` tells the form."""
+"""Calls to other hosts over HTTP; see `peer_protocol` for the format."""
 
 import ssl
 from typing import Final
@@ -19,23 +19,23 @@
 FAR: Final = "other_zones"
 
 HEADERS_BYTES: Final = 220
-"""Bytes of the heads of a call and its answer."""
+"""Approximate size of the headers of a call and its response."""
 
 PATH_PREFIX: Final = PREFIX.lstrip("/")
 
 
 class HttpPeers(PeerClient):
-    """Call other hosts over kept-alive connections.
+    """Call other hosts over persistent connections.
 
-    Each peer has connections of its own. After a call without an answer all
-    of them are given up at once, since what lost track of one connection may
-    have lost its neighbours too; the next call opens a new one.
+    Each peer has its own pool of connections. A call without a response retires
+    the whole pool, since the fault may affect its other connections too; the next
+    call opens a new connection.
 
     :param me: this host.
     :param credential: the credential that all hosts share.
     :param context: TLS context of outgoing connections; None for plain HTTP.
-    :param metrics: counts the bytes of calls and their answers, by path, and apart
-        for hosts of this zone and of others.
+    :param metrics: counts the bytes of calls and responses by path, separately for
+        hosts of this zone and of other zones.
     """
 
     def __init__(
@@ -76,13 +76,17 @@
             self.retire(link)
             detail = f"{peer.host} did not answer: {error}"
             raise PeerError(detail, sent=True) from None
-        where = NEAR if peer.zone == self.me.zone else FAR
+        zone_label = NEAR if peer.zone == self.me.zone else FAR
         size = len(envelope) + len(answer.body) + HEADERS_BYTES
-        self.metrics.increment(f"peers.{path}.{where}_bytes", size)
+        self.metrics.increment(f"peers.{path}.{zone_label}_bytes", size)
         return self.read_answer(peer, answer.status, answer.body)
 
     def read_answer(self, peer: HostRef, status: int, raw: bytes) -> Json:
-        """Return the body of an answer or raise the refusal that it carries."""
+        """Return the body of a response or raise the refusal that it carries.
+
+        :raises RefusalError: if the peer refused the call.
+        :raises PeerError: if the response is malformed.
+        """
         try:
             message = decode(raw)
             self.timeline.observe(*message["stamp"])
@@ -91,11 +95,11 @@
             body: Json = message["body"]
             return body
         except (WireError, KeyError, TypeError, ValueError):
-            detail = f"{peer.host} gave no usable answer, status {status}"
+            detail = f"{peer.host} sent a malformed response, status {status}"
             raise PeerError(detail, sent=True) from None
 
     def link(self, address: str) -> ChannelPool:
-        """Return the link to `address`; drop what nobody used for long."""
+        """Return the connection pool of `address`; sweep idle pools periodically."""
         now = self.clock.monotonic()
         if now - self.swept >= SWEEP_INTERVAL:
             self.sweep(now)
@@ -107,7 +111,7 @@
         return link
 
     def sweep(self, now: float) -> None:
-        """Close channels and drop links that are idle; peers come and go."""
+        """Close idle channels and drop the pools of peers that are not called."""
         self.swept = now
         for link in list(self.links.values()):
             link.close_unused(now - CLIENT_KEEPALIVE)
@@ -115,7 +119,7 @@
                 self.retire(link)
 
     def retire(self, link: ChannelPool) -> None:
-        """Let no further call use `link`."""
+        """Remove a pool so that no further call uses it."""
         link.retire()
         if self.links.get(link.address) is link:
             del self.links[link.address]
--- a/src/reedhook/process/network/peer_protocol.py
+++ b/src/reedhook/process/network/peer_protocol.py
@@ -1,8 +1,8 @@
-"""What both ends of a call between hosts agree on.
+"""Protocol of calls between hosts.
 
-A call is ``POST /peer/<path>``. The body is an envelope: the sender's id, its
-time-line stamp and the body proper. The answer carries a stamp and either a
-body or a refusal. The credential that all hosts share is a header.
+A call is ``POST /peer/<path>``. Its JSON body is an envelope with the sender's id,
+its timeline stamp and the call's body. The response carries a stamp and either a
+body or a refusal. The credential that all hosts share is sent as a header.
 """
 
 from typing import Final
@@ -11,5 +11,5 @@
 PREFIX: Final = "/peer/"
 MAX_PEER_BODY_BYTES: Final = 4 * 1024 * 1024
 CLIENT_KEEPALIVE: Final = 15.0
-# Longer than at the client, so that no call meets a closing connection.
+# Must exceed `CLIENT_KEEPALIVE`, so that no call uses a connection being closed.
 SERVER_KEEPALIVE: Final = 75.0
--- a/src/reedhook/process/network/peer_server.py
+++ b/src/reedhook/process/network/peer_server.py
@@ -1,4 +1,4 @@
-"""The listener that other hosts reach; `peer_wire` tells the form."""
+"""Server of calls from other hosts; see `peer_protocol` for the format."""
 
 import hmac
 import ssl
@@ -24,11 +24,11 @@
 
 
 class PeerServer(PlainServer):
-    """Listen for calls of other hosts.
+    """Serve calls of other hosts.
 
-    :param address: ``IP:port`` to listen on; port 0 takes a free one.
-    :param tls: None for plain TCP.
-    :param shutdown: how long `stop` waits for calls in progress, in seconds.
+    :param address: ``IP:port`` to listen on; port 0 selects a free one.
+    :param tls: TLS context; None for plain TCP.
+    :param shutdown: seconds for which `stop` waits for calls in progress.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
 
 
 class PeerEndpoint:
-    """Answer the calls of other hosts."""
+    """Authenticate calls of other hosts and dispatch them to their handlers."""
 
     def __init__(self, routes: PeerRoutes, credential: str, timeline: Timeline) -> None:
         self.routes = routes
@@ -63,7 +63,7 @@
         self.timeline = timeline
 
     async def handle(self, request: PlainRequest) -> PlainResponse:
-        """Answer one call; a failure becomes a refusal, never a bare 500."""
+        """Handle one call; a failure becomes a refusal rather than a bare 500."""
         try:
             self.authenticate(request)
             body = self.open(read_envelope(request))
@@ -73,13 +73,19 @@
         return self.respond({"body": answer}, HTTP_OK)
 
     def authenticate(self, request: PlainRequest) -> None:
-        """Check the shared credential in constant time."""
+        """Check the shared credential in constant time.
+
+        :raises RefusalError: if it is wrong.
+        """
         given = request.headers.get(CREDENTIAL.lower(), b"")
         if not hmac.compare_digest(given, self.credential):
             raise not_run(RefusalReason.UNAUTHENTICATED, "the peer credential is wrong")
 
     def open(self, envelope: Json) -> Json:
-        """Return the body of an envelope and take note of its stamp."""
+        """Return the body of an envelope and merge its stamp into the timeline.
+
+        :raises RefusalError: if the envelope is malformed.
+        """
         body, stamp = envelope.get("body"), envelope.get("stamp")
         if not isinstance(body, dict) or not is_stamp(stamp):
             raise not_run(RefusalReason.BAD_REQUEST, "the envelope is malformed")
@@ -87,10 +93,13 @@
         return body
 
     async def dispatch(self, path: str, body: Json) -> Json:
-        """Run the handler of `path`."""
+        """Run the handler of `path`.
+
+        :raises RefusalError: if the handler is unknown, refuses or fails.
+        """
         handler = self.routes.handlers.get(path)
         if handler is None:
-            raise not_run(RefusalReason.BAD_REQUEST, "there is no such peer path")
+            raise not_run(RefusalReason.BAD_REQUEST, "the peer path is unknown")
         try:
             return await handler(body)
         except RefusalError:
@@ -98,42 +107,45 @@
         except WireError as error:
             raise not_run(RefusalReason.BAD_REQUEST, str(error)) from None
         except Exception:
-            log.exception("The handler of {} failed.", path)
+            log.exception(
+                "The handler of peer path {} failed; the call is refused.", path
+            )
             detail = "the handler failed at the peer"
             raise may_have_run(RefusalReason.HOST_UNREACHABLE, detail) from None
 
     def refuse(self, refusal: RefusalError) -> PlainResponse:
-        """Return the answer that carries a refusal."""
+        """Return the response that carries a refusal."""
         return self.respond({"refusal": refusal.to_json()}, refusal.status)
 
     def respond(self, message: Json, status: int) -> PlainResponse:
-        """Encode an answer with this host's stamp."""
+        """Encode a response with this host's stamp."""
         message["stamp"] = self.timeline.tick().to_json()
         return PlainResponse(status, encode(message))
 
 
 def is_stamp(value: Any) -> TypeGuard[list[int]]:
-    """Return whether `value` is a stamp as it stands on the wire."""
+    """Return whether `value` is an encoded stamp."""
     if not isinstance(value, list) or len(value) != STAMP_FIELDS:
         return False
     return all(type(one) is int and one >= 0 for one in value)
 
 
 def path_of(request: PlainRequest) -> str:
-    """Return the peer path that a request names; empty if it names none."""
+    """Return the peer path of a request; empty if it has none."""
     if request.method != POST or not request.path.startswith(PREFIX):
         return ""
     return request.path[len(PREFIX) :]
 
 
 def read_envelope(request: PlainRequest) -> Json:
-    """Read the body of a call.
+    """Decode the body of a call.
 
-    :raises Refusal: if it is compressed or malformed.
+    :raises RefusalError: if it is compressed or malformed.
     """
     if ENCODING in request.headers or LENGTH not in request.headers:
         raise not_run(
-            RefusalReason.BAD_REQUEST, "a plain body of stated length is expected"
+            RefusalReason.BAD_REQUEST,
+            "an uncompressed body with a Content-Length is expected",
         )
     try:
         return decode(request.body)
--- a/src/reedhook/process/network/plain_server.py
+++ b/src/reedhook/process/network/plain_server.py
@@ -1,8 +1,7 @@
-"""A small HTTP server for calls between hosts and for probes.
+"""A minimal HTTP server for calls between hosts and readiness checks.
 
-It knows whole bodies of stated length, and answers each connection's requests in
-their order. A general server would take 0.1 s more of each start to load, in which
-a host that lost power serves nobody, and twice the processor time of a call.
+It accepts only bodies with a Content-Length and answers the requests of a connection
+in order. It loads faster and uses less CPU per request than a general HTTP server.
 """
 
 import asyncio
@@ -24,24 +23,22 @@
 LENGTH: Final = "content-length"
 
 MAX_HEAD_BYTES: Final = 16384
-"""Bytes of the head of a request."""
+"""Limit of the request line and headers together."""
 
 REQUEST_TIMEOUT: Final = 5.0
-"""Seconds in which a request arrives once its first byte is there."""
+"""Time limit from the first byte of a request to its last."""
 
 REFUSED_READ_SECONDS: Final = 1.0
-"""Seconds for which what a refused client still sends is read and dropped: a
-connection closed with unread bytes is reset, and the refusal lost."""
+"""How long data of a refused client is read and discarded: closing a connection with
+unread data resets it, and the client would lose the refusal."""
 
 POLL_INTERVAL_SECONDS: Final = 0.02
-"""Seconds between two looks at whether connections have ended."""
 
 MAX_QUEUED_REQUESTS: Final = 8
-"""Requests of one connection that may wait for their turn; a client of ours waits
-for each answer."""
+"""Limit of pipelined requests of one connection; hosts do not pipeline."""
 
 DETAIL_MOST: Final = 160
-"""Characters of the parser's words that are logged; it quotes what was sent."""
+"""Limit of the parser's message in a log line, since it quotes the request."""
 
 JSON_TYPE: Final = "application/json"
 INTERNAL_ERROR: Final = 500
@@ -50,10 +47,10 @@
 
 
 class PlainRequest(Record):
-    """Carry one request.
+    """Represent one request.
 
-    :param path: as it stands in the request, with its query.
-    :param headers: by name in lower case.
+    :param path: the request target, including the query.
+    :param headers: values by lower-case name.
     """
 
     __slots__ = ("method", "path", "headers", "body")
@@ -68,7 +65,7 @@
 
 
 class PlainResponse(Record):
-    """Carry one response."""
+    """Represent one response."""
 
     __slots__ = ("status", "body", "content_type")
 
@@ -80,14 +77,14 @@
         self.content_type = content_type
 
     def encoded(self, closes: bool) -> bytes:
-        """Return the bytes of the response.
+        """Return the encoded response.
 
-        :param closes: whether it is the last one of its connection.
+        :param closes: whether it is the last response on its connection.
         """
-        last = "Connection: close\r\n" if closes else ""
+        connection_header = "Connection: close\r\n" if closes else ""
         head = (
             f"HTTP/1.1 {self.status} {HTTPStatus(self.status).phrase}\r\n"
-            f"Content-Type: {self.content_type}\r\n{last}"
+            f"Content-Type: {self.content_type}\r\n{connection_header}"
             f"Content-Length: {len(self.body)}\r\n\r\n"
         )
         return head.encode() + self.body
@@ -99,14 +96,14 @@
 class PlainServer:
     """Serve a handler on one address.
 
-    :param name: for the logs.
-    :param address: ``IP:port`` to listen on; port 0 takes a free one.
-    :param body_limit: the most bytes of a body.
-    :param keepalive: seconds after which an unused connection is closed.
-    :param idle_grace: seconds for which connections without a request are left
-        open at the end, lest one of them be on its way.
-    :param tls: None for plain TCP.
-    :param shutdown: how long `stop` waits for requests in progress, in seconds.
+    :param name: name of the server in log lines.
+    :param address: ``IP:port`` to listen on; port 0 selects a free one.
+    :param body_limit: maximum size of a request body, in bytes.
+    :param keepalive: seconds after which an idle connection is closed.
+    :param idle_grace: seconds for which `stop` leaves idle connections open, since
+        a request may be in transit.
+    :param tls: TLS context; None for plain TCP.
+    :param shutdown: seconds for which `stop` waits for requests in progress.
     """
 
     def __init__(
@@ -134,13 +131,13 @@
         self.connections: set[PlainConnection] = set()
 
     def refuse(self, refusal: RefusalError) -> PlainResponse:
-        """Return the response to what is no request, or passes a bound."""
+        """Return the response to a malformed or oversized request."""
         return PlainResponse(refusal.status, encode(refusal.to_json()))
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
-        :raises OSError: if the address cannot be had.
+        :raises OSError: if the address cannot be bound.
         """
         self.listener = bound_socket(self.address)
         self.server = await asyncio.get_running_loop().create_server(
@@ -152,14 +149,14 @@
         self.address = address_of(self.listener)
 
     def start_leaving(self) -> None:
-        """Serve on, and let each connection end with its next response."""
+        """Keep serving, but close each connection after its next response."""
         self.leaving = True
 
     async def stop(self) -> None:
-        """Stop listening, let requests end, close idle connections.
+        """Stop listening, let requests finish, close idle connections.
 
-        A connection that was just accepted may carry a request that is not read
-        yet, so that connections get some time to become known as idle.
+        A newly accepted connection may carry a request that has not been read yet,
+        so idle connections stay open for `idle_grace` seconds.
         """
         self.start_leaving()
         if self.server is None or self.listener is None:
@@ -173,7 +170,7 @@
         self.abort()
 
     def abort(self) -> None:
-        """Stop at once, with the requests in progress."""
+        """Stop immediately and abort the requests in progress."""
         if self.server is not None:
             self.server.close()
         self.server = None
@@ -181,20 +178,20 @@
             connection.abort()
 
     async def wait_until(self, done: Callable[[], bool], timeout: float) -> None:
-        """Return once something is so, or after `timeout` seconds."""
+        """Wait until `done` returns True, at most `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while not done():
                     await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
-            # What is left is ended by the caller.
+            # The caller closes the connections that remain.
             return
 
 
 class PlainConnection(asyncio.Protocol):
-    """Serve the requests of one connection, one after another.
+    """Serve the requests of one connection in order.
 
-    :ivar waiting: requests, and refusals of what cannot be one.
+    :ivar waiting: queued requests, and refusals of malformed ones.
     """
 
     def __init__(self, server: PlainServer) -> None:
@@ -211,24 +208,24 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forget what was read of the request in progress."""
+        """Reset the parsed data of the request in progress."""
         self.url = b""
         self.headers: dict[str, bytes] = {}
         self.head_size = 0
         self.parts: list[bytes] = []
         self.request_started = False
 
-    # Bytes that arrive
+    # Received data
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve; called by the loop."""
+        """Start serving; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections.add(self)
         self.restart_timeout(self.server.keepalive)
         self.task = asyncio.get_running_loop().create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of requests; called by the loop."""
+        """Parse received data; called by the event loop."""
         if self.refused:
             return
         if not self.request_started:
@@ -239,18 +236,18 @@
             detail = str(error)[:DETAIL_MOST]
             self.refuse(
                 not_run(
-                    RefusalReason.BAD_REQUEST, f"the request cannot be read: {detail}"
+                    RefusalReason.BAD_REQUEST, f"the request cannot be parsed: {detail}"
                 )
             )
 
     def eof_received(self) -> bool:
-        """Let the requests that were read be answered; called by the loop."""
+        """Keep the connection open to answer queued requests; called by the loop."""
         self.ended = True
         self.arrived.set()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the client; called by the loop."""
+        """Unregister the connection; called by the event loop."""
         self.ended = True
         self.arrived.set()
         self.server.connections.discard(self)
@@ -258,7 +255,7 @@
             self.timer.cancel()
 
     def on_message_begin(self) -> None:
-        """Take note that a request begins; called by the parser."""
+        """Reset the state for a new request; called by the parser."""
         self.clear()
         self.request_started = True
 
@@ -268,15 +265,20 @@
         self.add_to_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header; called by the parser."""
+        """Store a header; called by the parser."""
         self.headers[name.lower().decode("latin-1")] = value
         self.add_to_head(len(name) + len(value))
 
     def add_to_head(self, size: int) -> None:
-        """Refuse a head that is too large."""
+        """Count bytes of the request line and headers; refuse too many."""
         self.head_size += size
         if self.head_size > MAX_HEAD_BYTES:
-            self.refuse(not_run(RefusalReason.TOO_LARGE, "the head is too large"))
+            self.refuse(
+                not_run(
+                    RefusalReason.TOO_LARGE,
+                    "the request line and headers are too large",
+                )
+            )
 
     def on_headers_complete(self) -> None:
         """Refuse a body that is too large; called by the parser."""
@@ -285,17 +287,19 @@
             self.refuse(not_run(RefusalReason.TOO_LARGE, "the body is too large"))
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body; called by the parser."""
+        """Store a part of the body; called by the parser."""
         if LENGTH in self.headers and not self.refused:
             self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request over; called by the parser."""
+        """Queue the complete request; called by the parser."""
         self.request_started = False
         if self.refused:
             return
         if len(self.waiting) >= MAX_QUEUED_REQUESTS:
-            self.refuse(not_run(RefusalReason.BAD_REQUEST, "too many requests at once"))
+            self.refuse(
+                not_run(RefusalReason.BAD_REQUEST, "too many pipelined requests")
+            )
             return
         self.waiting.append(
             PlainRequest(
@@ -308,18 +312,22 @@
         self.arrived.set()
 
     def refuse(self, refusal: RefusalError) -> None:
-        """Answer with a refusal in its turn, and read no further request."""
+        """Queue a refusal as the last response and read no further request."""
         if self.refused:
             return
         self.refused = True
-        log.warning("A request to {} was refused: {}", self.server.name, refusal.detail)
+        log.warning(
+            "Refused a request to the {} server; closing the connection: {}",
+            self.server.name,
+            refusal.detail,
+        )
         self.waiting.append(refusal)
         self.arrived.set()
 
     # Requests
 
     async def serve(self) -> None:
-        """Answer requests until the connection ends."""
+        """Answer queued requests until the connection ends."""
         while True:
             request = await self.next_request()
             if request is None:
@@ -336,7 +344,7 @@
         await self.finish()
 
     async def next_request(self) -> PlainRequest | RefusalError | None:
-        """Return the next request, or None once the client has ended."""
+        """Return the next request, or None after the end of the client's data."""
         while not self.waiting:
             if self.ended:
                 return None
@@ -351,37 +359,40 @@
         try:
             return await self.server.handler(request)
         except Exception:
-            log.exception("The handler of {} failed.", self.server.name)
+            log.exception(
+                "The handler of the {} server failed; responding with status 500.",
+                self.server.name,
+            )
             return PlainResponse(INTERNAL_ERROR)
 
     async def finish(self) -> None:
-        """Close, once what a refused client still sends was read for a while."""
+        """Close the connection, after discarding remaining data of a refused client."""
         if self.refused and not self.ended:
             await self.server.wait_until(lambda: self.ended, REFUSED_READ_SECONDS)
         if self.transport is not None:
             self.transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the client is gone."""
+        """Send data unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    # The end
+    # Close
 
     def restart_timeout(self, seconds: float) -> None:
-        """Close the connection unless something arrives in time."""
+        """Restart the timer that closes an idle connection."""
         if self.timer is not None:
             self.timer.cancel()
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(seconds, self.close_idle)
 
     def close_idle(self) -> None:
-        """Close unless a request is in progress."""
+        """Close the connection unless a request is in progress."""
         if not self.serving and not self.waiting and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End at once, with the request in progress."""
+        """Close the connection immediately and abort its request."""
         if self.task is not None:
             self.task.cancel()
         if self.transport is not None:
--- a/src/reedhook/process/network/server.py
+++ b/src/reedhook/process/network/server.py
@@ -1,4 +1,4 @@
-"""An HTTP server of the process, with bounds and a graceful stop."""
+"""HTTP servers based on aiohttp, with limits and a graceful stop."""
 
 import asyncio
 import ssl
@@ -24,9 +24,9 @@
 class Server(ABC):
     """Serve HTTP on one address.
 
-    :param name: for the logs, such as ``callers``.
-    :param address: ``IP:port`` to listen on; port 0 takes a free one.
-    :param tls: None for plain TCP.
+    :param name: name of the server in log lines, such as ``callers``.
+    :param address: ``IP:port`` to listen on; port 0 selects a free one.
+    :param tls: TLS context; None for plain TCP.
     """
 
     __slots__ = (
@@ -55,9 +55,9 @@
         self.leaving = False
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
-        :raises OSError: if the address cannot be had.
+        :raises OSError: if the address cannot be bound.
         """
         self.runner = self.make_runner(
             access_log=None,
@@ -68,33 +68,33 @@
         self.listener = Listener(self.runner, self.address, IDLE_GRACE)
         await self.listener.start(self.tls)
         self.address = self.listener.address
-        log.info("The interface for {} listens on {}.", self.name, self.address)
+        log.info("The {} server is listening on {}.", self.name, self.address)
 
     @abstractmethod
     def make_runner(self, **options: Any) -> Runner:
-        """Return the runner of what is served.
+        """Return the aiohttp runner of this server.
 
-        :param options: of aiohttp's server.
+        :param options: options of the aiohttp server.
         """
 
     def ask_to_close(self, response: web.StreamResponse) -> None:
-        """Let the connection end with this response once the host leaves."""
+        """Close the connection after this response if the host is leaving."""
         if not self.leaving:
             return
         response.headers["Connection"] = "close"
         response.force_close()
 
     def start_leaving(self) -> None:
-        """Serve on, and let each connection end with its next response.
+        """Keep serving, but close each connection after its next response.
 
-        A client that learns so of the end repeats nothing in doubt.
+        Clients then reconnect elsewhere without a request of unknown outcome.
         """
         self.leaving = True
 
     async def stop(self) -> None:
-        """Stop listening, let requests end, close idle connections.
+        """Stop listening, let requests finish, close idle connections.
 
-        Requests still in progress after the limit ``shutdown_s`` are cut.
+        Requests still in progress after `ServerLimits.shutdown_s` are aborted.
         """
         self.leaving = True
         listener, self.listener = self.listener, None
@@ -102,11 +102,11 @@
             return
         self.runner = None
         await listener.stop()
-        log.info("The interface for {} is closed.", self.name)
+        log.info("The {} server is closed.", self.name)
 
 
 class ApplicationServer(Server):
-    """Serve an application, with its router and middleware."""
+    """Serve an aiohttp application with its router and middleware."""
 
     __slots__ = ("app",)
 
@@ -130,14 +130,14 @@
     async def prepare(
         self, request: web.BaseRequest, response: web.StreamResponse
     ) -> None:
-        """Do what is due before each response."""
+        """Prepare a response; a signal handler of aiohttp."""
         self.ask_to_close(response)
 
 
 class HandlerServer(Server):
-    """Serve one handler of all requests, which costs less.
+    """Serve all requests with one handler, which uses less CPU than a router.
 
-    Compressed bodies are left as they are, so that a small one cannot grow.
+    Request bodies are not decompressed, as a guard against decompression bombs.
     """
 
     __slots__ = ("handler",)
@@ -167,7 +167,7 @@
         return web.ServerRunner(server, shutdown_timeout=self.limits.shutdown_s)
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Run the handler for one request."""
         response = await self.handler(request)
         self.ask_to_close(response)
         return response
--- a/src/reedhook/process/network/sockets.py
+++ b/src/reedhook/process/network/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and how one ends without a reset."""
+"""Listening sockets that close without resetting connections."""
 
 import asyncio
 import socket
@@ -7,42 +7,42 @@
 from ...address import split_address
 
 BACKLOG: Final = 1024
-"""New connections that may wait to be accepted."""
+"""Length of the accept queue."""
 
 ACCEPT_TIME: Final = 0.05
-"""Seconds in which the connections that wait are accepted."""
+"""Time for accepting the queued connections before the socket is closed."""
 
 
 async def end_listening(listener: socket.socket) -> None:
-    """Return once the queue of a listening socket is empty; then close it.
+    """Wait until the accept queue of a listening socket is empty.
 
-    The kernel resets connections that wait to be accepted. With the shortest
-    queue, new clients wait for the socket's end instead, and are then told that
-    nobody listens, which proves that nothing ran.
+    The caller closes the socket afterwards. Closing it would reset connections in
+    the queue. With a backlog of 0, new clients are not queued; they wait and get
+    "connection refused" once it is closed, which proves that nothing ran.
     """
     listener.listen(0)
     await asyncio.sleep(ACCEPT_TIME)
 
 
 def bound_socket(address: str) -> socket.socket:
-    """Return a socket that is bound to ``IP:port``.
+    """Return a non-blocking TCP socket that is bound to ``IP:port``.
 
-    :raises OSError: if the address cannot be had.
+    :raises OSError: if the address cannot be bound.
     """
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    found = socket.socket(family, socket.SOCK_STREAM)
+    listener = socket.socket(family, socket.SOCK_STREAM)
     try:
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        found.setblocking(False)
-        found.bind((host, port))
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setblocking(False)
+        listener.bind((host, port))
     except OSError as error:
-        found.close()
+        listener.close()
         raise OSError(error.errno, f"{address}: {error.strerror}") from error
-    return found
+    return listener
 
 
 def address_of(listener: socket.socket) -> str:
-    """Return ``IP:port`` that a socket is bound to."""
+    """Return the ``IP:port`` that a socket is bound to."""
     host, port = listener.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/src/reedhook/process/network/tls.py
+++ b/src/reedhook/process/network/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts made from the settings, and reloaded while connections last."""
+"""TLS contexts from the settings, reloaded without closing connections."""
 
 import os
 import ssl
@@ -19,14 +19,14 @@
 
 
 class TlsContexts:
-    """Hold the contexts of a host.
+    """Hold the TLS contexts of a host.
 
     Changed files are loaded into the same contexts: new connections use them,
-    open ones go on as they are.
+    open connections are not affected.
 
-    :ivar callers: for the listeners of callers and operators, who show no
-        certificate.
-    :ivar peers: for the listener of other hosts, who must show one.
+    :ivar callers: for the servers of callers and operators, without client
+        certificates.
+    :ivar peers: for the server of other hosts, with mandatory client certificates.
     :ivar client: for connections to other hosts.
     """
 
@@ -34,7 +34,7 @@
         """Load all files.
 
         :raises OSError: if a file cannot be read.
-        :raises ssl.SSLError: if a file does not hold what it should.
+        :raises ssl.SSLError: if a file is invalid.
         """
         self.settings = settings
         self.callers = server_context()
@@ -47,16 +47,16 @@
     def load(self) -> None:
         """Load all files into the contexts.
 
-        They are tried on a spare context first, so that a certificate without
-        its key leaves the contexts as they were.
+        They are loaded into a temporary context first, so that an invalid file
+        leaves the contexts unchanged.
 
         :raises OSError: if a file cannot be read.
-        :raises ssl.SSLError: if a file does not hold what it should.
+        :raises ssl.SSLError: if a file is invalid.
         """
-        marks = marks_of(self.files())
+        versions = marks_of(self.files())
         self.load_into([client_context()])
         self.load_into([self.callers, self.peers, self.client])
-        self.file_versions = marks
+        self.file_versions = versions
 
     def load_into(self, contexts: Iterable[ssl.SSLContext]) -> None:
         """Load all files into `contexts`."""
@@ -69,39 +69,42 @@
         return [self.settings.cert, self.settings.key, self.settings.ca]
 
     def reload(self) -> bool:
-        """Load the files if they have changed; return whether that worked."""
+        """Load the files if they have changed; return whether they were loaded."""
         try:
             if marks_of(self.files()) == self.file_versions:
                 return False
             self.load()
         except (OSError, ssl.SSLError) as error:
-            log.error("The certificate files stay as they were: {}.", error)
+            log.error(
+                "Reloading the TLS files failed; the previous ones stay in use: {}.",
+                error,
+            )
             return False
-        log.info("The certificate files were loaded again.")
+        log.info("The TLS files were reloaded.")
         return True
 
     async def watch_files(self, clock: Clock) -> None:
-        """Reload whenever the files change, until cancelled."""
+        """Poll the files and reload them after a change, until cancelled."""
         while True:
             await clock.sleep(RELOAD_INTERVAL)
             self.reload()
 
 
 def server_context() -> ssl.SSLContext:
-    """Return an empty context for a listener."""
+    """Return a context without certificates for a server."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     return context
 
 
 def client_context() -> ssl.SSLContext:
-    """Return an empty context that checks the certificate and its IP number."""
+    """Return a client context that verifies the server's certificate and address."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     return context
 
 
 def marks_of(files: Iterable[Path]) -> FileVersions:
-    """Return what tells one content of the files from another."""
-    found = [os.stat(file) for file in files]
-    return tuple((one.st_mtime_ns, one.st_ino) for one in found)
+    """Return the modification times and inodes of the files."""
+    stats = [os.stat(file) for file in files]
+    return tuple((stat.st_mtime_ns, stat.st_ino) for stat in stats)
--- a/src/reedhook/process/run.py
+++ b/src/reedhook/process/run.py
@@ -1,4 +1,4 @@
-"""One run of a host: its start, the signal that ends it, its gentle stop."""
+"""Run a host: start, wait for a stop signal, graceful shutdown."""
 
 import asyncio
 import signal
@@ -18,14 +18,14 @@
     """Start and stop what a daemon runs."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self) -> None:
         """Shut down gracefully."""
 
 
 class HostSettings(Protocol):
-    """Name the host that settings are of."""
+    """Describe the settings that a run needs."""
 
     host: str
 
@@ -38,7 +38,7 @@
 
 
 class DaemonExitCode(IntEnum):
-    """Name the exit codes."""
+    """Enumerate the exit codes of the daemon."""
 
     DONE = 0
     FAILED = 1
@@ -47,10 +47,10 @@
 
 
 class HostRun:
-    """Start a host, wait for a signal, stop it.
+    """Start a host, wait for a stop signal, shut the host down.
 
-    :param settings: of the host.
-    :param assemble: makes the host.
+    :param settings: the settings of the host.
+    :param assemble: creates the process from the settings.
     :ivar exit_code: the exit code of the process.
     """
 
@@ -62,7 +62,7 @@
         self.process: Process | None = None
 
     async def whole(self) -> None:
-        """Serve from the start to the stop.
+        """Start the host, serve until a stop signal, then shut down.
 
         :raises OSError: if the host cannot start.
         """
@@ -71,7 +71,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Start the host, unless a signal to stop comes first."""
+        """Start the host; abandon the start if a stop signal arrives first."""
         require_no_io_uring()
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
@@ -81,27 +81,29 @@
         if reload is not None:
             handle_reloads(loop, reload)
         starting = asyncio.ensure_future(self.process.start())
-        told = asyncio.ensure_future(self.stopping.wait())
-        await asyncio.wait({starting, told}, return_when=asyncio.FIRST_COMPLETED)
+        stop_requested = asyncio.ensure_future(self.stopping.wait())
+        await asyncio.wait(
+            {starting, stop_requested}, return_when=asyncio.FIRST_COMPLETED
+        )
         if starting.done():
-            told.cancel()
+            stop_requested.cancel()
             await starting
             freeze_startup_objects()
-            log.info("Host {} serves.", self.settings.host)
+            log.info("Host {} is serving.", self.settings.host)
             return
         starting.cancel()
         await asyncio.gather(starting, return_exceptions=True)
 
     async def wait_for_stop_signal(self) -> None:
-        """Return once a signal to stop has come.
+        """Wait for a stop signal.
 
-        Further signals change nothing: the shutdown has its bound, and a
-        process that must end at once is ended by SIGKILL.
+        Further signals have no effect: the shutdown has a time limit, and SIGKILL
+        ends the process immediately.
         """
         await self.stopping.wait()
 
     async def stop(self) -> None:
-        """Shut down gracefully, within the bound of the settings."""
+        """Shut down gracefully; set the exit code if that times out."""
         if self.process is None:
             return
         try:
@@ -113,10 +115,10 @@
 def handle_reloads(
     loop: asyncio.AbstractEventLoop, reload: Callable[[], object]
 ) -> None:
-    """Have a signal to reload handled for as long as the process lives.
+    """Install a handler of the reload signal that outlives the event loop.
 
-    The handler is not the loop's own: a loop that closes puts the default back, by
-    which a reload in the last milliseconds of a process ends it with a failure.
+    A closing loop would restore the default action of its own handlers, and a
+    reload signal during the end of the process would then kill it.
     """
 
     def handle(number: int, frame: FrameType | None) -> None:
--- a/src/reedhook/process/service.py
+++ b/src/reedhook/process/service.py
@@ -1,4 +1,4 @@
-"""A host as a service of aiomisc."""
+"""Run a host as an aiomisc service."""
 
 import uvloop
 from aiomisc import Service, entrypoint
@@ -7,7 +7,7 @@
 
 
 class HostService(Service):  # type: ignore[misc]
-    """Let the entry point start and stop a host.
+    """Start and stop a host in the lifecycle of an aiomisc entry point.
 
     :param run: the run of the host.
     """
@@ -26,7 +26,7 @@
 
 
 def run_service(run: HostRun) -> None:
-    """Run a host until it is told to stop."""
+    """Run a host until a stop signal arrives."""
     with entrypoint(
         HostService(run=run),
         log_config=False,
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -60,34 +60,29 @@
 from .zone_isolation import ZoneIsolationDetector
 
 INCARNATION_BITS: Final = 48
-"""Random bits that tell one life of a process from another."""
+"""Random bits that distinguish the incarnations of a process."""
 
 TRANSACTION_DRAIN_FRACTION: Final = 0.5
-"""Share of the time to stop for which open transactions may go on."""
+"""Fraction of the grace period after which open transactions are aborted."""
 
 HANDOVER_TIMEOUT_SECONDS: Final = 1.5
-"""Seconds in which other hosts take the leads of one that ends."""
+"""Time limit for handing over the primary leases at shutdown."""
 
 KILL_MARGIN_SECONDS: Final = 1.2
-"""Seconds before the process is killed at which it ends by itself."""
+"""Time before the process is killed at which it exits by itself."""
 
 DEFAULT_CONNECTIONS: Final = 16
-"""Connections of a target whose service is not described."""
+"""Connections to a target whose service is not configured."""
 
 PROVER: Final = "prover"
-"""Ranks the hosts of which the first asks the store how new the configuration is."""
+"""Key that ranks the hosts; the first one verifies the configuration's freshness."""
 
 POLL_INTERVAL_SECONDS: Final = 0.05
-"""Seconds between two looks at what is still in progress."""
-
 log = logbook.Logger("host")
 
 
 class SessionHost:
-    """Hold the parts of one host.
-
-    :ivar ready: whether callers may be sent here.
-    """
+    """Assemble, start and stop the components of one session host."""
 
     def __init__(
         self,
@@ -140,7 +135,7 @@
         self.connect()
 
     def make_membership(self, timeline: Timeline) -> None:
-        """Make what knows the other hosts."""
+        """Create membership and heartbeats."""
         self.membership = Membership(self.me, self.clock, self.random, timeline)
         self.directory = MembershipDirectory(
             self.me, self.membership.table, self.capacities.is_weak
@@ -154,7 +149,7 @@
         )
 
     def make_updates(self) -> None:
-        """Make what learns from the store, and hands on what it has learned."""
+        """Create what watches the store and distributes its updates to other hosts."""
         self.updates_server = UpdateServer(
             self.announcements, self.clock, self.freshness
         )
@@ -200,7 +195,7 @@
         )
 
     def make_leases(self) -> None:
-        """Make what holds and passes on the leads of services."""
+        """Create what holds and hands over the primary leases of services."""
         table = self.membership.table
         self.lease_registry = PrimaryLeaseRegistry(self.announcements, self.decisions)
         self.promotion_duty = PromotionCoordinator(
@@ -255,7 +250,7 @@
         )
 
     def make_requests(self) -> None:
-        """Make what serves callers."""
+        """Create what serves callers."""
         self.rate_owner = RateOwner(
             self.directory,
             lambda: self.announcements.table.workspaces,
@@ -328,7 +323,7 @@
         )
 
     def connect(self) -> None:
-        """Register the handlers of peer calls and tell the parts of each other."""
+        """Register peer handlers and connect the callbacks of the components."""
         self.heartbeats.register(self.routes)
         self.promotion_duty.register(self.routes)
         self.indirect_probers.register(self.routes)
@@ -354,9 +349,9 @@
         seen: Callable[[Position, float], None],
         opened: OnConnectionOpened = lambda position: None,
     ) -> SessionTargetHome:
-        """Return a home of a target within this host's share of connections."""
-        terms = self.announcements.table.services.get(entry.service)
-        connections = DEFAULT_CONNECTIONS if terms is None else terms.connections
+        """Create a home of a target, limited to this host's share of connections."""
+        service = self.announcements.table.services.get(entry.service)
+        connections = DEFAULT_CONNECTIONS if service is None else service.connections
         return SessionTargetHome(
             entry,
             self.driver,
@@ -374,7 +369,7 @@
     def make_lease(
         self, record: PrimaryLeaseRecord, requested_at: float
     ) -> PrimaryLeaseHolder:
-        """Return a lead that this host has taken."""
+        """Create the holder of a primary lease that this host has acquired."""
         claim = self.make_claim(HolderClaim, record, requested_at)
         others = OtherHolders(
             claim,
@@ -405,7 +400,7 @@
     def make_backup_holder(
         self, record: PrimaryLeaseRecord, requested_at: float
     ) -> BackupHolder:
-        """Return what stands in for the holder of a lead."""
+        """Create the backup holder of a primary lease."""
         return BackupHolder(
             self.make_claim(BackupHolderClaim, record, requested_at),
             self.announcements,
@@ -418,7 +413,7 @@
     def make_claim(
         self, kind: type[LeaseClaim], record: PrimaryLeaseRecord, requested_at: float
     ) -> LeaseClaim:
-        """Return this host's place in a record."""
+        """Create this host's claim to a role in a lease record."""
         return kind(
             record,
             requested_at,
@@ -429,17 +424,17 @@
             self.decisions,
         )
 
-    # Life
+    # Lifecycle
 
     async def start(self) -> None:
-        """Begin to learn, to announce this host and to take leads."""
+        """Start the background tasks of all components."""
         self.decisions.record(
             "start",
             zone=self.me.zone,
             life=self.holder.incarnation,
             peers=self.me.address,
         )
-        for work in (
+        for coroutine in (
             self.watch.run(),
             self.freshness_prover.run(),
             self.registration.run(),
@@ -451,20 +446,20 @@
                 self.zone_isolation.isolated_seconds
             ),
         ):
-            self.background.spawn(work)
+            self.background.spawn(coroutine)
 
     @property
     def ready(self) -> bool:
-        """Say whether callers may be sent here."""
+        """Return whether callers may be sent here."""
         if self.leaving or self.zone_isolation.cut_off:
             return False
         return self.announcements.configured.is_set()
 
     async def drain(self) -> None:
-        """Pass the leads on and end all sessions, within the time to stop."""
+        """Hand over primary leases and end all sessions within the grace period."""
         self.decisions.record("stop", sessions=len(self.caller_sessions.connections))
         self.leaving = True
-        # The process is killed at the end of `grace`.
+        # The platform kills the process at the end of `grace`.
         deadline = self.clock.monotonic() + self.settings.grace - KILL_MARGIN_SECONDS
         await asyncio.gather(
             self.hand_over_leases(),
@@ -480,7 +475,7 @@
         self.decisions.record("stopped", cut=len(self.caller_sessions.connections))
 
     async def hand_over_leases(self) -> None:
-        """Have other hosts take the leads over."""
+        """Hand over all primary leases to other hosts."""
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT_SECONDS):
                 await self.primary_leases.transfer_all()
@@ -490,7 +485,7 @@
             )
 
     def has_work_in_progress(self) -> bool:
-        """Say whether this host still works for somebody."""
+        """Return whether requests, statements or held primary leases remain."""
         if (
             self.caller_sessions.has_requests_in_progress()
             or not self.statement_server.is_idle()
@@ -499,7 +494,7 @@
         return bool(self.primary_leases.held)
 
     async def close(self) -> None:
-        """Release everything at once."""
+        """Cancel all tasks and release all resources immediately."""
         tasks = list(self.background.tasks)
         self.background.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -510,38 +505,38 @@
         await self.keyspace.close()
 
     def apply_settings(self, settings: SessionHostSettings) -> None:
-        """Take over settings that may change while the host runs."""
+        """Apply the settings that may change while the host runs."""
         self.decisions.record(
             "reload", store=settings.store, promotions=settings.promotions
         )
         self.settings = settings
 
-    # News
+    # Peers and updates
 
     async def addresses(self) -> list[str]:
-        """Return the addresses of hosts that announce themselves."""
+        """Return the peer addresses of hosts that are registered in the store."""
         return self.registration.addresses()
 
     def offer_announced_hosts(self) -> None:
-        """Have heartbeats look for hosts that announce themselves."""
+        """Pass addresses of newly registered hosts to heartbeat discovery."""
         if addresses := self.registration.pop_new_addresses():
             self.heartbeats.discovery.update_listed_addresses(addresses)
 
     def state_age(self, answer: Json) -> None:
-        """Say in the answer to a heartbeat how surely the version is the newest."""
+        """Add the age of the last freshness proof to a heartbeat response."""
         self.freshness.add_age(answer, self.clock.boottime())
 
     def publish_version(self, table: RouteTable) -> None:
-        """State the version in force with the heartbeats."""
+        """Publish the configuration version in force with the heartbeats."""
         self.membership.set_configuration_version(table.version)
 
     def suspect_host(self, host: HostRef) -> None:
-        """Have heartbeats look at a host that gave no answer."""
+        """Have heartbeats probe a host that did not respond."""
         self.heartbeats.request_probe(host.host)
 
     def hosts_with_version(self, version: int) -> list[HostRef]:
-        """Return live hosts that said they have a version, if any of this zone."""
+        """Return live hosts that have a version; only those of this zone if any."""
         table = self.membership.table
-        said = self.membership.configuration_versions
-        found = [ref for ref in table.refs() if said.get(ref.host, 0) >= version]
-        return [ref for ref in found if ref.zone == self.me.zone] or found
+        versions = self.membership.configuration_versions
+        holders = [ref for ref in table.refs() if versions.get(ref.host, 0) >= version]
+        return [ref for ref in holders if ref.zone == self.me.zone] or holders
--- a/src/reedhook/process/session_host_settings.py
+++ b/src/reedhook/process/session_host_settings.py
@@ -5,22 +5,22 @@
 
 
 class SessionHostSettings(Record):
-    """Carry the settings; addresses are ``IP:port``.
+    """Represent the settings of a session host; addresses are ``IP:port``.
 
     :param host: the host's id, unique in the deployment.
     :param zone: its availability zone.
-    :param callers_listen: where callers reach it.
-    :param ready_listen: where the platform asks whether it is ready.
-    :param peer_listen: where other hosts reach it.
-    :param metrics_listen: where its metrics are read.
-    :param store: the platform's store.
-    :param promotions: where promotions are ordered.
-    :param grace: seconds from the signal to stop until the process is killed.
+    :param callers_listen: listen address for callers.
+    :param ready_listen: listen address for readiness checks.
+    :param peer_listen: listen address for other hosts.
+    :param metrics_listen: listen address for the metrics endpoint.
+    :param store: address of the platform's store.
+    :param promotions: address of the platform's promotion API.
+    :param grace: seconds from the stop signal until the process is killed.
     :param cores: processor cores that the host may use.
-    :param link_mbps: what its link carries, in Mbit/s.
-    :param revoke: seconds after which a key that was taken away opens nothing at any
-        host, whether it reaches the store or not; None where that is not bounded.
-    :param rates: how strictly the rates of workspaces are held.
+    :param link_mbps: bandwidth of its network link, in Mbit/s.
+    :param revoke: seconds within which a revoked key loses access at every host,
+        even one that cannot reach the store; None for no bound.
+    :param rates: tolerance of the rate limits of workspaces.
     """
 
     __slots__ = (
--- a/src/reedhook/process/session_process.py
+++ b/src/reedhook/process/session_process.py
@@ -1,4 +1,4 @@
-"""Start and gentle end of a host that serves sessions, with its servers."""
+"""Start and graceful shutdown of a session host with its servers."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -9,17 +9,16 @@
 from .session_host import SessionHost
 
 SETTINGS_POLL_SECONDS: Final = 1.0
-"""Seconds between two looks at whether the settings file has changed."""
 
 
 class CallersListener(Protocol):
-    """Listen for callers."""
+    """Accept connections of callers."""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
 
     def stop(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting connections."""
 
 
 class SessionProcess(ABC):
@@ -27,9 +26,10 @@
 
     :param caller_listener: serves callers; opened last.
     :param peers: serves other hosts.
-    :param readiness_server: answers whether this host is ready.
-    :param metrics: shows the metrics.
-    :param loaded_stamp: `stamp` from before the settings in force were read.
+    :param readiness_server: answers readiness checks.
+    :param metrics: serves the metrics.
+    :param loaded_stamp: value of `stamp` taken before the settings in force were
+        read, so that no later change is missed.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
 
     @abstractmethod
     def reload(self) -> None:
-        """Read the settings again and go on with what has changed."""
+        """Read the settings again and apply what has changed."""
 
     @abstractmethod
     def stamp(self) -> float:
-        """Return what differs when the settings have changed."""
+        """Return a value that changes with the settings; 0 if they are unavailable."""
 
     async def start(self) -> None:
         """Open the servers and start the host.
 
-        :raises OSError: if an address cannot be had.
+        :raises OSError: if an address cannot be bound.
         """
         await self.readiness_server.start()
         await self.peers.start()
@@ -70,16 +70,16 @@
         self.watch_task = asyncio.get_running_loop().create_task(self.watch_settings())
 
     async def watch_settings(self) -> None:
-        """Reload when the settings change without a signal."""
+        """Poll the settings and reload them after a change, until cancelled."""
         while True:
             await self.host.clock.sleep(SETTINGS_POLL_SECONDS)
-            found = self.stamp()
-            if found and found != self.loaded_stamp:
-                self.loaded_stamp = found
+            current_stamp = self.stamp()
+            if current_stamp and current_stamp != self.loaded_stamp:
+                self.loaded_stamp = current_stamp
                 self.reload()
 
     async def stop(self) -> None:
-        """Shut down without cutting a statement in progress."""
+        """Shut down gracefully; let statements in progress finish."""
         await self.host.drain()
         self.caller_listener.stop()
         if self.watch_task is not None:
--- a/src/reedhook/process/settings.py
+++ b/src/reedhook/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one host, read from a YAML file and checked as a whole."""
+"""Settings of one host, read from a YAML file and validated as a whole."""
 
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 
     :param cert: the certificate with its chain, PEM.
     :param key: its private key, PEM.
-    :param ca: the authorities that other hosts' certificates come from, PEM.
+    :param ca: the certificate authorities of other hosts, PEM.
     """
 
     __slots__ = TLS_FILES
@@ -28,22 +28,22 @@
 
 
 class Settings(Record):
-    """Carry the settings of one host; addresses are ``IP:port``.
+    """Represent the settings of one host; addresses are ``IP:port``.
 
     :param host: the host's id, unique in the deployment.
     :param zone: its availability zone.
-    :param listen: where callers reach it.
-    :param peer_listen: where other hosts reach it.
-    :param admin_listen: where operators reach it.
-    :param store: the platform's key-value service.
-    :param hostlist: the platform's list of hosts.
+    :param listen: listen address for callers.
+    :param peer_listen: listen address for other hosts.
+    :param admin_listen: listen address for operators.
+    :param store: address of the platform's key-value service.
+    :param hostlist: address of the platform's host list.
     :param seeds: peer addresses of some other hosts.
     :param peer_credential: shared by all hosts of the deployment.
     :param token_secret: signs session tokens; shared by all hosts.
-    :param former_token_secrets: verify tokens besides, while the secret is
-        being replaced.
+    :param former_token_secrets: also accepted for verification, during a rotation
+        of the secret.
     :param admins: SHA-256 hex digest of each operator's credential, by name.
-    :param statsd: where metrics go; None for nowhere.
+    :param statsd: address of the statsd server; None to send no metrics.
     :param log_level: the lowest level that is logged.
     :param tls: the host's certificate; None for plain TCP.
     """
@@ -108,9 +108,9 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file; relative paths in it start at its folder.
+    """Read and validate a settings file; its paths are relative to its directory.
 
-    :raises ExceptionGroup: of `SettingsError`, one for each fault.
+    :raises ExceptionGroup: of `SettingsError`, one for each error.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -121,7 +121,7 @@
 
 
 def parse_settings(text: str, folder: Path) -> Settings:
-    """Read and check settings; see `load_settings`."""
+    """Parse and validate settings; see `load_settings`."""
     try:
         document = yaml.load(text, Loader=UniqueKeyLoader)
     except yaml.YAMLError as error:
@@ -137,33 +137,33 @@
 
 
 class UniqueKeyLoader(yaml.SafeLoader):
-    """Load YAML and refuse a key that stands twice in one mapping."""
+    """Load YAML and reject duplicate keys in a mapping."""
 
     def construct_mapping(
         self, node: yaml.MappingNode, deep: bool = False
     ) -> dict[Any, Any]:
-        """Build a mapping.
+        """Construct a mapping.
 
-        :raises yaml.constructor.ConstructorError: if a key stands twice.
+        :raises yaml.constructor.ConstructorError: if a key is duplicated.
         """
         seen = set()
         for key_node, _ in node.value:
             key = key_node.value
             if key in seen:
                 raise yaml.constructor.ConstructorError(
-                    None, None, f"the key '{key}' stands twice", key_node.start_mark
+                    None, None, f"duplicate key '{key}'", key_node.start_mark
                 )
             seen.add(key)
         return super().construct_mapping(node, deep)
 
 
 def build(document: dict[str, Any], folder: Path) -> Settings:
-    """Make typed settings of a checked document."""
+    """Return typed settings from a valid document."""
     values = dict(document)
     for name in SECRETS:
         values[name] = read_secret(document[name], folder)
     former = document.get(FORMER, ())
-    values[FORMER] = tuple(read_secret(one, folder) for one in former)
+    values[FORMER] = tuple(read_secret(secret, folder) for secret in former)
     values["seeds"] = tuple(document.get("seeds", ()))
     tls = document.get("tls")
     if tls is not None:
--- a/src/reedhook/process/settings_check.py
+++ b/src/reedhook/process/settings_check.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings document by itself."""
+"""Validate a settings document without the files that it names."""
 
 from collections.abc import Iterator
 from typing import Any, Final
@@ -11,18 +11,18 @@
 REASONS: Final = {
     "format": "an IP number with a port is expected, such as 10.0.0.1:8000",
     "additionalProperties": "unknown setting",
-    "oneOf": f"a text of {MIN_SECRET_CHARACTERS} characters or more, or 'file: PATH',"
+    "oneOf": f"a string of at least {MIN_SECRET_CHARACTERS} characters or 'file: PATH'"
     " is expected",
-    "uniqueItems": "an entry stands twice",
+    "uniqueItems": "the list contains a duplicate entry",
     "minProperties": "at least one entry is expected",
 }
 
 
 class SettingsError(Exception):
-    """Say what is wrong with one setting.
+    """Signal that one setting is invalid.
 
-    :param path: names the setting, such as ``limits.body_bytes``.
-    :param reason: one sentence for a person; never shows a secret.
+    :param path: path of the setting, such as ``limits.body_bytes``.
+    :param reason: human-readable cause; must not contain a secret.
     """
 
     def __init__(self, path: str, reason: str) -> None:
@@ -32,35 +32,35 @@
 
 
 def schema_errors(document: object) -> Iterator[SettingsError]:
-    """Check `document` against the schema."""
+    """Validate `document` against the schema."""
     validator = Draft202012Validator(SETTINGS, format_checker=FORMATS)
     errors = validator.iter_errors(document)
-    for error in sorted(errors, key=lambda one: one.json_path):
+    for error in sorted(errors, key=lambda error: error.json_path):
         yield from describe(error)
 
 
 def describe(error: ValidationError) -> Iterator[SettingsError]:
-    """Turn an error of the validator into errors that show no value."""
-    place = dotted(error.absolute_path)
+    """Convert a validator error to errors that contain no values."""
+    path = dotted(error.absolute_path)
     if error.validator == "required":
         for name in missing(error):
-            yield SettingsError(join(place, name), "the setting is missing")
+            yield SettingsError(join(path, name), "the setting is missing")
         return
     if error.validator == "additionalProperties":
         for name in unknown(error):
-            yield SettingsError(join(place, name), REASONS["additionalProperties"])
+            yield SettingsError(join(path, name), REASONS["additionalProperties"])
         return
-    yield SettingsError(place, reason_of(error))
+    yield SettingsError(path, reason_of(error))
 
 
 def missing(error: ValidationError) -> list[str]:
-    """Return the one required name that `error` is about."""
+    """Return the required name that `error` reports as missing."""
     required: Any = error.validator_value
     return [name for name in required if error.message.startswith(f"'{name}'")]
 
 
 def unknown(error: ValidationError) -> list[str]:
-    """Return the names that the schema does not know."""
+    """Return the names that the schema does not define."""
     schema: Any = error.schema
     allowed = schema["properties"]
     instance: Any = error.instance
@@ -68,7 +68,7 @@
 
 
 def reason_of(error: ValidationError) -> str:
-    """Say in a few words what was expected."""
+    """Return a short description of the expected value."""
     expected: Any = error.validator_value
     match error.validator:
         case "type":
@@ -77,24 +77,24 @@
             choices = ", ".join(expected)
             return f"one of {choices} is expected"
         case "pattern":
-            return f"text of the form {expected} is expected"
+            return f"a string that matches {expected} is expected"
         case "minimum":
             return f"{expected} or more is expected"
         case "maximum":
             return f"{expected} or less is expected"
-    return REASONS.get(str(error.validator), "not accepted")
+    return REASONS.get(str(error.validator), "the value is invalid")
 
 
 def listener_errors(document: dict[Any, Any]) -> Iterator[SettingsError]:
-    """Report an address on which two interfaces would listen."""
-    taken: dict[str, str] = {}
+    """Report listen addresses that are used twice."""
+    name_by_address: dict[str, str] = {}
     for name in LISTENERS:
         address = document.get(name)
         if not isinstance(address, str):
             continue
-        first = taken.setdefault(address, name)
-        if first != name:
-            yield SettingsError(name, f"the address is that of {first}")
+        first_name = name_by_address.setdefault(address, name)
+        if first_name != name:
+            yield SettingsError(name, f"the address is already used by {first_name}")
 
 
 def dotted(path: Any) -> str:
--- a/src/reedhook/process/settings_schema.py
+++ b/src/reedhook/process/settings_schema.py
@@ -1,4 +1,4 @@
-"""Schema of the settings file, and checks of the forms that it names."""
+"""JSON schema of the settings file and its format checks."""
 
 import ipaddress
 from typing import Any, Final
@@ -90,7 +90,10 @@
 
 @FORMATS.checks("address", raises=ValueError)
 def check_address(value: object) -> bool:
-    """Accept an address that other hosts can reach."""
+    """Accept ``IP:port`` with a port above 0 and an IP other than 0.0.0.0 and ::.
+
+    :raises ValueError: if it is malformed.
+    """
     if not isinstance(value, str):
         return True
     host, port = split_address(value)
--- a/src/reedhook/process/shutdown_errors.py
+++ b/src/reedhook/process/shutdown_errors.py
@@ -1,5 +1,5 @@
-"""The error of a shutdown that took too long."""
+"""Errors of the shutdown of a host."""
 
 
 class ShutdownTimeoutError(Exception):
-    """Say that work was still in progress when the shutdown's time ran out."""
+    """Signal that work was still in progress when the shutdown timed out."""
--- a/src/reedhook/process/start.py
+++ b/src/reedhook/process/start.py
@@ -1,4 +1,4 @@
-"""Entry of the daemon: what must be in place before anything else is loaded."""
+"""Entry point of the daemon; ignores reload signals before loading the program."""
 
 import signal
 import sys
@@ -7,13 +7,13 @@
 def main() -> int:
     """Run the daemon; return its exit code.
 
-    A reload that arrives before the program handles it would end the process.
-    Until then it is ignored, and nothing is lost: settings are read later, and a
-    change after that is seen by the stamp of their file. The same holds once it has
-    ended: the interpreter takes all handlers down before the process is over.
+    The default action of a reload signal would kill the process before its handler
+    is installed, and again during interpreter shutdown, when handlers are removed.
+    Ignoring it loses no change: settings are read later, and a change after that
+    is detected by the stamp of their file.
     """
     ignore_reloads()
-    # Loading takes 0.3 s of a core, in which a reload may arrive.
+    # Imported late: a reload signal may arrive while the program is loaded.
     from .daemon import main as run
 
     try:
@@ -23,7 +23,7 @@
 
 
 def ignore_reloads() -> None:
-    """Ignore the signal to reload until it is handled; a new process inherits this."""
+    """Ignore the reload signal; child processes inherit this."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
--- a/src/reedhook/process/statement_server.py
+++ b/src/reedhook/process/statement_server.py
@@ -1,4 +1,4 @@
-"""Where statements of sessions run at this host: at leads and at replicas."""
+"""Run session statements at the primaries and replicas that this host serves."""
 
 import asyncio
 from collections import OrderedDict
@@ -29,28 +29,27 @@
 PROOF: Final = "proof"
 
 OUTCOME_RETENTION_SECONDS: Final = 10.0
-"""Seconds for which the outcome of a write is kept for who asks again; longer
-than any deadline of a statement."""
+"""How long the outcome of a write is kept for resent requests; must exceed every
+statement deadline."""
 
 CLEANUP_INTERVAL_SECONDS: Final = 2.0
-"""Seconds between two looks for homes and outcomes that are needed no more."""
-
 POSSIBLY_SENT_REASONS: Final = frozenset(
     {RefusalReason.TARGET_LOST, RefusalReason.TRANSACTION_LOST}
 )
-"""Reasons of refusals of operations that may have reached a target, without effect."""
+"""Refusal reasons of operations that may have reached a target, without effect."""
 
 RETRY_MS: Final = 50
-"""When to come back after a statement met a target that leaves, in milliseconds."""
+"""Retry delay after a statement was sent to a leaving target."""
 
 
 class StatementServer:
-    """Run statements that hosts send here, each write at most once.
+    """Run statements that other hosts forward, each write at most once.
 
-    :ivar replica_homes: of replicas, by target.
-    :ivar replaced_homes: homes of targets that are announced at another address now, or
-        have started again; they are closed once nothing is in progress there.
-    :ivar outcomes: of writes and commits, by id, for those who lost the answer.
+    :ivar replica_homes: homes of replicas, by target.
+    :ivar replaced_homes: homes of replicas whose address has changed or that have
+        restarted; they are closed once idle.
+    :ivar outcomes: outcomes of writes and commits, by statement id, for hosts that
+        lost the response.
     """
 
     def __init__(
@@ -73,7 +72,7 @@
         self.outcomes: OrderedDict[str, WriteOutcome] = OrderedDict()
 
     def register(self, routes: PeerRoutes) -> None:
-        """Add the handlers of this host."""
+        """Register the handlers of peer requests."""
         routes.add(WORK, self.handle_work)
         routes.add(END, self.handle_rollback)
         routes.add(PROOF, self.handle_proof)
@@ -84,7 +83,7 @@
         return answer.to_json(self.clock.boottime())
 
     async def handle_rollback(self, body: Json) -> Json:
-        """Roll a transaction back for another host."""
+        """Roll back a transaction for another host."""
         self.roll_back(
             string_field(body, "service"),
             string_field(body, "target"),
@@ -101,19 +100,19 @@
         return proof.to_json(self.clock.boottime())
 
     async def execute(self, work: SessionStatement) -> SessionStatementResult:
-        """Run a statement, or return the outcome if it has run before.
+        """Run a statement, or return the known outcome if it was sent before.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with the final verdict.
         """
         if work.kind is SessionStatementKind.READ:
             return await self.run(work)
-        known = self.outcomes.get(work.id)
-        if known is not None:
-            return await known.wait_for_answer()
+        known_outcome = self.outcomes.get(work.id)
+        if known_outcome is not None:
+            return await known_outcome.wait_for_answer()
         if work.resent:
             raise may_have_run(
                 RefusalReason.HOST_UNREACHABLE,
-                "this host does not know what became of it",
+                "this host has no record of the outcome of the resent statement",
             )
         outcome = self.outcomes[work.id] = WriteOutcome(self.clock.monotonic())
         try:
@@ -121,7 +120,7 @@
         except RefusalError as refusal:
             outcome.fail(refusal)
             if refusal.verdict is Verdict.NOT_RUN:
-                # It may be sent anew, and then it is to run.
+                # A resent statement has to run, not to get this refusal.
                 del self.outcomes[work.id]
             raise
         except BaseException:
@@ -134,17 +133,17 @@
         return answer
 
     async def run(self, work: SessionStatement) -> SessionStatementResult:
-        """Run a statement, if its workspace may run another operation.
+        """Run a statement within the rate limit of its workspace.
 
-        One that reaches no target counts for nothing.
+        A statement that reaches no target does not count against the limit.
 
-        :raises Refusal: with a verdict that holds.
+        :raises RefusalError: with the final verdict.
         """
         if not work.workspace or not work.starts_operation:
             return await self.run_at_target(work)
-        begun = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         await self.allowances.admit(work.workspace)
-        work.subtract_elapsed(self.clock.monotonic() - begun)
+        work.subtract_elapsed(self.clock.monotonic() - started_at)
         try:
             answer = await self.run_at_target(work)
         except RefusalError as refusal:
@@ -165,9 +164,9 @@
         return SessionStatementResult(work.target, reply, None)
 
     def get_replica_home(self, work: SessionStatement) -> SessionTargetHome:
-        """Return the home of a replica, made when it is first needed.
+        """Return the home of a replica, creating it on first use.
 
-        :raises Refusal: not run, if the target takes no new work.
+        :raises RefusalError: not run, if the target accepts no new work.
         """
         home = self.find_transaction_home(work.target, work.transaction)
         if home is not None:
@@ -192,7 +191,7 @@
     def find_transaction_home(
         self, target: str, transaction: str
     ) -> SessionTargetHome | None:
-        """Return the home of a replica at which a transaction is open, or None."""
+        """Return the replica home at which a transaction is open, or None."""
         homes = [self.replica_homes.get(target), *self.replaced_homes]
         for home in homes:
             if home is not None and transaction in home.transactions:
@@ -200,65 +199,66 @@
         return None
 
     def roll_back(self, service: str, target: str, transaction_id: str) -> None:
-        """Roll a transaction back, if it is open here."""
-        lead = self.leads.primary_client(service)
+        """Roll back a transaction if it is open at this host."""
+        client = self.leads.primary_client(service)
         home = self.find_transaction_home(target, transaction_id)
-        if not target and lead is not None:
-            home = lead.home
+        if not target and client is not None:
+            home = client.home
         if home is not None:
             home.transactions.end(transaction_id)
 
     async def prove(self, service: str, not_before: float) -> PositionProof:
-        """Return a proof of a primary's position that is young enough.
+        """Return a proof of a primary's position taken at `not_before` or later.
 
-        :raises Refusal: if this host cannot give one.
+        :raises RefusalError: if this host cannot provide one.
         """
         return await self.get_primary_user(service).prove(not_before)
 
     def get_primary_user(self, service: str) -> PrimaryClient:
-        """Return what uses the primary of a service here.
+        """Return this host's client of the primary of a service.
 
-        :raises Refusal: not run, if this host does not.
+        :raises RefusalError: not run, if this host does not serve the primary.
         """
-        user = self.leads.primary_client(service)
-        if user is None:
+        client = self.leads.primary_client(service)
+        if client is None:
             raise not_run(
-                RefusalReason.WRONG_HOME, f"this host does not lead {service}"
+                RefusalReason.WRONG_HOME,
+                f"this host does not hold the primary lease of {service}",
             )
-        return user
+        return client
 
     async def run_cleanup(self) -> None:
-        """Close what is needed no more, until cancelled."""
+        """Remove expired outcomes and close unused homes, until cancelled."""
         while True:
             await self.clock.sleep(CLEANUP_INTERVAL_SECONDS)
             self.allowances.tidy()
-            before = self.clock.monotonic() - OUTCOME_RETENTION_SECONDS
+            cutoff = self.clock.monotonic() - OUTCOME_RETENTION_SECONDS
             while self.outcomes:
                 oldest = next(iter(self.outcomes))
-                if self.outcomes[oldest].started_at > before:
+                if self.outcomes[oldest].started_at > cutoff:
                     break
                 del self.outcomes[oldest]
             await self.close_unused_homes()
 
     async def close_unused_homes(self) -> None:
-        """Close homes of targets that lead, leave or have left."""
-        primaries = {one.primary for one in self.leads.registry.records.values()}
+        """Close idle homes of targets that are primaries, leave or have left."""
+        primaries = {record.primary for record in self.leads.registry.records.values()}
         for target, home in list(self.replica_homes.items()):
             home.connections.drop_unused()
             entry = self.announcements.targets.get(target)
-            gone = entry is None or entry.leaving or target in primaries
-            if gone and home.is_idle():
+            unused = entry is None or entry.leaving or target in primaries
+            if unused and home.is_idle():
                 del self.replica_homes[target]
                 await home.close()
         for home in [one for one in self.replaced_homes if one.is_idle()]:
             self.replaced_homes.remove(home)
             await home.close()
-        for lead in self.leads.held.values():
-            if lead.home is not None:
-                lead.home.connections.drop_unused()
+        for lease in self.leads.held.values():
+            if lease.home is not None:
+                lease.home.connections.drop_unused()
 
     def is_idle(self) -> bool:
-        """Say whether no statement and no transaction is in progress here."""
+        """Return whether no replica home has a statement or transaction in progress."""
         return all(
             home.is_idle()
             for home in [*self.replica_homes.values(), *self.replaced_homes]
@@ -274,9 +274,9 @@
 
 
 class WriteOutcome:
-    """Hold what became of a write, for all who ask.
+    """Hold the outcome of a write for all hosts that request it.
 
-    :ivar started_at: monotonic time at which it began.
+    :ivar started_at: monotonic time at which the write began.
     """
 
     __slots__ = ("started_at", "result")
@@ -288,15 +288,15 @@
         )
 
     def done(self, answer: SessionStatementResult) -> None:
-        """Keep an answer."""
+        """Store the result."""
         self.result.set_result(answer)
 
     def fail(self, refusal: RefusalError) -> None:
-        """Keep a refusal."""
+        """Store the refusal."""
         self.result.set_result(refusal)
 
     async def wait_for_answer(self) -> SessionStatementResult:
-        """Return the answer or raise the refusal, once it is there."""
+        """Wait for the outcome; return the result or raise the refusal."""
         result = await asyncio.shield(self.result)
         if isinstance(result, RefusalError):
             raise result
@@ -304,9 +304,9 @@
 
 
 def has_moved(before: TargetAnnouncement, now: TargetAnnouncement) -> bool:
-    """Say whether connections made before lead elsewhere than new ones."""
+    """Return whether a target has changed its address or restarted."""
     return before.address != now.address or not now.is_incarnation(before.started_at_ms)
 
 
 def always() -> None:
-    """Permit the use of a replica: what it may answer is in each statement."""
+    """Permit the use of a replica; each statement states which answers it accepts."""
--- a/src/reedhook/process/statsd_metrics.py
+++ b/src/reedhook/process/statsd_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics sent to a statsd server in batches."""
+"""Send metrics to a statsd server in batches."""
 
 from collections import Counter, defaultdict
 from typing import Final
@@ -14,13 +14,13 @@
 
 
 class StatsdMetrics(MemoryMetrics):
-    """Gather in memory and send once a second, by UDP.
+    """Collect metrics in memory and send them by UDP every `FLUSH_INTERVAL` seconds.
 
-    Statements then cost no system call each. Of each duration the first
-    `TIMINGS_PER_FLUSH` of an interval are sent.
+    This avoids a system call per statement. Of each timing, the first
+    `TIMINGS_PER_FLUSH` values of an interval are sent.
 
-    :param address: ``IP:port`` of the server; no name is looked up.
-    :param prefix: stands before all names.
+    :param address: ``IP:port`` of the server; host names are not resolved.
+    :param prefix: prefix of all metric names.
     """
 
     __slots__ = ("client", "sent", "timings")
@@ -29,19 +29,19 @@
         super().__init__()
         host, port = split_address(address)
         self.client = StatsClient(host, port, prefix=prefix, ipv6=":" in host)
-        # A full socket buffer drops metrics; it must not hold up statements.
+        # A full socket buffer must drop metrics rather than block statements.
         self.client._sock.setblocking(False)
         self.sent: Counter[str] = Counter()
         self.timings: defaultdict[str, list[float]] = defaultdict(list)
 
     def timing(self, name: str, seconds: float) -> None:
         super().timing(name, seconds)
-        kept = self.timings[name]
-        if len(kept) < TIMINGS_PER_FLUSH:
-            kept.append(seconds)
+        durations = self.timings[name]
+        if len(durations) < TIMINGS_PER_FLUSH:
+            durations.append(seconds)
 
     async def run(self, clock: Clock) -> None:
-        """Send at each interval until cancelled, then send the rest."""
+        """Send metrics at each interval until cancelled, then send the rest."""
         try:
             while True:
                 await clock.sleep(FLUSH_INTERVAL)
@@ -50,7 +50,7 @@
             self.close()
 
     def flush(self) -> None:
-        """Send what has changed since the last time."""
+        """Send what has changed since the last flush."""
         with self.client.pipeline() as batch:
             for name, total in self.counters.items():
                 if total != self.sent[name]:
--- a/src/reedhook/process/worker.py
+++ b/src/reedhook/process/worker.py
@@ -1,4 +1,4 @@
-"""Where work runs that takes the processor for long."""
+"""Run CPU-bound work outside the event loop."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -10,17 +10,17 @@
 
 
 class Worker(ABC):
-    """Run a function that must not hold up the event loop."""
+    """Run functions that must not block the event loop."""
 
     @abstractmethod
     async def run(
         self, function: Callable[P, T], *args: P.args, **kwargs: P.kwargs
     ) -> T:
-        """Return what `function` returns; its exceptions pass through."""
+        """Return the result of `function`; its exceptions propagate."""
 
 
 class ThreadWorker(Worker):
-    """Run functions in a thread of the loop's pool."""
+    """Run functions in the default thread pool of the event loop."""
 
     async def run(
         self, function: Callable[P, T], *args: P.args, **kwargs: P.kwargs
--- a/src/reedhook/process/zone_isolation.py
+++ b/src/reedhook/process/zone_isolation.py
@@ -1,4 +1,4 @@
-"""Whether this host is cut off from all other availability zones."""
+"""Detect that this host is isolated from all other availability zones."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,34 +15,29 @@
 from .primary_lease.target_status import TargetStatusClient
 
 CHECK_INTERVAL_SECONDS: Final = 0.1
-"""Seconds between two looks."""
-
 RECENT_ANSWER_SECONDS: Final = 0.2
-"""Seconds without an answer from another zone after which answers are asked for;
-a call takes 3 ms, and a busy host hears from other zones many times a second."""
+"""Time without a response from another zone after which the other zones are probed."""
 
 FIRST_PROBE_TIMEOUT_SECONDS: Final = 0.08
-"""Seconds for the first answer, which takes 3 ms; without it all zones are asked.
-To notice a cut 0.4 s sooner sends a quarter of the callers of four zones elsewhere
-as much sooner, until when their writes are refused."""
+"""Timeout of the first probe, of one host; without a response all zones are probed.
+Short, since writes are refused until an isolation is detected."""
 
 PROBE_TIMEOUT_SECONDS: Final = 0.25
-"""Seconds for the answers that decide; targets may have statements of 110 ms ahead
-of a new connection."""
+"""Timeout of the probes that decide; targets may serve other statements before a
+new connection."""
 
 
 class ZoneIsolationDetector:
-    """Notice that no other availability zone can be reached any more.
+    """Detect that no other availability zone is reachable.
 
-    A host that is cut off serves what the targets of its zone can prove, which
-    ends after the greatest age that its routes allow. The callers of its zone
-    are served by other zones then: one that is not ready gets no new ones.
+    An isolated host can serve reads only until their maximum age is exceeded, so
+    it reports itself unready and callers move to hosts of other zones.
 
-    Hosts alone do not tell: where all other hosts are down, this one serves
-    everybody. So targets of other zones have to be silent, too.
+    Unreachable hosts alone are no proof: if all other hosts are down, this one has
+    to serve all callers. Targets of the other zones must be unreachable as well.
 
-    :ivar isolated_since: when it was noticed, by `Clock.monotonic`; None while another
-        zone is reached.
+    :ivar isolated_since: time of the detection, by `Clock.monotonic`; None while
+        another zone is reachable.
     """
 
     def __init__(
@@ -71,11 +66,11 @@
 
     @property
     def cut_off(self) -> bool:
-        """Say whether no other zone is reached."""
+        """Return whether no other zone is reachable."""
         return self.isolated_since is not None
 
     def isolated_seconds(self) -> float:
-        """Return for how many seconds no other zone was reached; 0 while one is."""
+        """Return how long this host has been isolated, in seconds; 0 if it is not."""
         return (
             0.0
             if self.isolated_since is None
@@ -83,37 +78,38 @@
         )
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check the other zones periodically, until cancelled."""
         while True:
             await self.clock.sleep(CHECK_INTERVAL_SECONDS)
             await self.check_zones()
 
     async def check_zones(self) -> None:
-        """Find out whether another zone is reached, asking where none was heard.
+        """Check whether another zone is reachable, with probes if none answered lately.
 
-        One host is asked first: a question to all, with a new connection to a
-        target of each zone, would come often where a host has little to do.
+        One host is probed first: probes of all zones, each with a new connection
+        to a target, would be frequent at a host with little traffic.
         """
         if self.has_recent_answer() or not self.choose_probed_hosts():
             self.record_reachability(True)
             return
-        one = self.random.choice(list(self.probed_hosts.values()))
+        probed_host = self.random.choice(list(self.probed_hosts.values()))
         if not self.cut_off and await self.failure_detector.is_reachable(
-            one, FIRST_PROBE_TIMEOUT_SECONDS
+            probed_host, FIRST_PROBE_TIMEOUT_SECONDS
         ):
             return
         answers = await asyncio.gather(*self.make_probes())
         self.record_reachability(any(answers) or self.has_recent_answer())
 
     def has_recent_answer(self) -> bool:
-        """Say whether a host of another zone answered a call lately."""
-        after = self.clock.monotonic() - RECENT_ANSWER_SECONDS
-        return self.peers.other_zone_answered_since(self.me.zone, after)
+        """Return whether a host of another zone answered a call recently."""
+        cutoff = self.clock.monotonic() - RECENT_ANSWER_SECONDS
+        return self.peers.other_zone_answered_since(self.me.zone, cutoff)
 
     def choose_probed_hosts(self) -> bool:
-        """Choose a host of each other zone to ask; return whether there is one.
+        """Choose a host of each other zone to probe; return whether there is one.
 
-        It is kept where none lives: membership forgets those that are cut off.
+        The previous choice is kept for a zone without live hosts, since membership
+        forgets unreachable hosts.
         """
         for zone in self.table.zones:
             if zone != self.me.zone and (live := self.table.refs(zone)):
@@ -121,14 +117,14 @@
         return bool(self.probed_hosts)
 
     def make_probes(self) -> list[Coroutine[Any, Any, bool]]:
-        """Ask one host and one target of each other zone for an answer."""
+        """Return probes of one host and one target of each other zone."""
         targets = [
             entry
             for entry in self.announcements.targets.values()
             if entry.zone != self.me.zone
         ]
         self.random.shuffle(targets)
-        chosen = {entry.zone: entry for entry in targets}
+        target_by_zone = {entry.zone: entry for entry in targets}
         return [
             *(
                 self.failure_detector.is_reachable(host, PROBE_TIMEOUT_SECONDS)
@@ -136,12 +132,12 @@
             ),
             *(
                 self.states.is_reachable(target, PROBE_TIMEOUT_SECONDS)
-                for target in chosen.values()
+                for target in target_by_zone.values()
             ),
         ]
 
     def record_reachability(self, reached: bool) -> None:
-        """Take note of a change."""
+        """Record a change of whether another zone is reachable."""
         if reached and self.isolated_since is not None:
             self.decisions.record(
                 "zones_reached", after=round(self.isolated_seconds(), 2)
