--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The tool against the real administration API of fake hosts."""
+"""Command-line tool against the real administration API of fake hosts."""
 
 from pathlib import Path
 
@@ -37,7 +37,9 @@
 
 
 @using(a_tool)
-async def test_an_edit_from_checkout_to_acceptance(tool: Tool, tmp_path: Path) -> None:
+async def test_edited_checkout_is_applied_and_listed_in_history(
+    tool: Tool, tmp_path: Path
+) -> None:
     first = folder(tmp_path / "first", 11)
     assert (await tool("config", "check", str(first))).code == 0
     outcome = await tool("config", "apply", str(first), "--parent", "0")
@@ -59,7 +61,7 @@
 
 
 @using(a_tool)
-async def test_the_second_of_two_operators_is_told_who_was_first(
+async def test_conflicting_apply_reports_newer_version_and_its_author(
     tool: Tool, tmp_path: Path
 ) -> None:
     one = folder(tmp_path / "one", 11)
@@ -76,7 +78,7 @@
 
 
 @using(a_tool)
-async def test_faults_are_printed_with_file_line_and_reason(
+async def test_invalid_configuration_is_reported_with_file_line_and_reason(
     tool: Tool, tmp_path: Path
 ) -> None:
     wrong = folder(tmp_path, 11)
@@ -92,17 +94,17 @@
 
 
 @using(a_tool)
-async def test_an_edit_without_answer_is_repeated_by_its_id(
+async def test_unanswered_apply_can_be_repeated_with_its_edit_id(
     tool: Tool, tmp_path: Path
 ) -> None:
-    async def mute(request: web.Request) -> web.Response:
+    async def close_without_response(request: web.Request) -> web.Response:
         await request.read()
         assert request.transport is not None
         request.transport.close()
         return web.Response()
 
     app = web.Application()
-    app.router.add_post("/admin/config/apply", mute)
+    app.router.add_post("/admin/config/apply", close_without_response)
     async with TestServer(app, host="127.0.0.1") as server:
         dead = f"127.0.0.1:{server.port}"
         path = str(folder(tmp_path, 11))
@@ -118,7 +120,7 @@
 
 
 @using(a_tool)
-async def test_a_checkout_overwrites_nothing_unasked(
+async def test_show_overwrites_local_changes_only_with_force(
     tool: Tool, tmp_path: Path
 ) -> None:
     path = folder(tmp_path, 11)
@@ -134,7 +136,7 @@
 
 
 @using(a_tool)
-async def test_a_host_is_drained(tool: Tool) -> None:
+async def test_drain_command_drains_the_host(tool: Tool) -> None:
     outcome = await tool("drain", "vittoria-2")
     assert outcome.out == "Host vittoria-2 drains.\n"
     assert tool.network.sources["vittoria-2"].draining
@@ -144,7 +146,7 @@
 
 
 @using(a_tool)
-async def test_the_page_is_written(tool: Tool, tmp_path: Path) -> None:
+async def test_timeline_html_page_is_written(tool: Tool, tmp_path: Path) -> None:
     ring = tool.network.sources["vittoria-1"].timeline.events
     ring.extend(merge(a_failover()))
     file = tmp_path / "page.html"
@@ -156,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    ("argv", "code", "said"),
+    ("argv", "code", "expected_message"),
     [
         (["hosts", "--admin", "127.0.0.1:1"], 3, "no host answers"),
         (["hosts", "--admin", "localhost:80"], 2, "IP number"),
@@ -172,17 +174,17 @@
     ],
 )
 @using(a_tool)
-async def test_errors_say_what_to_do(
-    tool: Tool, argv: list[str], code: int, said: str
+async def test_errors_have_exit_code_and_message(
+    tool: Tool, argv: list[str], code: int, expected_message: str
 ) -> None:
     outcome = await tool(*argv)
     assert (outcome.code, outcome.out) == (code, "")
-    assert said in outcome.err
+    assert expected_message in outcome.err
     assert code == 2 or len(outcome.err.splitlines()) == 1
 
 
 @using(a_tool)
-async def test_credentials_are_needed_and_checked(tool: Tool) -> None:
+async def test_missing_or_wrong_credential_is_refused(tool: Tool) -> None:
     assert (await tool("hosts", REEDHOOK_CREDENTIAL="")).code == 2
     outcome = await tool("hosts", REEDHOOK_CREDENTIAL="wrong")
     assert (outcome.code, "check the credential" in outcome.err) == (1, True)
@@ -190,7 +192,7 @@
 
 
 @using(a_tool)
-async def test_the_access_file_stands_in_for_the_environment(
+async def test_access_file_replaces_environment_variables(
     tool: Tool, tmp_path: Path
 ) -> None:
     address = tool.environment["REEDHOOK_ADMIN"]
@@ -230,7 +232,7 @@
     assert len(callers.bodies) == 2
 
 
-def test_moments_are_read() -> None:
+def test_since_accepts_durations_and_timestamps() -> None:
     assert since_ms("90s", 1000.0) == 910_000
     assert since_ms("2h", 10_000.0) == 2_800_000
     assert since_ms("2026-02-02T02:40:00Z", 0.0) == 1_770_000_000_000
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: command line, signals, exit codes."""
+"""Daemon: command line, signals and exit codes."""
 
 import os
 import signal
@@ -18,12 +18,12 @@
 
 
 def settings() -> Settings:
-    """Return settings that pass."""
+    """Return valid settings."""
     return parse_settings(yaml.safe_dump(document()), Path("."))
 
 
 class SignallingHost(FakeHost):
-    """Send the process a signal while starting or once started."""
+    """Send the process a signal during or after the start, or during the drain."""
 
     def __init__(self, number: int, early: bool, again: bool = False) -> None:
         super().__init__()
@@ -43,38 +43,40 @@
         await super().drain()
 
 
-def assembled(host: FakeHost, bound: float = 10) -> Callable[[Settings], HostDaemon]:
-    """Return what makes a process around `host`."""
-    return lambda settings: a_process(host, Counted().app(), bound)
+def assembler_for(
+    host: FakeHost, shutdown_seconds: float = 10
+) -> Callable[[Settings], HostDaemon]:
+    """Return a function that assembles a process around `host`."""
+    return lambda settings: a_process(host, Counted().app(), shutdown_seconds)
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_brings_a_graceful_shutdown(number: int) -> None:
+def test_stop_signal_starts_graceful_shutdown(number: int) -> None:
     host = SignallingHost(number, early=False)
-    assert serve(settings(), assembled(host)) == 0
+    assert serve(settings(), assembler_for(host)) == 0
     assert host.steps == ["start", "started", "drain", "drained", "close"]
 
 
-def test_a_second_signal_does_not_cut_the_shutdown() -> None:
+def test_second_signal_does_not_abort_the_shutdown() -> None:
     host = SignallingHost(signal.SIGTERM, early=False, again=True)
-    assert serve(settings(), assembled(host)) == 0
+    assert serve(settings(), assembler_for(host)) == 0
     assert host.steps[-2:] == ["drained", "close"]
 
 
-def test_a_signal_while_starting_ends_the_process() -> None:
+def test_stop_signal_during_start_ends_the_process() -> None:
     host = SignallingHost(signal.SIGTERM, early=True)
-    assert serve(settings(), assembled(host)) == 0
+    assert serve(settings(), assembler_for(host)) == 0
     assert "started" not in host.steps
     assert host.steps[-1] == "close"
 
 
-def test_an_overdue_shutdown_has_its_own_exit_code() -> None:
+def test_shutdown_timeout_has_its_own_exit_code() -> None:
     host = SignallingHost(signal.SIGTERM, early=False)
     host.drained.clear()
-    assert serve(settings(), assembled(host, bound=0.2)) == 3
+    assert serve(settings(), assembler_for(host, shutdown_seconds=0.2)) == 3
 
 
-def test_an_address_in_use_is_a_failed_start(
+def test_address_in_use_fails_the_start(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
@@ -88,7 +90,7 @@
         assert serve(settings(), assemble) == 1
 
 
-def test_bad_settings_are_printed_one_a_line(
+def test_invalid_settings_are_printed_one_per_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "host.yaml"
@@ -98,13 +100,17 @@
     assert [line.split(":")[1].strip() for line in lines] == ["listen", "zone"]
 
 
-def test_check_only_checks(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_validates_settings_without_starting(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "host.yaml"
     file.write_text(yaml.safe_dump(document()))
     assert main(["--settings", str(file), "--check"]) == 0
     assert capsys.readouterr().out == "The settings are fine.\n"
 
 
-def test_a_wrong_command_line_is_told_apart(capsys: pytest.CaptureFixture[str]) -> None:
+def test_wrong_command_line_has_its_own_exit_code(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert main(["--setings", "x"]) == 2
     assert "Usage:" in capsys.readouterr().err
--- a/tests/test_daemon_collector.py
+++ b/tests/test_daemon_collector.py
@@ -1,4 +1,4 @@
-"""The garbage collector of the daemon."""
+"""Garbage collector settings of the daemon."""
 
 import gc
 import weakref
@@ -9,15 +9,15 @@
 
 
 class Cycle:
-    """Refer to itself, so that only the collector frees it."""
+    """Reference itself, so that only the garbage collector frees it."""
 
     def __init__(self) -> None:
         self.own = self
 
 
 @contextmanager
-def spared() -> Iterator[None]:
-    """Spare the collector what exists, and undo that at the end."""
+def frozen_startup_objects() -> Iterator[None]:
+    """Freeze the existing objects and unfreeze them at the end."""
     freeze_startup_objects()
     try:
         yield
@@ -25,14 +25,14 @@
         gc.unfreeze()
 
 
-def test_what_the_start_leaves_is_not_looked_at_again() -> None:
-    with spared():
+def test_startup_objects_are_not_scanned_again() -> None:
+    with frozen_startup_objects():
         assert not any(one is Cycle for one in gc.get_objects())
 
 
-def test_what_comes_later_is_still_freed() -> None:
-    with spared():
-        gone = weakref.ref(Cycle())
-        assert gone() is not None
+def test_later_garbage_is_still_collected() -> None:
+    with frozen_startup_objects():
+        reference = weakref.ref(Cycle())
+        assert reference() is not None
         gc.collect()
-        assert gone() is None
+        assert reference() is None
--- a/tests/test_daemon_host.py
+++ b/tests/test_daemon_host.py
@@ -1,4 +1,4 @@
-"""A real host, assembled as the daemon does, with its three interfaces."""
+"""Real host with its three servers, assembled as the daemon does."""
 
 import asyncio
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 def settings(tls: TlsSettings | None = None) -> Settings:
-    """Return settings of a host without platform and peers."""
+    """Return settings of a host whose platform is unreachable and that has no peers."""
     here = "127.0.0.1:0"
     return Settings(
         host="vittoria-1",
@@ -40,31 +40,33 @@
     )
 
 
-def assembled(given: Settings) -> HostDaemon:
+def assemble_process(given: Settings) -> HostDaemon:
     """Return the process of a host."""
     return assemble(given, SystemClock(), Random(1), MemoryMetrics())
 
 
 @on_loop
-async def test_a_host_without_its_platform_starts_answers_and_ends() -> None:
-    process = assembled(settings())
+async def test_host_starts_answers_and_stops_without_platform() -> None:
+    process = assemble_process(settings())
     await process.start()
     endpoint = Endpoint((process.admin_server.address,), CREDENTIAL)
     async with Client(endpoint) as client:
         assert (await client.get("/admin/status"))["state"] == "serving"
     await process.stop()
-    left = [one for one in asyncio.all_tasks() if one is not asyncio.current_task()]
-    assert left == []
+    remaining_tasks = [
+        one for one in asyncio.all_tasks() if one is not asyncio.current_task()
+    ]
+    assert remaining_tasks == []
 
 
 @on_loop
-async def test_with_certificates_only_tls_is_spoken(tmp_path: Path) -> None:
+async def test_plain_connections_are_refused_with_tls(tmp_path: Path) -> None:
     authority = trustme.CA()
     pair = authority.issue_cert("127.0.0.1").private_key_and_cert_chain_pem
     authority.cert_pem.write_to_path(str(tmp_path / "ca"))
     pair.write_to_path(str(tmp_path / "pair"))
     files = TlsSettings(tmp_path / "pair", tmp_path / "pair", tmp_path / "ca")
-    process = assembled(settings(files))
+    process = assemble_process(settings(files))
     await process.start()
     here = (process.admin_server.address,)
     async with Client(
--- a/tests/test_daemon_io_uring.py
+++ b/tests/test_daemon_io_uring.py
@@ -1,4 +1,4 @@
-"""The process holds no io_uring descriptor, and would notice one."""
+"""The process uses no io_uring, and an io_uring descriptor is detected."""
 
 import os
 from pathlib import Path
@@ -14,7 +14,7 @@
 )
 
 
-def test_a_ring_among_the_descriptors_is_noticed(tmp_path: Path) -> None:
+def test_io_uring_descriptor_is_detected(tmp_path: Path) -> None:
     (tmp_path / "3").symlink_to("socket:[1234]")
     require_no_io_uring(tmp_path)
     (tmp_path / "7").symlink_to(IO_URING)
@@ -22,7 +22,7 @@
         require_no_io_uring(tmp_path)
 
 
-def test_a_loop_made_our_way_holds_no_ring(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_event_loop_uses_no_io_uring(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("UV_USE_IO_URING", raising=False)
     forbid_io_uring()
     loop = uvloop.new_event_loop()
--- a/tests/test_daemon_lifecycle.py
+++ b/tests/test_daemon_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start and graceful end of a host."""
+"""Start and graceful shutdown of a host."""
 
 import asyncio
 
@@ -15,19 +15,19 @@
 
 
 class Load:
-    """Send requests from many clients until the host accepts no more.
+    """Send requests from many clients until the host refuses connections.
 
-    :ivar answered: whole answers.
-    :ivar cut: requests whose connection broke after they were sent.
+    :ivar answered: number of complete responses.
+    :ivar failed: errors of requests that were sent and got no complete response.
     """
 
     def __init__(self, url: str) -> None:
         self.url = url
         self.answered = 0
-        self.cut: list[Exception] = []
+        self.failed: list[Exception] = []
 
     async def client(self, number: int) -> None:
-        """Send one request after the other on a kept connection."""
+        """Send requests one after another on a persistent connection."""
         body = str(number).encode() * 100
         async with aiohttp.ClientSession() as session:
             while True:
@@ -38,15 +38,15 @@
                 except aiohttp.ClientConnectorError:
                     return
                 except aiohttp.ClientError as error:
-                    self.cut.append(error)
+                    self.failed.append(error)
 
     async def run(self) -> None:
-        """Run all clients to their end."""
+        """Run all clients until they stop."""
         await asyncio.gather(*map(self.client, range(CLIENTS)))
 
 
 @on_loop
-async def test_a_stop_under_load_cuts_no_request() -> None:
+async def test_stop_under_load_aborts_no_request() -> None:
     host, counted = FakeHost(), Counted()
     process = a_process(host, counted.app(), 10)
     await process.start()
@@ -55,14 +55,14 @@
     await asyncio.sleep(0.2)
     await process.stop()
     await running
-    assert load.cut == []
+    assert load.failed == []
     assert load.answered > CLIENTS
     assert counted.begun == counted.ended == load.answered
     assert host.steps == ["start", "started", "drain", "drained", "close"]
 
 
 @on_loop
-async def test_callers_and_peers_are_served_while_the_host_drains() -> None:
+async def test_callers_and_peers_are_served_during_drain() -> None:
     host, counted = FakeHost(), Counted()
     host.drained.clear()
     process = a_process(host, counted.app(), 10)
@@ -79,7 +79,7 @@
 
 
 @on_loop
-async def test_a_shutdown_past_its_bound_is_reported_and_closes() -> None:
+async def test_shutdown_timeout_is_reported_and_closes_the_host() -> None:
     host = FakeHost()
     host.drained.clear()
     process = a_process(host, Counted().app(), 0.2)
@@ -90,7 +90,7 @@
 
 
 @on_loop
-async def test_a_process_that_has_not_started_can_be_stopped() -> None:
+async def test_process_can_be_stopped_before_start() -> None:
     host = FakeHost()
     process: HostDaemon = a_process(host, Counted().app(), 10)
     await process.stop()
--- a/tests/test_daemon_logs.py
+++ b/tests/test_daemon_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: prefix, level, and records of libraries."""
+"""Log lines: logger name, level and records of libraries."""
 
 import io
 import logging
@@ -8,7 +8,7 @@
 from reedhook.process.logs import logs
 
 
-def test_lines_carry_the_prefix_of_the_part_and_the_level() -> None:
+def test_lines_contain_logger_name_and_level() -> None:
     stream = io.StringIO()
     with logs("info", stream):
         logbook.Logger("membership").info("Host {} is live.", "vittoria-1")
@@ -19,7 +19,7 @@
     assert "Not written" not in stream.getvalue()
 
 
-def test_records_of_libraries_go_the_same_way() -> None:
+def test_records_of_standard_logging_are_written() -> None:
     stream = io.StringIO()
     with logs("info", stream):
         logging.getLogger("aiohttp.server").warning("odd %s", "request")
--- a/tests/test_daemon_metrics.py
+++ b/tests/test_daemon_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by UDP: batched, and never in the way."""
+"""Metrics by UDP are batched and bounded."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 
 
 def receive(server: socket.socket) -> list[str]:
-    """Return the lines that have arrived, sorted."""
+    """Return the received lines, sorted."""
     lines: list[str] = []
     while True:
         try:
@@ -19,7 +19,7 @@
             return sorted(lines)
 
 
-def test_changes_are_sent_once() -> None:
+def test_counters_and_timings_are_sent_once() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.setblocking(False)
@@ -40,7 +40,7 @@
         metrics.close()
 
 
-def test_the_rest_is_sent_at_the_end() -> None:
+def test_remaining_metrics_are_sent_on_cancellation() -> None:
     async def main(metrics: StatsdMetrics) -> None:
         running = asyncio.create_task(metrics.run(SystemClock()))
         await asyncio.sleep(0)
@@ -56,7 +56,7 @@
         assert receive(server) == ["reedhook.v1.statement:1|c"]
 
 
-def test_durations_of_one_interval_are_bounded() -> None:
+def test_timings_per_interval_are_limited() -> None:
     metrics = StatsdMetrics("127.0.0.1:9", "reedhook.v1")
     for _ in range(TIMINGS_PER_FLUSH * 3):
         metrics.timing("read", 0.001)
--- a/tests/test_daemon_reload.py
+++ b/tests/test_daemon_reload.py
@@ -1,4 +1,7 @@
-"""A reload that arrives while a host starts, sent to the real program."""
+"""Reload signals sent to the real program while it starts or stops.
+
+They guard against the default action of SIGHUP, which kills the process.
+"""
 
 import signal
 import subprocess
@@ -18,21 +21,20 @@
 NOWHERE: Final = "127.0.0.1:1"
 ROOT: Final = Path(__file__).parent.parent
 
-STARTS: Final = 5
-PATIENCE: Final = 60.0
-"""Seconds for a host to start, many times what it takes on a busy machine."""
+REPETITIONS: Final = 5
+START_TIMEOUT_SECONDS: Final = 60.0
 
-HEAVY: Final = "uvloop"
-"""Is mapped into the process once the program loads what it needs."""
+LOADED_LIBRARY: Final = "uvloop"
+"""Library that is mapped into the process once the program loads its modules."""
 
-WAYS: Final = [
+COMMANDS: Final = [
     ["-m", "reedhook.process.start", "--platform"],
     [str(ROOT / "deploy" / "reedhookd.py"), "--platform"],
 ]
 
 
 def settings() -> str:
-    """Return the settings of a host without surroundings."""
+    """Return the settings of a host whose platform is unreachable."""
     callers, ready, peers, metrics = sorted(free_ports(HERE, PORTS))
     fields = {
         "node_name": "h1",
@@ -49,21 +51,21 @@
 
 
 @contextmanager
-def launched(
-    way: list[str], folder: Path, before: Callable[[], object] | None = None
+def launch(
+    command: list[str], folder: Path, preexec: Callable[[], object] | None = None
 ) -> Iterator[subprocess.Popen[bytes]]:
     """Run the program; its output goes to the file ``log``.
 
-    :param before: is called in the new process, before the program.
+    :param preexec: called in the new process before the program is executed.
     """
     path = folder / "settings"
     path.write_text(settings())
     with (folder / "log").open("wb") as log:
         process = subprocess.Popen(
-            [sys.executable, *way, "--settings", str(path)],
+            [sys.executable, *command, "--settings", str(path)],
             stdout=log,
             stderr=log,
-            preexec_fn=before,
+            preexec_fn=preexec,
         )
     try:
         yield process
@@ -73,7 +75,7 @@
 
 
 def handles_reload(process: subprocess.Popen[bytes]) -> bool:
-    """Say whether a reload would not end the process."""
+    """Return whether the process ignores or handles the reload signal."""
     bit = 1 << (signal.SIGHUP - 1)
     for line in Path(f"/proc/{process.pid}/status").read_text().splitlines():
         if line.startswith(("SigIgn:", "SigCgt:")) and int(line[8:], 16) & bit:
@@ -81,9 +83,9 @@
     return False
 
 
-def loaded(process: subprocess.Popen[bytes]) -> bool:
-    """Say whether the program has begun to load what it needs."""
-    return HEAVY in Path(f"/proc/{process.pid}/maps").read_text()
+def has_loaded_libraries(process: subprocess.Popen[bytes]) -> bool:
+    """Return whether the program has started to load its modules."""
+    return LOADED_LIBRARY in Path(f"/proc/{process.pid}/maps").read_text()
 
 
 def await_event(
@@ -91,50 +93,55 @@
     process: subprocess.Popen[bytes],
     folder: Path,
     deadline: float,
-    sending: signal.Signals | None = None,
+    repeated_signal: signal.Signals | None = None,
 ) -> None:
-    """Wait until the program tells of an event, sending a signal each millisecond."""
+    """Wait until the program logs an event.
+
+    :param repeated_signal: sent to the program every millisecond meanwhile.
+    """
     while b'"' + event + b'"' not in (folder / "log").read_bytes():
-        if sending is not None:
-            process.send_signal(sending)
+        if repeated_signal is not None:
+            process.send_signal(repeated_signal)
         assert process.poll() is None, (folder / "log").read_bytes()
         assert time.monotonic() < deadline
         time.sleep(0.001)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("number", range(STARTS))
-def test_a_host_that_starts_is_not_ended_by_a_reload(
-    way: list[str], number: int, tmp_path: Path
+@pytest.mark.parametrize("command", COMMANDS)
+@pytest.mark.parametrize("number", range(REPETITIONS))
+def test_reload_does_not_kill_a_starting_host(
+    command: list[str], number: int, tmp_path: Path
 ) -> None:
-    with launched(way, tmp_path) as process:
-        deadline = time.monotonic() + PATIENCE
+    with launch(command, tmp_path) as process:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while not handles_reload(process):
             assert process.poll() is None
-            assert not loaded(process), "the reload would end a host that loads"
+            assert not has_loaded_libraries(
+                process
+            ), "the reload would end a host that loads"
             assert time.monotonic() < deadline
         await_event(b"start", process, tmp_path, deadline, signal.SIGHUP)
         process.send_signal(signal.SIGHUP)
         await_event(b"reload", process, tmp_path, deadline)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("number", range(STARTS))
-def test_reloads_from_the_first_moment_on_end_no_host_that_inherits_their_ignoring(
-    way: list[str], number: int, tmp_path: Path
+@pytest.mark.parametrize("command", COMMANDS)
+@pytest.mark.parametrize("number", range(REPETITIONS))
+def test_reload_does_not_kill_a_host_that_inherits_an_ignored_signal(
+    command: list[str], number: int, tmp_path: Path
 ) -> None:
-    with launched(way, tmp_path, ignore_reloads) as process:
-        deadline = time.monotonic() + PATIENCE
+    with launch(command, tmp_path, ignore_reloads) as process:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         await_event(b"reload", process, tmp_path, deadline, signal.SIGHUP)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("number", range(STARTS))
-def test_a_host_that_stops_is_not_ended_by_a_reload(
-    way: list[str], number: int, tmp_path: Path
+@pytest.mark.parametrize("command", COMMANDS)
+@pytest.mark.parametrize("number", range(REPETITIONS))
+def test_reload_does_not_kill_a_stopping_host(
+    command: list[str], number: int, tmp_path: Path
 ) -> None:
-    with launched(way, tmp_path) as process:
-        deadline = time.monotonic() + PATIENCE
+    with launch(command, tmp_path) as process:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         await_event(b"start", process, tmp_path, deadline)
         process.send_signal(signal.SIGTERM)
         while process.poll() is None:
