--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""Hosts of a zone that is cut off send their callers to other zones."""
+"""Hosts of an isolated zone become unready, so that callers move to other zones."""
 
 import asyncio
 
@@ -10,22 +10,21 @@
 from .support import using
 from .test_session_world import a_world
 
-NOTICED = 1.2
-"""Seconds in which a host notices that it is cut off."""
+DETECTION_SECONDS = 1.2
+"""Time limit for the detection of an isolation."""
 
-NOTICED_SOON = 0.75
-"""Seconds in which it does mostly, so that the next question finds it out."""
+USUAL_DETECTION_SECONDS = 0.75
+"""Usual detection time; must be below `READINESS_CHECK_SECONDS`."""
 
-ASKED_EVERY = 1.0
-"""Seconds between two questions for readiness; two misses take a host out."""
+READINESS_CHECK_SECONDS = 1.0
+"""Interval of readiness checks; two failures take a host out of rotation."""
 
-SOON = 0.1
-"""Seconds within which something happens that waits for nothing; a fifth of the time
-that a statement was held for a primary beyond the cut."""
+IMMEDIATE_SECONDS = 0.1
+"""Time limit for reactions without a delay, such as an immediate refusal."""
 
 
 class IdleConnection(CallerConnection):
-    """Stand in for the connection of a caller that asks for nothing."""
+    """Connection of a caller that sends no requests."""
 
     def __init__(self, busy: bool = False) -> None:
         self.busy = busy
@@ -41,30 +40,30 @@
         return False
 
     def abort_transaction(self, cause: str) -> None:
-        raise AssertionError("nothing ends a transaction here")
+        raise AssertionError("no transaction may be aborted here")
 
 
 def ready(world: SessionWorld) -> dict[str, bool]:
-    """Return which hosts are ready, by name."""
+    """Return whether each host is ready, by name."""
     return {name: host.ready for name, host in world.hosts.items()}
 
 
 @using(a_world, run_virtual)
-async def test_hosts_of_a_cut_off_zone_are_not_ready(world: SessionWorld) -> None:
+async def test_hosts_of_an_isolated_zone_are_not_ready(world: SessionWorld) -> None:
     assert all(ready(world).values())
     world.cut_zone("z1")
-    await asyncio.sleep(NOTICED)
+    await asyncio.sleep(DETECTION_SECONDS)
     found = ready(world)
     assert not found["h10"] and not found["h11"]
     assert sum(found.values()) == 4
 
 
 @using(a_world, run_virtual)
-async def test_a_cut_is_noticed_before_the_platform_asks_again(
+async def test_isolation_is_detected_before_the_next_readiness_check(
     world: SessionWorld,
 ) -> None:
     world.cut_zone("z1")
-    await asyncio.sleep(NOTICED_SOON)
+    await asyncio.sleep(USUAL_DETECTION_SECONDS)
     found = ready(world)
     assert not found["h10"] and not found["h11"]
 
@@ -74,7 +73,7 @@
     world: SessionWorld,
 ) -> None:
     world.cut_zone("z1")
-    # Longer than membership remembers hosts that are gone.
+    # Longer than membership remembers dead hosts.
     await asyncio.sleep(30.0)
     assert not world.hosts["h10"].ready
     world.heal()
@@ -83,7 +82,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_the_last_hosts_that_live_are_ready(world: SessionWorld) -> None:
+async def test_last_live_hosts_stay_ready(world: SessionWorld) -> None:
     for ref in world.refs:
         if ref.zone != "z1":
             await world.kill(ref.host)
@@ -92,7 +91,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_short_silence_takes_no_host_out_of_rotation(
+async def test_short_network_outage_takes_no_host_out_of_rotation(
     world: SessionWorld,
 ) -> None:
     world.cut_zone("z1")
@@ -102,11 +101,11 @@
     for _ in range(200):
         await asyncio.sleep(0.01)
         unready = 0.0 if all(ready(world).values()) else unready + 0.01
-        assert unready < ASKED_EVERY
+        assert unready < READINESS_CHECK_SECONDS
 
 
 @using(a_world, run_virtual)
-async def test_idle_sessions_of_a_cut_off_host_are_closed_once_it_is_out_of_rotation(
+async def test_isolated_host_closes_idle_sessions_once_out_of_rotation(
     world: SessionWorld,
 ) -> None:
     idle, busy = IdleConnection(), IdleConnection(busy=True)
@@ -115,44 +114,44 @@
     world.cut_zone("z1")
     await asyncio.sleep(ROTATION_DELAY_SECONDS)
     assert not idle.closed
-    await asyncio.sleep(NOTICED)
+    await asyncio.sleep(DETECTION_SECONDS)
     assert idle.closed
     assert not busy.closed
     busy.busy = False
-    await asyncio.sleep(SOON)
+    await asyncio.sleep(IMMEDIATE_SECONDS)
     assert busy.closed
 
 
 @using(a_world, run_virtual)
-async def test_a_caller_that_comes_back_all_the_same_has_some_time(
+async def test_isolated_host_does_not_close_new_sessions_at_once(
     world: SessionWorld,
 ) -> None:
     world.cut_zone("z1")
-    await asyncio.sleep(ROTATION_DELAY_SECONDS + NOTICED)
-    late = IdleConnection()
-    world.hosts["h10"].caller_sessions.connections.add(late)
-    await asyncio.sleep(SOON)
-    assert not late.closed
+    await asyncio.sleep(ROTATION_DELAY_SECONDS + DETECTION_SECONDS)
+    new_connection = IdleConnection()
+    world.hosts["h10"].caller_sessions.connections.add(new_connection)
+    await asyncio.sleep(IMMEDIATE_SECONDS)
+    assert not new_connection.closed
 
 
 @using(a_world, run_virtual)
-async def test_a_cut_off_host_refuses_at_once_what_only_other_zones_can_run(
+async def test_isolated_host_refuses_writes_to_other_zones_immediately(
     world: SessionWorld,
 ) -> None:
     assert world.leader().me.zone != "z0"
     callers = [await world.caller("h00", "tickets") for _ in range(5)]
     world.cut_zone("z0")
-    await asyncio.sleep(NOTICED_SOON)
-    begun = asyncio.get_running_loop().time()
+    await asyncio.sleep(USUAL_DETECTION_SECONDS)
+    started_at = asyncio.get_running_loop().time()
     replies = await asyncio.gather(*(caller.write() for caller in callers))
-    assert asyncio.get_running_loop().time() - begun < SOON
+    assert asyncio.get_running_loop().time() - started_at < IMMEDIATE_SECONDS
     for reply in replies:
         assert reply.refusal is not None
         assert reply.refusal.verdict is Verdict.NOT_RUN
 
 
 @using(a_world, run_virtual)
-async def test_sessions_elsewhere_stay_open(world: SessionWorld) -> None:
+async def test_hosts_of_other_zones_keep_their_sessions(world: SessionWorld) -> None:
     idle = IdleConnection()
     world.hosts["h00"].caller_sessions.connections.add(idle)
     world.cut_zone("z1")
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -31,7 +31,7 @@
 
 
 class Listener:
-    """Serve peer calls and note what reached a handler."""
+    """Serve peer calls and record the bodies that reached a handler."""
 
     def __init__(self) -> None:
         self.seen: list[Json] = []
@@ -64,11 +64,11 @@
         return await self.note(body)
 
 
-Both = tuple[HttpPeers, Listener]
+PeersAndListener = tuple[HttpPeers, Listener]
 
 
 @asynccontextmanager
-async def listening(credential: str = SECRET) -> AsyncIterator[Listener]:
+async def run_listener(credential: str = SECRET) -> AsyncIterator[Listener]:
     listener = Listener()
     endpoint = PeerEndpoint(listener.routes, credential, listener.timeline)
     server = PeerServer(endpoint, "127.0.0.1:0", shutdown=0.1)
@@ -83,7 +83,7 @@
 
 
 @asynccontextmanager
-async def calling() -> AsyncIterator[HttpPeers]:
+async def make_peers() -> AsyncIterator[HttpPeers]:
     me = HostRef("here", "vittoria", "127.0.0.1:1")
     clock = SystemClock()
     peers = HttpPeers(me, SECRET, Timeline("here", clock), clock)
@@ -94,14 +94,14 @@
 
 
 @asynccontextmanager
-async def calling_a_listener() -> AsyncIterator[Both]:
-    async with listening() as listener, calling() as peers:
+async def peers_and_listener() -> AsyncIterator[PeersAndListener]:
+    async with run_listener() as listener, make_peers() as peers:
         yield peers, listener
 
 
-@using(calling_a_listener)
-async def test_a_stop_resets_no_call_that_was_just_made(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_stop_resets_no_call_in_transit(pair: PeersAndListener) -> None:
+    peers, listener = pair
     assert listener.server is not None
     calls = [
         asyncio.create_task(peers.call(listener.ref, "note", {}, 30.0))
@@ -115,9 +115,9 @@
     assert 0 < len(listener.seen) == len(calls) - len(refused)
 
 
-@using(calling_a_listener)
-async def test_answers_and_refusals_travel_and_stamps_ride_along(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_calls_return_answers_refusals_and_stamps(pair: PeersAndListener) -> None:
+    peers, listener = pair
     ahead = int(listener.timeline.clock.wall() * 1000) + 30_000
     listener.timeline.observe(ahead, 3)
     assert await peers.call(listener.ref, "note", {"n": 1}, 1.0) == {"seen": 1}
@@ -137,20 +137,20 @@
         ("nowhere", RefusalReason.BAD_REQUEST, Verdict.NOT_RUN),
     ],
 )
-@using(calling_a_listener)
-async def test_a_failing_handler_becomes_a_refusal(
-    both: Both, path: str, reason: RefusalReason, verdict: Verdict
+@using(peers_and_listener)
+async def test_failing_handler_returns_a_refusal(
+    pair: PeersAndListener, path: str, reason: RefusalReason, verdict: Verdict
 ) -> None:
-    peers, listener = both
+    peers, listener = pair
     with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, path, {}, 1.0)
     assert refused.value.reason is reason
     assert refused.value.verdict is verdict
 
 
-@using(calling_a_listener)
-async def test_a_refused_connection_was_not_sent(both: Both) -> None:
-    peers, _ = both
+@using(peers_and_listener)
+async def test_refused_connection_counts_as_not_sent(pair: PeersAndListener) -> None:
+    peers, _ = pair
     nobody = HostRef("nobody", "comiso", "127.0.0.1:1")
     with pytest.raises(PeerError) as failed:
         await peers.call(nobody, "note", {}, 1.0)
@@ -158,8 +158,8 @@
 
 
 @on_loop
-async def test_an_unaccepted_connection_was_not_sent() -> None:
-    """A full backlog drops the connection request, as a dead host does."""
+async def test_unaccepted_connection_counts_as_not_sent() -> None:
+    """A full accept queue drops connection requests, as a dead host does."""
 
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         port = full.getsockname()[1]
@@ -167,7 +167,7 @@
         for one in waiting:
             one.setblocking(False)
             one.connect_ex(("127.0.0.1", port))
-        async with calling() as peers:
+        async with make_peers() as peers:
             silent = HostRef("silent", "comiso", f"127.0.0.1:{port}")
             with pytest.raises(PeerError) as failed:
                 await peers.call(silent, "note", {}, 0.2)
@@ -181,7 +181,7 @@
         [int, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
     ],
 ) -> tuple[asyncio.Server, HostRef, list[int]]:
-    """Serve raw connections; `answer` gets the number of each."""
+    """Serve raw connections; `answer` receives the number of each connection."""
     opened: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -194,7 +194,7 @@
 
 
 async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer one call as a peer does."""
+    """Answer one call with a valid response."""
     await reader.readuntil(b"}}")
     body = b'{"body":{"ok":1},"stamp":[1,1]}'
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -203,8 +203,8 @@
 
 
 @on_loop
-async def test_a_broken_exchange_was_sent_and_is_not_repeated() -> None:
-    """The peer reads the call and closes; a second connection must not come."""
+async def test_interrupted_call_counts_as_sent_and_is_not_repeated() -> None:
+    """The peer closes after reading the call; no second connection may follow."""
     calls: list[bytes] = []
 
     async def cut(
@@ -216,7 +216,7 @@
         writer.close()
 
     server, ref, opened = await serve_raw(cut)
-    async with server, calling() as peers:
+    async with server, make_peers() as peers:
         assert await peers.call(ref, "note", {}, 1.0) == {"ok": 1}
         with pytest.raises(PeerError) as failed:
             await peers.call(ref, "note", {}, 1.0)
@@ -226,7 +226,7 @@
 
 
 @on_loop
-async def test_after_a_silent_connection_the_next_call_opens_a_new_one() -> None:
+async def test_call_after_a_timeout_opens_a_new_connection() -> None:
     async def silent(
         number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -236,7 +236,7 @@
         await respond(reader, writer)
 
     server, ref, opened = await serve_raw(silent)
-    async with server, calling() as peers:
+    async with server, make_peers() as peers:
         await peers.call(ref, "note", {}, 1.0)
         with pytest.raises(PeerError) as failed:
             await peers.call(ref, "note", {}, 0.05)
@@ -247,42 +247,44 @@
         assert opened == [0, 1]
 
 
-@using(calling_a_listener)
-async def test_a_silent_connection_leaves_other_calls_alone(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_timeout_of_a_call_does_not_affect_other_calls(
+    pair: PeersAndListener,
+) -> None:
+    peers, listener = pair
     long = asyncio.create_task(peers.call(listener.ref, "slow", {"seconds": 0.3}, 2.0))
     with pytest.raises(PeerError):
         await peers.call(listener.ref, "slow", {"seconds": 1.0}, 0.05)
     assert await long == {"seen": 1}
 
 
-@using(calling_a_listener)
-async def test_concurrent_calls_have_a_connection_each_and_leave_them_to_later_ones(
-    both: Both,
+@using(peers_and_listener)
+async def test_concurrent_calls_use_separate_connections_that_are_reused(
+    pair: PeersAndListener,
 ) -> None:
-    peers, listener = both
-    together = [
+    peers, listener = pair
+    calls_in_parallel = [
         peers.call(listener.ref, "slow", {"seconds": 0.05}, 2.0) for _ in range(3)
     ]
-    answers = await asyncio.gather(*together)
+    answers = await asyncio.gather(*calls_in_parallel)
     assert sorted(answer["seen"] for answer in answers) == [1, 2, 3]
     link = peers.links[listener.ref.address]
-    kept = {one.channel for one in link.idle}
-    assert len(kept) == 3
+    idle_channels = {one.channel for one in link.idle}
+    assert len(idle_channels) == 3
     await peers.call(listener.ref, "note", {}, 1.0)
-    assert {one.channel for one in link.idle} == kept
+    assert {one.channel for one in link.idle} == idle_channels
 
 
-@using(calling_a_listener)
-async def test_no_more_than_the_bound_stays_open_and_nothing_for_long(
-    both: Both,
+@using(peers_and_listener)
+async def test_idle_connections_are_limited_and_closed_after_a_timeout(
+    pair: PeersAndListener,
 ) -> None:
-    peers, listener = both
-    together = [
+    peers, listener = pair
+    calls_in_parallel = [
         peers.call(listener.ref, "slow", {"seconds": 0.05}, 5.0)
         for _ in range(MAX_IDLE_CHANNELS + 4)
     ]
-    await asyncio.gather(*together)
+    await asyncio.gather(*calls_in_parallel)
     link = peers.links[listener.ref.address]
     assert len(link.idle) == MAX_IDLE_CHANNELS
     now = peers.clock.monotonic()
@@ -293,9 +295,9 @@
     assert peers.links == {}
 
 
-@using(calling_a_listener)
-async def test_the_end_of_the_caller_ends_its_calls(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_closing_the_client_ends_its_calls(pair: PeersAndListener) -> None:
+    peers, listener = pair
     call = asyncio.create_task(
         peers.call(listener.ref, "slow", {"seconds": 30.0}, 60.0)
     )
@@ -307,8 +309,8 @@
 
 
 @on_loop
-async def test_an_answer_that_states_too_great_a_length_is_not_read() -> None:
-    async def boast(
+async def test_response_with_excessive_content_length_is_not_read() -> None:
+    async def respond_with_excessive_length(
         number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"}}")
@@ -316,16 +318,16 @@
         writer.write(head.encode())
         await writer.drain()
 
-    server, ref, _ = await serve_raw(boast)
-    async with server, calling() as peers:
+    server, ref, _ = await serve_raw(respond_with_excessive_length)
+    async with server, make_peers() as peers:
         with pytest.raises(PeerError, match="too long") as failed:
             await peers.call(ref, "note", {}, 30.0)
         assert failed.value.sent
 
 
-@using(calling_a_listener)
-async def test_a_credential_cannot_add_headers(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_credential_with_line_breaks_is_rejected(pair: PeersAndListener) -> None:
+    peers, listener = pair
     peers.headers[CREDENTIAL] = f"{SECRET}\r\nContent-Length: 0"
     with pytest.raises(ValueError):
         await peers.call(listener.ref, "note", {}, 1.0)
@@ -333,11 +335,11 @@
 
 
 @pytest.mark.parametrize("given_credential", ["", "wrong", SECRET + "x", SECRET[:-1]])
-@using(calling_a_listener)
-async def test_a_wrong_credential_has_no_effect(
-    both: Both, given_credential: str
+@using(peers_and_listener)
+async def test_call_with_wrong_credential_is_refused_without_effect(
+    pair: PeersAndListener, given_credential: str
 ) -> None:
-    peers, listener = both
+    peers, listener = pair
     peers.headers[CREDENTIAL] = given_credential
     with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, "note", {}, 1.0)
@@ -345,9 +347,9 @@
     assert listener.seen == []
 
 
-@using(calling_a_listener)
-async def test_a_large_body_is_refused_before_it_is_read(both: Both) -> None:
-    peers, listener = both
+@using(peers_and_listener)
+async def test_oversized_body_is_refused(pair: PeersAndListener) -> None:
+    peers, listener = pair
     with pytest.raises(RefusalError) as refused:
         await peers.call(listener.ref, "note", {"x": "y" * MAX_PEER_BODY_BYTES}, 5.0)
     assert refused.value.reason is RefusalReason.TOO_LARGE
@@ -357,9 +359,9 @@
 @settings(max_examples=10)
 @given(st.integers(0, 2**32))
 @on_loop
-async def test_no_input_gets_a_server_error_or_an_effect(seed: int) -> None:
+async def test_malformed_calls_get_client_errors_and_have_no_effect(seed: int) -> None:
     rng = random.Random(seed)
-    async with listening() as listener, ClientSession() as session:
+    async with run_listener() as listener, ClientSession() as session:
         for _ in range(20):
             status = await send_junk(session, listener.url, rng)
             assert 400 <= status < 500
--- a/tests/test_peer_tls.py
+++ b/tests/test_peer_tls.py
@@ -1,4 +1,4 @@
-"""TLS between hosts: mutual checks, and reload under open connections."""
+"""TLS between hosts: mutual authentication, and reload with open connections."""
 
 import asyncio
 import ssl
@@ -22,7 +22,7 @@
 
 
 def issue(authority: trustme.CA, folder: Path, address: str = "127.0.0.1") -> None:
-    """Write a new certificate of `authority` with its key."""
+    """Write a new certificate issued by `authority` with its key."""
     certificate = authority.issue_cert(address)
     certificate.private_key_pem.write_to_path(folder / "key.pem")
     chain = b"".join(blob.bytes() for blob in certificate.cert_chain_pems)
@@ -35,8 +35,8 @@
     return TlsSettings(folder / "cert.pem", folder / "key.pem", folder / "ca.pem")
 
 
-class Pair:
-    """Serve one host and call it from another."""
+class HostPair:
+    """Run a peer server and a client that calls it."""
 
     def __init__(self, served: TlsContexts, client: ssl.SSLContext | None) -> None:
         clock = SystemClock()
@@ -60,7 +60,7 @@
         ref = HostRef("there", "comiso", self.server.address)
         return await self.peers.call(ref, path, {"n": 1}, 2.0)
 
-    async def __aenter__(self) -> "Pair":
+    async def __aenter__(self) -> "HostPair":
         await self.server.start()
         return self
 
@@ -70,16 +70,18 @@
 
 
 @on_loop
-async def test_hosts_of_one_authority_reach_one_another(tmp_path: Path) -> None:
+async def test_hosts_with_certificates_of_one_authority_can_connect(
+    tmp_path: Path,
+) -> None:
     issue(trustme.CA(), tmp_path)
     contexts = TlsContexts(settings_in(tmp_path))
-    async with Pair(contexts, contexts.client) as pair:
+    async with HostPair(contexts, contexts.client) as pair:
         assert await pair.call() == {"n": 1}
 
 
 @pytest.mark.parametrize("shown", ["none", "other authority", "plain"])
 @on_loop
-async def test_a_host_without_a_certificate_of_the_authority_gets_nothing(
+async def test_client_without_certificate_of_the_authority_is_refused(
     tmp_path: Path, shown: str
 ) -> None:
     authority = trustme.CA()
@@ -89,47 +91,47 @@
         client = ssl.create_default_context(cafile=str(tmp_path / "ca.pem"))
     if client is not None and shown == "other authority":
         trustme.CA().issue_cert("127.0.0.1").configure_cert(client)
-    async with Pair(TlsContexts(settings_in(tmp_path)), client) as pair:
+    async with HostPair(TlsContexts(settings_in(tmp_path)), client) as pair:
         with pytest.raises(PeerError):
             await pair.call()
 
 
 @on_loop
-async def test_a_listener_with_another_address_in_its_certificate_is_not_trusted(
+async def test_server_certificate_for_another_address_is_rejected(
     tmp_path: Path,
 ) -> None:
     issue(trustme.CA(), tmp_path, "127.0.0.2")
     contexts = TlsContexts(settings_in(tmp_path))
-    async with Pair(contexts, contexts.client) as pair:
+    async with HostPair(contexts, contexts.client) as pair:
         with pytest.raises(PeerError) as failed:
             await pair.call()
         assert not failed.value.sent
 
 
 @on_loop
-async def test_a_reload_cuts_no_connection_and_shows_the_new_certificate(
+async def test_reload_keeps_connections_and_serves_the_new_certificate(
     tmp_path: Path,
 ) -> None:
     authority = trustme.CA()
     issue(authority, tmp_path)
     contexts = TlsContexts(settings_in(tmp_path))
     assert not contexts.reload()
-    async with Pair(contexts, contexts.client) as pair:
+    async with HostPair(contexts, contexts.client) as pair:
         await pair.call()
         link = pair.peers.links[pair.server.address]
         call = asyncio.create_task(pair.call("slow"))
         await asyncio.sleep(0.05)
-        before = await shown_by(pair.server.address)
+        former_certificate = await served_certificate(pair.server.address)
         issue(authority, tmp_path)
         assert contexts.reload()
         assert await call == {"n": 1}
         assert await pair.call() == {"n": 1}
         assert pair.peers.links[pair.server.address] is link
-        assert await shown_by(pair.server.address) != before
+        assert await served_certificate(pair.server.address) != former_certificate
 
 
-async def shown_by(address: str) -> bytes:
-    """Return the certificate that a listener shows to a new connection."""
+async def served_certificate(address: str) -> bytes:
+    """Return the certificate that a server presents on a new connection."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
@@ -142,12 +144,12 @@
 
 @pytest.mark.parametrize("name", ["cert.pem", "key.pem", "ca.pem"])
 @on_loop
-async def test_a_broken_file_leaves_the_contexts_as_they_were(
+async def test_invalid_file_leaves_the_contexts_unchanged(
     tmp_path: Path, name: str
 ) -> None:
     issue(trustme.CA(), tmp_path)
     contexts = TlsContexts(settings_in(tmp_path))
-    async with Pair(contexts, contexts.client) as pair:
+    async with HostPair(contexts, contexts.client) as pair:
         (tmp_path / name).write_text("not a certificate")
         assert not contexts.reload()
         assert await pair.call() == {"n": 1}
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: bounds, and a stop that cuts no request in progress."""
+"""HTTP server: limits, and a stop that lets requests in progress finish."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 
 
 class SlowApp:
-    """Answer ``/`` at once, and ``/slow`` when told to.
+    """Answer ``/`` immediately, and ``/slow`` once `proceed` is set.
 
-    :ivar begun: set once a slow request runs.
-    :ivar proceed: lets it end.
+    :ivar request_started: set when a slow request runs.
+    :ivar proceed: lets the slow request finish.
     """
 
     def __init__(self) -> None:
-        self.begun = asyncio.Event()
+        self.request_started = asyncio.Event()
         self.proceed = asyncio.Event()
         self.app = web.Application()
         self.app.router.add_get("/", self.answer)
@@ -32,7 +32,7 @@
     async def answer(self, request: web.BaseRequest) -> web.Response:
         if request.path == "/":
             return web.Response(text="quick")
-        self.begun.set()
+        self.request_started.set()
         await self.proceed.wait()
         return web.Response(text="whole")
 
@@ -40,7 +40,7 @@
 async def serve(
     slow: SlowApp, kind: type[Server], limits: ServerLimits | None = None
 ) -> Server:
-    """Return a started server of that kind on a free port."""
+    """Start a server of the given kind on a free port."""
     limits = limits or ServerLimits()
     server: Server
     if kind is HandlerServer:
@@ -52,20 +52,20 @@
 
 
 @of_both_kinds
-def test_stop_lets_a_request_in_progress_end(kind: type[Server]) -> None:
+def test_stop_waits_for_a_request_in_progress(kind: type[Server]) -> None:
     async def main() -> tuple[str, bool]:
         slow = SlowApp()
         server = await serve(slow, kind)
         async with ClientSession() as session:
-            asked = asyncio.create_task(get(session, server, "/slow"))
-            await slow.begun.wait()
+            pending_request = asyncio.create_task(get(session, server, "/slow"))
+            await slow.request_started.wait()
             stopping = asyncio.create_task(server.stop())
             await asyncio.sleep(0.05)
-            held = not stopping.done()
+            waited = not stopping.done()
             slow.proceed.set()
-            text = await asked
+            text = await pending_request
             await stopping
-        return text, held
+        return text, waited
 
     assert run(main()) == ("whole", True)
 
@@ -87,7 +87,7 @@
 
 
 @of_both_kinds
-def test_a_stopped_server_accepts_no_connection(kind: type[Server]) -> None:
+def test_stopped_server_accepts_no_connection(kind: type[Server]) -> None:
     async def main() -> bool:
         server = await serve(SlowApp(), kind)
         host, port = server.address.split(":")
@@ -102,7 +102,7 @@
 
 
 @of_both_kinds
-def test_a_leaving_server_serves_and_ends_each_connection(kind: type[Server]) -> None:
+def test_leaving_server_closes_connections_after_a_response(kind: type[Server]) -> None:
     async def main() -> tuple[str | None, str | None]:
         server = await serve(SlowApp(), kind)
         async with ClientSession() as session:
@@ -120,21 +120,22 @@
 
 @of_both_kinds
 @on_loop
-async def test_a_request_past_the_bound_is_cut(kind: type[Server]) -> None:
+async def test_request_past_the_shutdown_limit_is_aborted(kind: type[Server]) -> None:
     slow = SlowApp()
     server = await serve(slow, kind, ServerLimits(shutdown_s=1))
     async with ClientSession() as session:
-        asked = asyncio.create_task(get(session, server, "/slow"))
-        await slow.begun.wait()
+        pending_request = asyncio.create_task(get(session, server, "/slow"))
+        await slow.request_started.wait()
         await asyncio.wait_for(server.stop(), 5)
         assert not slow.proceed.is_set()
         assert isinstance(
-            (await asyncio.gather(asked, return_exceptions=True))[0], Exception
+            (await asyncio.gather(pending_request, return_exceptions=True))[0],
+            Exception,
         )
 
 
 @of_both_kinds
-def test_header_lines_are_bounded(kind: type[Server]) -> None:
+def test_header_lines_are_limited(kind: type[Server]) -> None:
     async def main() -> int:
         server = await serve(SlowApp(), kind, ServerLimits(header_bytes=1024))
         headers = {"X-Long": "x" * 2000}
@@ -148,7 +149,7 @@
 
 
 @on_loop
-async def test_a_handler_gets_a_compressed_body_as_it_came() -> None:
+async def test_compressed_body_is_not_decompressed() -> None:
     async def echo(request: web.BaseRequest) -> web.Response:
         return web.Response(body=await request.read())
 
@@ -163,7 +164,7 @@
 
 
 async def get(session: ClientSession, server: Server, path: str) -> str:
-    """Return the text that `server` answers."""
+    """Return the text of the response to a GET request."""
     async with session.get(f"http://{server.address}{path}") as response:
         return await response.text()
 
@@ -179,7 +180,7 @@
     ids=["field", "line", "field without a colon", "not HTTP"],
 )
 @on_loop
-async def test_what_cannot_be_read_is_refused_with_one_short_line(
+async def test_malformed_request_is_refused_with_one_short_log_line(
     head: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     server = await serve(SlowApp(), HandlerServer)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, and no secret shown."""
+"""Settings files: all errors are reported at once, without secrets."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def document() -> dict[str, object]:
-    """Return settings that pass."""
+    """Return a valid settings document."""
     return {
         "host": "vittoria-1",
         "zone": "vittoria",
@@ -31,14 +31,14 @@
 
 
 def parse(changes: dict[str, object], folder: Path = Path(".")) -> Settings:
-    """Parse the settings that pass, with `changes`; None leaves one out."""
+    """Parse the valid settings with `changes`; a value of None removes a setting."""
     changed = document() | changes
     kept = {name: value for name, value in changed.items() if value is not None}
     return parse_settings(yaml.safe_dump(kept), folder)
 
 
-def faults(changes: dict[str, object], folder: Path = Path(".")) -> dict[str, str]:
-    """Return the reasons by path that `changes` bring about."""
+def errors_of(changes: dict[str, object], folder: Path = Path(".")) -> dict[str, str]:
+    """Return the reasons of the errors that `changes` cause, by path."""
     with pytest.raises(ExceptionGroup) as caught:
         parse(changes, folder)
     errors = caught.value.exceptions
@@ -46,7 +46,7 @@
     return {e.path: e.reason for e in errors if isinstance(e, SettingsError)}
 
 
-def test_settings_that_pass_become_typed() -> None:
+def test_valid_settings_are_parsed() -> None:
     settings = parse({"limits": {"body_bytes": 2048}})
     assert settings.seeds == ("127.0.0.1:18012",)
     assert settings.limits.body_bytes == 2048
@@ -54,8 +54,8 @@
     assert "tokens-tokens" not in repr(settings)
 
 
-def test_all_faults_are_reported_at_once() -> None:
-    found = faults(
+def test_all_errors_are_reported_at_once() -> None:
+    found = errors_of(
         {
             "host": "Vittoria 1",
             "zone": None,
@@ -84,39 +84,39 @@
     assert "IP number" in found["listen"]
 
 
-def test_two_interfaces_may_not_share_an_address() -> None:
-    assert set(faults({"admin_listen": "127.0.0.1:18001"})) == {"admin_listen"}
+def test_two_servers_may_not_share_an_address() -> None:
+    assert set(errors_of({"admin_listen": "127.0.0.1:18001"})) == {"admin_listen"}
 
 
-def test_a_fault_shows_no_secret() -> None:
-    found = faults({"token_secret": "short", "peer_credential": 4711})
+def test_errors_contain_no_secret() -> None:
+    found = errors_of({"token_secret": "short", "peer_credential": 4711})
     assert set(found) == {"token_secret", "peer_credential"}
     assert "short" not in str(found)
     assert "4711" not in str(found)
 
 
-def test_secrets_come_from_files_beside_the_settings(tmp_path: Path) -> None:
+def test_secret_file_path_is_relative_to_the_settings(tmp_path: Path) -> None:
     (tmp_path / "token").write_text("from-a-file-from-a-file\n")
     settings = parse({"token_secret": {"file": "token"}}, tmp_path)
     assert settings.token_secret == "from-a-file-from-a-file"
 
 
-def test_former_secrets_are_checked_and_read(tmp_path: Path) -> None:
+def test_former_secrets_are_validated_and_read(tmp_path: Path) -> None:
     (tmp_path / "old").write_text("old-old-old-old-old\n")
     former = [{"file": "old"}, "older-older-older-older"]
     settings = parse({"former_token_secrets": former}, tmp_path)
     expected = ("old-old-old-old-old", "older-older-older-older")
     assert settings.former_token_secrets == expected
     wrong: dict[str, object] = {"former_token_secrets": ["short", {"file": "absent"}]}
-    assert set(faults(wrong, tmp_path)) == {
+    assert set(errors_of(wrong, tmp_path)) == {
         "former_token_secrets[0]",
         "former_token_secrets[1].file",
     }
 
 
-def test_files_that_cannot_be_used_are_reported(tmp_path: Path) -> None:
+def test_missing_or_invalid_files_are_reported(tmp_path: Path) -> None:
     (tmp_path / "token").write_text("short\n")
-    found = faults(
+    found = errors_of(
         {
             "token_secret": {"file": "token"},
             "peer_credential": {"file": "absent"},
@@ -134,25 +134,25 @@
 
 
 @pytest.mark.parametrize("text", ["host: [", "- 1", "", "host: a\nhost: b\n"])
-def test_text_that_is_no_mapping_is_refused(text: str) -> None:
+def test_invalid_yaml_document_is_rejected(text: str) -> None:
     with pytest.raises(ExceptionGroup) as caught:
         parse_settings(text, Path("."))
     assert caught.group_contains(SettingsError)
 
 
-def test_a_file_that_is_absent_is_refused(tmp_path: Path) -> None:
+def test_missing_settings_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ExceptionGroup, match="settings"):
         load_settings(tmp_path / "absent.yaml")
 
 
-def test_ipv6_numbers_stand_in_brackets() -> None:
+def test_ipv6_addresses_require_brackets() -> None:
     assert split_address("[::1]:80") == ("::1", 80)
     for address in ("::1:80", "[127.0.0.1]:80", "1.2.3.4", "1.2.3.4:99999", "a:1"):
         with pytest.raises(ValueError):
             split_address(address)
 
 
-def test_certificate_files_are_tried(tmp_path: Path) -> None:
+def test_certificate_files_are_validated(tmp_path: Path) -> None:
     authority, other = trustme.CA(), trustme.CA()
     issued, stranger = (one.issue_cert("127.0.0.1") for one in (authority, other))
     authority.cert_pem.write_to_path(str(tmp_path / "ca"))
@@ -161,5 +161,5 @@
     (tmp_path / "text").write_text("not PEM\n")
     good = {"cert": "pair", "key": "pair", "ca": "ca"}
     assert parse({"tls": good}, tmp_path).tls is not None
-    assert set(faults({"tls": good | {"key": "key"}}, tmp_path)) == {"tls.cert"}
-    assert set(faults({"tls": good | {"ca": "text"}}, tmp_path)) == {"tls.ca"}
+    assert set(errors_of({"tls": good | {"key": "key"}}, tmp_path)) == {"tls.cert"}
+    assert set(errors_of({"tls": good | {"ca": "text"}}, tmp_path)) == {"tls.ca"}
--- a/tests/test_settings_examples.py
+++ b/tests/test_settings_examples.py
@@ -1,4 +1,4 @@
-"""The settings under examples/ pass, and fit together."""
+"""The settings under examples/ are valid and consistent."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("deployment", ["plant", "danube"])
-def test_hosts_have_their_own_addresses_and_find_one_another(deployment: str) -> None:
+def test_hosts_have_distinct_addresses_and_common_seeds(deployment: str) -> None:
     found = hosts(deployment)
     listeners = [
         address
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("deployment", ["plant", "danube"])
-def test_the_access_file_names_all_hosts(deployment: str) -> None:
+def test_access_file_lists_all_hosts(deployment: str) -> None:
     access = Access({"access": str(EXAMPLES / deployment / "access.yaml")}, {})
     found = hosts(deployment)
     assert set(access.admin().addresses) == {one.admin_listen for one in found}
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line: stamps, filters, and one causal order of many rings."""
+"""Timeline: stamps, filters and the causal order of merged event rings."""
 
 import json
 
@@ -21,26 +21,26 @@
 
 from .timeline_fakes import HandClock, a_failover, event
 
-# A step is (host, None) for an event at a host, or (host, other) for a
-# message from one to the other.
+# A step is (host, None) for an event at a host, or (host, other) for a message
+# from one host to another.
 hosts = st.integers(0, 3)
 steps = st.lists(st.tuples(hosts, st.none() | hosts), max_size=40)
 drifts = st.lists(st.integers(-20, 20), min_size=4, max_size=4)
 
 
 @given(steps, drifts)
-def test_the_merge_has_each_cause_before_its_effects(
-    script: list[tuple[int, int | None]], drift: list[int]
+def test_merge_orders_causes_before_effects(
+    script: list[tuple[int, int | None]], clock_offsets: list[int]
 ) -> None:
-    clocks = [HandClock(1000.0 + offset) for offset in drift]
+    clocks = [HandClock(1000.0 + offset) for offset in clock_offsets]
     lines = [Timeline(f"h{i}", clocks[i]) for i in range(4)]
     causes: dict[str, set[str]] = {f"h{i}": set() for i in range(4)}
-    past: dict[str, set[str]] = {}
+    causes_by_event: dict[str, set[str]] = {}
     for number, (host, other) in enumerate(script):
         name, line = f"h{host}", lines[host]
         if other is None:
             line.record(EventKind.STORE, str(number))
-            past[str(number)] = set(causes[name])
+            causes_by_event[str(number)] = set(causes[name])
             causes[name].add(str(number))
             continue
         stamp = line.tick()
@@ -48,13 +48,13 @@
         causes[f"h{other}"] |= causes[name]
     seen: set[str] = set()
     merged = merge(line.events for line in lines)
-    assert len(merged) == len(past)
+    assert len(merged) == len(causes_by_event)
     for one in merged:
-        assert past[one.subject] <= seen
+        assert causes_by_event[one.subject] <= seen
         seen.add(one.subject)
 
 
-def test_a_stamp_far_ahead_is_not_adopted() -> None:
+def test_stamp_far_ahead_is_not_adopted() -> None:
     line = Timeline("h", HandClock(1000.0))
     line.observe(1_000_000 + MAX_AHEAD_MS, 3)
     assert line.stamp == Stamp(1_000_000 + MAX_AHEAD_MS, 3)
@@ -63,14 +63,14 @@
     assert line.rejected == 1
 
 
-def test_the_ring_keeps_the_newest() -> None:
+def test_ring_keeps_the_newest_events() -> None:
     line = Timeline("h", HandClock(1000.0), size=2)
     for name in ("a", "b", "c"):
         line.record(EventKind.STORE, name)
     assert [one.subject for one in line.events] == ["b", "c"]
 
 
-def test_events_survive_the_wire() -> None:
+def test_events_are_encoded_and_decoded() -> None:
     one = event(7, "h", EventKind.DRAIN, "h", seconds=3)
     assert Event.from_json(json.loads(json.dumps(one.to_json()))) == one
 
@@ -85,12 +85,12 @@
         {"stamp": [1, 0], "host": "h", "kind": "drain", "subject": "", "detail": 4},
     ],
 )
-def test_a_malformed_event_is_refused(message: object) -> None:
+def test_malformed_event_is_rejected(message: object) -> None:
     with pytest.raises(WireError):
         Event.from_json(message)
 
 
-def test_the_filter_knows_group_targets_host_kind_and_time() -> None:
+def test_filter_matches_names_host_kind_and_time() -> None:
     silent = event(10, "h", EventKind.CONNECTION_SILENT, "g-a")
     drain = event(20, "i", EventKind.DRAIN, "i", group="g")
     names = EventFilter(names=frozenset({"g", "g-a"}))
@@ -103,7 +103,7 @@
     assert EventFilter(since_ms=drain.stamp.wall_ms).accepts(drain)
 
 
-def test_the_filter_survives_the_wire() -> None:
+def test_filter_is_encoded_and_decoded() -> None:
     one = EventFilter(frozenset({"g"}), "h", frozenset({EventKind.DRAIN}), 5)
     assert EventFilter.from_json(json.loads(json.dumps(one.to_json()))) == one
     for message in ({"host": 3}, {"kinds": ["odd"]}, {"names": "g"}, {"since_ms": "1"}):
@@ -118,7 +118,7 @@
     assert text_of(history) == snapshot
 
 
-def test_what_is_left_out_is_said() -> None:
+def test_missing_and_omitted_events_are_reported() -> None:
     history = EventHistory(merge(a_failover()), {"i": "no answer"}, ("comiso-1",))
     for shown in (text_of(history), page_of(history)):
         assert "The events of i are missing: no answer." in shown
@@ -126,7 +126,7 @@
     assert EventHistory.from_json(json.loads(json.dumps(history.to_json()))) == history
 
 
-def test_a_failover_names_who_suspected_agreed_and_resumed() -> None:
+def test_failover_contains_suspicions_promotion_and_resumed_writes() -> None:
     (found,) = failovers(merge(a_failover()))
     assert [one.host for one in found.suspected] == ["comiso-1", "ispica-1"]
     assert found.raised and found.raised.detail["members"][0] == "feedlog-1-b"
@@ -134,7 +134,7 @@
     assert order(found.promoted) < order(found.resumed)
 
 
-def test_two_failovers_keep_their_suspicions_apart() -> None:
+def test_suspicions_belong_to_one_failover() -> None:
     rings = a_failover()
     rings.append(
         [
@@ -148,7 +148,7 @@
     assert [len(one.suspected) for one in found] == [2, 1, 0]
 
 
-def test_a_host_that_learns_of_a_primary_at_its_start_saw_no_failover() -> None:
+def test_primary_learned_at_start_is_no_failover() -> None:
     learned = event(10, "h", EventKind.PRIMARY_LEARNED, "feedlog-1", term=1)
     resumed = event(20, "h", EventKind.WRITES_RESUMED, "feedlog-1", term=1)
     assert failovers([learned, resumed]) == []
@@ -167,6 +167,6 @@
     assert svg == snapshot
 
 
-def test_an_empty_history_is_said_to_be_so() -> None:
+def test_empty_history_is_rendered() -> None:
     assert text_of(EventHistory((), {})) == "No events."
     assert "<svg" in page_of(EventHistory((), {}))
