--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -1,4 +1,7 @@
-"""Hosts that serve sessions, under faults, against the truth of the targets."""
+"""Session hosts under faults, checked against the state of the targets.
+
+Guards against lost commits, repeated writes, stale reads and two primaries in use.
+"""
 
 import asyncio
 import random
@@ -26,7 +29,7 @@
 
 @asynccontextmanager
 async def a_world() -> AsyncIterator[SessionWorld]:
-    """Yield a world that runs; what was promised is judged at the end."""
+    """Yield a running world; check its guarantees at the end."""
     world = SessionWorld()
     await world.start()
     yield world
@@ -37,7 +40,7 @@
 async def traffic(
     world: SessionWorld, seconds: float, seed: int, pause: float = 0.15
 ) -> list[Caller]:
-    """Run callers at all hosts for a while; return them."""
+    """Run callers at all hosts for `seconds`; return them."""
     rng = random.Random(seed)
     until = asyncio.get_running_loop().time() + seconds
     callers: list[Caller] = []
@@ -59,7 +62,7 @@
 
 
 async def operate(caller: Caller, rng: random.Random) -> None:
-    """Run a few operations of one session."""
+    """Run a few random operations in one session."""
     if rng.random() < 0.4:
         await caller.set("v", str(rng.random()))
     if rng.random() < 0.4:
@@ -75,7 +78,7 @@
 
 
 async def transact(caller: Caller, rng: random.Random) -> None:
-    """Run a transaction of a few statements."""
+    """Run a transaction of a few random statements."""
     reads_only = rng.random() < 0.3
     kind = SessionCommandKind.BEGIN_READ if reads_only else SessionCommandKind.BEGIN
     await caller.run(kind)
@@ -94,18 +97,18 @@
 
 
 async def first_success(caller: Caller, seconds: float) -> float:
-    """Write again and again; return after how long one succeeds."""
-    begun = asyncio.get_running_loop().time()
-    while asyncio.get_running_loop().time() - begun < seconds:
+    """Repeat a write until it succeeds; return how long that took, in seconds."""
+    started_at = asyncio.get_running_loop().time()
+    while asyncio.get_running_loop().time() - started_at < seconds:
         reply = await caller.write()
         if reply.refusal is None and reply.fault is StatementFault.NONE:
-            return asyncio.get_running_loop().time() - begun
+            return asyncio.get_running_loop().time() - started_at
         await asyncio.sleep(0.05)
     raise AssertionError("no write succeeded")
 
 
 def leaving(entry: TargetAnnouncement) -> TargetAnnouncement:
-    """Return what a target announces that is about to end."""
+    """Return the announcement of a target that is leaving."""
     values = [*entry.values()]
     values[4] = True
     return TargetAnnouncement(*values)
@@ -119,14 +122,16 @@
 
 
 @using(a_world, run_virtual)
-async def test_lead_primary_and_deputy_are_in_three_zones(world: SessionWorld) -> None:
+async def test_lease_holder_backup_and_primary_are_in_three_zones(
+    world: SessionWorld,
+) -> None:
     zones = {world.leader().me.zone, world.deputy().me.zone}
     assert len(zones | {world.group.primary.entry.zone}) == 3
 
 
 @pytest.mark.parametrize("weak", [{"h00", "h11", "h21"}, {"h01", "h11", "h20"}])
 @in_virtual_time
-async def test_weak_hosts_are_no_homes_where_there_are_strong_ones(
+async def test_weak_hosts_hold_no_homes_if_strong_hosts_exist(
     weak: frozenset[str],
 ) -> None:
     weak = frozenset(weak)
@@ -150,7 +155,7 @@
 
 
 @in_virtual_time
-async def test_a_strong_host_that_joins_takes_a_lead_and_cuts_nothing() -> None:
+async def test_joining_strong_host_acquires_lease_without_failures() -> None:
     weak = frozenset({"h00", "h01", "h10", "h20"})
     world = SessionWorld(weak=weak)
     world.refs = [ref for ref in world.refs if ref.host in weak]
@@ -176,36 +181,38 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_dark_primary_is_replaced_in_two_seconds(world: SessionWorld) -> None:
+async def test_unreachable_primary_is_replaced_within_two_seconds(
+    world: SessionWorld,
+) -> None:
     caller = await world.caller(world.deputy().me.host, "tickets")
     await caller.write()
     world.group.primary.down = True
-    gap = await first_success(caller, 6.0)
-    assert gap < 2.0
+    outage_seconds = await first_success(caller, 6.0)
+    assert outage_seconds < 2.0
     assert len(world.group.promotions) == 1
 
 
 @using(a_world, run_virtual)
-async def test_a_zone_that_is_cut_off_loses_its_primary(world: SessionWorld) -> None:
-    old = world.group.primary
+async def test_primary_in_isolated_zone_is_replaced(world: SessionWorld) -> None:
+    former_primary = world.group.primary
     running = asyncio.create_task(traffic(world, 8.0, 2, pause=0.5))
     await asyncio.sleep(1.0)
-    world.cut_zone(old.entry.zone)
+    world.cut_zone(former_primary.entry.zone)
     await asyncio.sleep(4.0)
-    assert world.group.primary is not old
+    assert world.group.primary is not former_primary
     world.heal()
     await running
 
 
 @using(a_world, run_virtual)
-async def test_a_lead_in_a_cut_off_zone_is_taken_over_without_a_promotion(
+async def test_lease_holder_in_isolated_zone_is_replaced_without_promotion(
     world: SessionWorld,
 ) -> None:
-    lead = world.leader()
-    other = next(ref for ref in world.refs if ref.zone != lead.me.zone)
+    holder = world.leader()
+    other = next(ref for ref in world.refs if ref.zone != holder.me.zone)
     running = asyncio.create_task(traffic(world, 8.0, 3, pause=0.5))
     await asyncio.sleep(1.0)
-    world.cut_zone(lead.me.zone)
+    world.cut_zone(holder.me.zone)
     await asyncio.sleep(2.0)
     caller = await world.caller(other.host, "tickets")
     await first_success(caller, 1.0)
@@ -216,62 +223,66 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_lead_that_was_taken_over_waits_for_no_silent_target(
+async def test_new_lease_holder_does_not_wait_for_unresponsive_targets(
     world: SessionWorld,
 ) -> None:
-    old = world.leader().me
-    world.cut_zone(old.zone)
-    while world.leader().me.zone == old.zone:
+    former_holder = world.leader().me
+    world.cut_zone(former_holder.zone)
+    while world.leader().me.zone == former_holder.zone:
         await asyncio.sleep(0.01)
     await asyncio.sleep(0.1)
-    lead = world.leader().primary_leases.held["db"]
-    assert lead.ready.is_set()
-    assert lead.home is not None
-    assert lead.home.entry.target == world.group.primary.entry.target
+    lease = world.leader().primary_leases.held["db"]
+    assert lease.ready.is_set()
+    assert lease.home is not None
+    assert lease.home.entry.target == world.group.primary.entry.target
 
 
 @using(a_world, run_virtual)
-async def test_the_lead_of_a_lost_holder_is_taken_at_once(world: SessionWorld) -> None:
-    old = world.leader().me
-    await world.kill(old.host)
-    while not any(host.failure_detector.is_lost(old) for host in world.hosts.values()):
+async def test_lease_of_a_dead_holder_is_acquired_immediately(
+    world: SessionWorld,
+) -> None:
+    former_holder = world.leader().me
+    await world.kill(former_holder.host)
+    while not any(
+        host.failure_detector.is_lost(former_holder) for host in world.hosts.values()
+    ):
         await asyncio.sleep(0.001)
-    # Two calls of the store and a little more.
+    # The time of two calls of the store.
     await asyncio.sleep(0.03)
     record = decode(world.store.items["reedhook/lead/db"].value or b"")
-    assert record["holder"]["ref"][0] != old.host
+    assert record["holder"]["ref"][0] != former_holder.host
 
 
 @using(a_world, run_virtual)
-async def test_a_deputy_acts_while_holder_and_store_are_lost(
+async def test_backup_holder_serves_while_holder_and_store_are_unreachable(
     world: SessionWorld,
 ) -> None:
-    lead, deputy = world.leader(), world.deputy()
+    holder, backup = world.leader(), world.deputy()
     await asyncio.sleep(5.0)
     world.store.silent |= {ref.host for ref in world.refs}
-    await world.kill(lead.me.host)
-    caller = await world.caller(deputy.me.host, "tickets")
+    await world.kill(holder.me.host)
+    caller = await world.caller(backup.me.host, "tickets")
     assert await first_success(caller, 3.0) < 2.5
 
 
 @using(a_world, run_virtual)
-async def test_a_deputy_stops_once_its_permission_is_over(world: SessionWorld) -> None:
-    lead, deputy = world.leader(), world.deputy()
+async def test_backup_holder_stops_when_its_lease_expires(world: SessionWorld) -> None:
+    holder, backup = world.leader(), world.deputy()
     await asyncio.sleep(5.0)
     world.store.silent |= {ref.host for ref in world.refs}
-    await world.kill(lead.me.host)
+    await world.kill(holder.me.host)
     await asyncio.sleep(13.0)
-    caller = await world.caller(deputy.me.host, "tickets")
+    caller = await world.caller(backup.me.host, "tickets")
     reply = await caller.write()
     assert reply.refusal is not None
     assert reply.refusal.verdict is Verdict.NOT_RUN
 
 
 @using(a_world, run_virtual)
-async def test_a_primary_lost_while_the_store_is_busy_is_replaced_once_it_is_back(
+async def test_lost_primary_is_replaced_once_a_busy_store_recovers(
     world: SessionWorld,
 ) -> None:
-    lead, zone = world.leader().me, world.group.primary.entry.zone
+    holder, zone = world.leader().me, world.group.primary.entry.zone
     running = asyncio.create_task(traffic(world, 5.0, 11, pause=0.5))
     await asyncio.sleep(0.5)
     world.store.declining |= {ref.host for ref in world.refs}
@@ -279,24 +290,24 @@
     world.cut_zone(zone)
     await asyncio.sleep(2.1)
     world.store.declining.clear()
-    caller = await world.caller(lead.host, "tickets")
+    caller = await world.caller(holder.host, "tickets")
     assert await first_success(caller, 6.0) < 1.5
     world.heal()
     await running
 
 
 @using(a_world, run_virtual)
-async def test_a_lead_that_moves_while_its_primary_is_lost_waits_for_nothing(
+async def test_lease_handover_does_not_wait_for_a_lost_primary(
     world: SessionWorld,
 ) -> None:
-    """Transactions open at a primary that gives no answer cannot end any more."""
-    lead = world.leader().me
-    open_there = await world.caller(lead.host, "tickets")
+    """Open transactions at an unresponsive primary must not delay the handover."""
+    holder = world.leader().me
+    open_there = await world.caller(holder.host, "tickets")
     await open_there.run(SessionCommandKind.BEGIN)
     await open_there.write()
     world.group.primary.down = True
-    world.store.silent.add(lead.host)
-    other = next(ref.host for ref in world.refs if ref.zone != lead.zone)
+    world.store.silent.add(holder.host)
+    other = next(ref.host for ref in world.refs if ref.zone != holder.zone)
     caller = await world.caller(other, "tickets")
     assert await first_success(caller, 8.0) < 3.0
 
@@ -305,75 +316,75 @@
 async def test_no_promotion_while_a_former_holder_may_use_the_primary(
     world: SessionWorld,
 ) -> None:
-    """The former holder is cut off from hosts and store, not from the primary."""
-    lead = world.leader().me
-    others = {ref.host for ref in world.refs} - {lead.host}
-    world.network.isolate({lead.host}, others)
-    world.store.silent.add(lead.host)
+    """The former holder is isolated from hosts and store, but not from the primary."""
+    holder = world.leader().me
+    others = {ref.host for ref in world.refs} - {holder.host}
+    world.network.isolate({holder.host}, others)
+    world.store.silent.add(holder.host)
     await asyncio.sleep(3.0)
-    assert world.leader().me != lead
-    old = world.group.primary
+    assert world.leader().me != holder
+    former_primary = world.group.primary
     for host in others:
-        world.group.cut(host, old.entry.target)
-    inside = await world.caller(lead.host, "tickets")
+        world.group.cut(host, former_primary.entry.target)
+    caller_at_former_holder = await world.caller(holder.host, "tickets")
     for _ in range(30):
-        await inside.write()
+        await caller_at_former_holder.write()
         await asyncio.sleep(0.1)
     assert world.group.promotions == []
     await asyncio.sleep(14.0)
     assert len(world.group.promotions) >= 1
-    reply = await inside.write()
+    reply = await caller_at_former_holder.write()
     assert reply.refusal is not None
 
 
 @using(a_world, run_virtual)
-async def test_a_holder_that_was_paused_sends_nothing_on_a_lapsed_permission(
+async def test_paused_holder_sends_nothing_after_its_lease_expired(
     world: SessionWorld,
 ) -> None:
-    lead = world.leader()
-    old = world.group.primary
-    world.network.pause(lead.me.host)
+    holder = world.leader()
+    former_primary = world.group.primary
+    world.network.pause(holder.me.host)
     await asyncio.sleep(3.0)
     for host in world.hosts:
-        world.group.cut(host, old.entry.target)
+        world.group.cut(host, former_primary.entry.target)
     await asyncio.sleep(16.0)
-    assert world.group.primary is not old
+    assert world.group.primary is not former_primary
     world.group.cuts.clear()
-    world.network.resume(lead.me.host)
-    runs = len(old.runs)
-    caller = await world.caller(lead.me.host, "tickets")
+    world.network.resume(holder.me.host)
+    runs = len(former_primary.runs)
+    caller = await world.caller(holder.me.host, "tickets")
     await caller.write()
-    assert len(old.runs) == runs
+    assert len(former_primary.runs) == runs
 
 
 @using(a_world, run_virtual)
-async def test_a_planned_change_loses_no_commit(world: SessionWorld) -> None:
-    old = world.group.primary
+async def test_planned_change_of_primary_loses_no_commit(world: SessionWorld) -> None:
+    former_primary = world.group.primary
     running = asyncio.create_task(traffic(world, 5.0, 4, pause=0.3))
     await asyncio.sleep(1.0)
-    old.entry = leaving(old.entry)
-    world.announce(old.entry)
+    former_primary.entry = leaving(former_primary.entry)
+    world.announce(former_primary.entry)
     await running
-    assert world.group.primary is not old
+    assert world.group.primary is not former_primary
     acknowledged = {one.position for one in world.acknowledged}
     assert not acknowledged & world.group.lost
 
 
 @using(a_world, run_virtual)
-async def test_a_primary_that_others_reach_gets_another_home(
+async def test_lease_moves_to_a_host_that_reaches_the_primary(
     world: SessionWorld,
 ) -> None:
-    lead, old = world.leader().me, world.group.primary
-    world.group.cut(lead.host, old.entry.target)
+    holder, former_holder = world.leader().me, world.group.primary
+    world.group.cut(holder.host, former_holder.entry.target)
     await asyncio.sleep(3.0)
-    assert world.leader().me != lead
+    assert world.leader().me != holder
     assert world.group.promotions == []
-    caller = await world.caller(lead.host, "tickets")
+    caller = await world.caller(holder.host, "tickets")
     await first_success(caller, 1.0)
 
 
 @using(a_world, run_virtual)
-async def test_a_silent_store_stops_nothing_for_nine_seconds(
+async def test_store_outage_of_nine_seconds_causes_no_failures(
     world: SessionWorld,
 ) -> None:
     world.store.silent |= {ref.host for ref in world.refs}
@@ -384,7 +395,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_write_whose_answer_is_lost_is_in_doubt(world: SessionWorld) -> None:
+async def test_write_without_response_may_have_run(world: SessionWorld) -> None:
     caller = await world.caller("h00", "tickets")
     await caller.write()
     world.group.primary.losing = 1.0
@@ -394,14 +405,14 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_write_is_not_repeated_when_the_answer_of_a_host_is_lost(
+async def test_write_is_not_repeated_after_a_lost_peer_response(
     world: SessionWorld,
 ) -> None:
-    lead = world.leader().me.host
-    host = next(ref.host for ref in world.refs if ref.host != lead)
+    holder = world.leader().me.host
+    host = next(ref.host for ref in world.refs if ref.host != holder)
     caller = await world.caller(host, "tickets")
     before = len(world.group.primary.runs)
-    world.network.cut(lead, host)
+    world.network.cut(holder, host)
     writing = asyncio.create_task(caller.write())
     await asyncio.sleep(0.5)
     world.network.heal()
@@ -411,10 +422,10 @@
 
 
 @using(a_world, run_virtual)
-async def test_the_first_statement_of_a_transaction_runs_on_one_connection(
+async def test_first_statement_of_a_transaction_is_not_retried_elsewhere(
     world: SessionWorld,
 ) -> None:
-    """What was sent and got no answer is not sent to another replica."""
+    """A statement without a response must not be sent to another replica."""
     host = world.hosts["h00"]
     caller = await world.caller("h00", "views")
     await caller.read()
@@ -443,7 +454,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_dropped_route_ends_its_sessions_at_the_next_statement(
+async def test_removed_route_ends_its_sessions_at_the_next_statement(
     world: SessionWorld,
 ) -> None:
     caller = await world.caller("h00", "views")
@@ -456,12 +467,12 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_configuration_is_in_force_in_time_though_all_watches_went_deaf(
+async def test_configuration_is_applied_in_time_after_watches_fail_silently(
     world: SessionWorld,
 ) -> None:
-    """The platform gives a configuration 3 s; watches may end without a word."""
+    """A configuration must be in force within 3 s even if watches fail silently."""
     for moment in range(20):
-        # A change answers all watches, so that all are held from now on.
+        # A change completes all watches, so that all are pending from now on.
         world.configure(10 + 2 * moment, ["tickets"])
         await asyncio.sleep(0.7 + 0.1 * moment)
         world.store.deafen()
@@ -472,7 +483,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_an_older_configuration_is_never_put_in_force(
+async def test_older_configuration_is_never_applied(
     world: SessionWorld,
 ) -> None:
     world.configure(9, ["tickets"])
@@ -484,7 +495,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_host_cut_off_from_the_store_learns_a_version_from_others(
+async def test_host_without_store_fetches_configuration_from_peers(
     world: SessionWorld,
 ) -> None:
     world.store.silent.add("h00")
@@ -494,7 +505,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_host_reads_all_anew_when_the_history_is_gone(
+async def test_host_reads_a_full_snapshot_after_history_loss(
     world: SessionWorld,
 ) -> None:
     world.store.silent.add("h00")
@@ -508,7 +519,7 @@
 
 
 @using(a_world, run_virtual)
-async def test_an_open_transaction_is_ended_once_it_rested_too_long(
+async def test_idle_transaction_is_aborted_after_its_timeout(
     world: SessionWorld,
 ) -> None:
     caller = await world.caller("h00", "tickets")
@@ -524,19 +535,21 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_host_that_ends_passes_its_leads_on_first(world: SessionWorld) -> None:
-    lead = world.leader()
+async def test_draining_host_hands_over_its_leases_first(world: SessionWorld) -> None:
+    holder = world.leader()
     running = asyncio.create_task(traffic(world, 3.0, 7))
-    draining = asyncio.create_task(lead.drain())
+    draining = asyncio.create_task(holder.drain())
     await asyncio.sleep(1.0)
-    assert world.leader().me != lead.me
-    assert not lead.ready
+    assert world.leader().me != holder.me
+    assert not holder.ready
     await draining
     await running
 
 
 @using(a_world, run_virtual)
-async def test_the_duty_stays_with_a_holder_that_lives(world: SessionWorld) -> None:
+async def test_promotion_coordinator_role_stays_with_a_live_host(
+    world: SessionWorld,
+) -> None:
     for _ in range(3):
         world.group.primary.down = True
         await asyncio.sleep(4.0)
@@ -549,11 +562,11 @@
 
 
 @using(a_world, run_virtual)
-async def test_the_duty_of_a_host_that_started_anew_is_taken_at_once(
+async def test_promotion_coordinator_role_of_a_restarted_host_is_claimed_immediately(
     world: SessionWorld,
 ) -> None:
-    lead = world.leader().me.host
-    other = next(ref.host for ref in world.refs if ref.host != lead)
+    holder = world.leader().me.host
+    other = next(ref.host for ref in world.refs if ref.host != holder)
     assert await world.hosts[other].promotion_duty.claim_role(None)
     await world.restart(other)
     await asyncio.sleep(4.0)
@@ -564,16 +577,16 @@
 
 
 @using(a_world, run_virtual)
-async def test_targets_never_get_more_connections_than_they_accept(
+async def test_connections_to_a_target_never_exceed_its_limit(
     world: SessionWorld,
 ) -> None:
-    most = 0
+    max_open = 0
 
     async def watch() -> None:
-        nonlocal most
+        nonlocal max_open
         while True:
             for member in world.group.members.values():
-                most = max(most, len(member.connections))
+                max_open = max(max_open, len(member.connections))
             await asyncio.sleep(0.01)
 
     watching = asyncio.create_task(watch())
@@ -582,11 +595,11 @@
     await world.restart(world.leader().me.host)
     await running
     watching.cancel()
-    assert most <= 16
+    assert max_open <= 16
 
 
 @using(a_world, run_virtual)
-async def test_connections_to_an_address_that_was_left_are_closed(
+async def test_connections_to_a_former_address_are_closed(
     world: SessionWorld,
 ) -> None:
     await traffic(world, 1.0, 9)
@@ -616,36 +629,36 @@
 
 
 @using(a_world, run_virtual)
-async def test_a_holder_in_a_new_life_is_not_the_one_that_was_lost(
+async def test_restarted_holder_is_not_considered_lost(
     world: SessionWorld,
 ) -> None:
-    lead = world.leader().me
-    other = next(one for one in world.hosts.values() if one.me != lead)
-    other.failure_detector.lost_at[lead.host] = other.clock.monotonic()
+    holder = world.leader().me
+    other = next(one for one in world.hosts.values() if one.me != holder)
+    other.failure_detector.lost_at[holder.host] = other.clock.monotonic()
     record = other.lease_registry.get("db")
     assert record is not None
-    news = record.with_revision(record.revision + 1)
-    news.holder = HostIncarnation(lead, "another life")
-    other.lease_registry.update(news, "peer")
-    assert not other.failure_detector.is_lost(lead)
+    newer_record = record.with_revision(record.revision + 1)
+    newer_record.holder = HostIncarnation(holder, "another life")
+    other.lease_registry.update(newer_record, "peer")
+    assert not other.failure_detector.is_lost(holder)
 
 
-OLDER = "zone store late losing kill pause primary cut lag deaf answers heal"
-"""Kinds of faults; the days drawn from them stay as they are."""
+BASIC_FAULTS = "zone store late losing kill pause primary cut lag deaf answers heal"
+"""Kinds of faults; changing this list changes the faults that a seed selects."""
 
-KINDS = f"{OLDER} oneway leaving forget deafen slow busy"
-WITH_LIVES = f"{KINDS} again again scribble"
+MORE_FAULTS = f"{BASIC_FAULTS} oneway leaving forget deafen slow busy"
+FAULTS_WITH_RESTARTS = f"{MORE_FAULTS} again again scribble"
 
 
-async def troubled(seed: int, kinds: str = OLDER) -> None:
-    """Play a day of faults drawn at random, and check what was promised."""
+async def run_with_faults(seed: int, kinds: str = BASIC_FAULTS) -> None:
+    """Run traffic under random faults, then check the guarantees of the world."""
     rng = random.Random(seed)
     world = SessionWorld(seed)
     await world.start()
     running = asyncio.create_task(traffic(world, 10.0, seed, pause=1.0))
     for _ in range(5):
         await asyncio.sleep(rng.uniform(0.2, 1.6))
-        await trouble(world, rng, kinds.split())
+        await inject_fault(world, rng, kinds.split())
     await asyncio.sleep(1.0)
     world.heal()
     world.store.late.clear()
@@ -653,7 +666,7 @@
     world.store.delay.clear()
     for member in world.group.members.values():
         member.heal()
-        if kinds is WITH_LIVES:
+        if kinds is FAULTS_WITH_RESTARTS:
             world.announce(member.entry)
     for ref in world.refs:
         world.network.resume(ref.host)
@@ -664,8 +677,10 @@
     await world.stop()
 
 
-async def trouble(world: SessionWorld, rng: random.Random, kinds: list[str]) -> None:
-    """Bring one fault about."""
+async def inject_fault(
+    world: SessionWorld, rng: random.Random, kinds: list[str]
+) -> None:
+    """Inject one random fault."""
     host = rng.choice([ref.host for ref in world.refs])
     members = list(world.group.members.values())
     zone = rng.choice([ref.zone for ref in world.refs])
@@ -724,34 +739,34 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_promises_hold_on_days_of_random_faults(seed: int) -> None:
-    run_virtual(troubled(seed))
+def test_guarantees_hold_under_random_faults(seed: int) -> None:
+    run_virtual(run_with_faults(seed))
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
-def test_promises_hold_on_days_of_more_kinds_of_faults(seed: int) -> None:
-    run_virtual(troubled(seed, KINDS))
+def test_guarantees_hold_under_more_kinds_of_faults(seed: int) -> None:
+    run_virtual(run_with_faults(seed, MORE_FAULTS))
 
 
 @pytest.mark.parametrize("seed", range(200, 208))
-def test_promises_hold_on_days_on_which_targets_start_again(seed: int) -> None:
-    run_virtual(troubled(seed, WITH_LIVES))
+def test_guarantees_hold_when_targets_restart(seed: int) -> None:
+    run_virtual(run_with_faults(seed, FAULTS_WITH_RESTARTS))
 
 
 @in_virtual_time
-async def test_a_host_that_closes_leaves_no_task_behind() -> None:
+async def test_closed_host_leaves_no_fetch_task() -> None:
     world = SessionWorld()
     await world.start()
     before = asyncio.all_tasks()
     ref = HostRef("h09", "z0", "10.1.0.9:1")
     host = await world.start_host(ref)
     await asyncio.sleep(2.0)
-    # It hears of a version that nobody can give it, and goes on asking.
+    # No host has this version, so the host keeps requesting it.
     host.tables.request_version(world.refs[0], 99)
     await asyncio.sleep(0.1)
     await host.close()
     world.hosts.pop("h09")
     await asyncio.sleep(0.0)
-    left = {str(task.get_coro()) for task in asyncio.all_tasks() - before}
-    assert not {one for one in left if "TableSource" in one}
+    remaining = {str(task.get_coro()) for task in asyncio.all_tasks() - before}
+    assert not {one for one in remaining if "RouteTableFetcher" in one}
     await world.stop()
