--- a/src/reedhook/process/caller_sessions.py
+++ b/src/reedhook/process/caller_sessions.py
@@ -91,7 +91,7 @@
         route = self.announcements.table.routes.get(database)
         if route is None:
             self.decisions.record(
-                "no_database",
+                "unknown_database",
                 database=database,
                 configuration=self.announcements.table.version,
             )
--- a/src/reedhook/process/discovery/announcements.py
+++ b/src/reedhook/process/discovery/announcements.py
@@ -245,7 +245,7 @@
     ) -> None:
         """Notify listeners that a target has restarted without its previous data."""
         self.decisions.record(
-            "target_reborn",
+            "target_restarted",
             target=entry.target,
             born=entry.started_at_ms,
             before=before.started_at_ms,
@@ -258,7 +258,7 @@
         entry = self.targets.pop(target, None)
         if entry is None:
             return
-        self.decisions.record("target_gone", target=target, service=entry.service)
+        self.decisions.record("target_removed", target=target, service=entry.service)
         self.missing[target] = entry
         self.missing_since[target] = self.clock.boottime()
         self.targets_changed()
--- a/src/reedhook/process/discovery/store_watcher.py
+++ b/src/reedhook/process/discovery/store_watcher.py
@@ -91,7 +91,9 @@
                 pause = MIN_RETRY_SECONDS
                 continue
             except HistoryCompactedError as error:
-                self.announcements.decisions.record("history_gone", cause=str(error))
+                self.announcements.decisions.record(
+                    "history_compacted", cause=str(error)
+                )
                 self.synchronized = False
             except KeyValueStoreError as error:
                 self.announcements.mark_store_lost(error)
--- a/src/reedhook/process/discovery/update_source.py
+++ b/src/reedhook/process/discovery/update_source.py
@@ -95,7 +95,9 @@
         try:
             items = known.mirror.changes(after)
         except HistoryCompactedError as error:
-            known.decisions.record("news_in_full", after=after, cause=str(error))
+            known.decisions.record(
+                "updates_sent_in_full", after=after, cause=str(error)
+            )
             items = known.mirror.written(after)
             keys = list(known.mirror.items)
         return {
@@ -186,7 +188,7 @@
         """Do not use a relay for a while, with jitter between hosts."""
         pause = AVOID_SECONDS * self.random.uniform(0.5, 1.0)
         self.avoided[relay.host] = self.clock.monotonic() + pause
-        self.decisions.record("news_unanswered", relay=relay.host, cause=cause)
+        self.decisions.record("updates_unanswered", relay=relay.host, cause=cause)
 
     def apply_response(self, relay: HostRef, answer: Json) -> bool:
         """Apply a response; return whether the relay reaches the store.
--- a/src/reedhook/process/primary_lease/backup_holder.py
+++ b/src/reedhook/process/primary_lease/backup_holder.py
@@ -75,7 +75,7 @@
             self.active = False
             return
         self.decisions.record(
-            "deputy_acts",
+            "backup_holder_active",
             service=self.service,
             holder=self.record.holder.ref.host,
             revision=self.record.revision,
@@ -87,7 +87,7 @@
         """Stop using the primary after its holder is back."""
         if not self.active:
             return
-        self.decisions.record("deputy_rests", service=self.service)
+        self.decisions.record("backup_holder_inactive", service=self.service)
         self.ready.clear()
         home, self.home = self.home, None
         if home is not None:
@@ -96,4 +96,4 @@
         self.active = False
 
     def log_released(self) -> None:
-        self.decisions.record("deputy_dismissed", service=self.service)
+        self.decisions.record("backup_holder_dismissed", service=self.service)
--- a/src/reedhook/process/primary_lease/lease_claim.py
+++ b/src/reedhook/process/primary_lease/lease_claim.py
@@ -65,12 +65,12 @@
         except KeyValueStoreError as error:
             left = round(self.validity.expires_at - requested_at, 2)
             self.decisions.record(
-                "tenure_unconfirmed", service=self.service, left=left, error=str(error)
+                "lease_unconfirmed", service=self.service, left=left, error=str(error)
             )
             return False
         if item is None:
             # The store never deletes the record, so this is only logged.
-            self.decisions.record("lead_record_missing", service=self.service)
+            self.decisions.record("lease_record_missing", service=self.service)
             return True
         self.found(item, requested_at)
         return True
@@ -100,7 +100,7 @@
             return await self.resolve(value)
         except KeyValueStoreError as error:
             self.decisions.record(
-                "lead_not_written", service=self.service, error=str(error)
+                "lease_not_written", service=self.service, error=str(error)
             )
             return await self.resolve(value)
         self.validity.extend(requested_at)
@@ -115,7 +115,7 @@
             )
         except KeyValueStoreError as error:
             self.decisions.record(
-                "lead_write_unknown", service=self.service, error=str(error)
+                "lease_write_unknown", service=self.service, error=str(error)
             )
             return False
         if item is None:
--- a/src/reedhook/process/primary_lease/lease_holder.py
+++ b/src/reedhook/process/primary_lease/lease_holder.py
@@ -459,7 +459,7 @@
             self.service, better, self.others.former_expired()
         ):
             self.decisions.record(
-                "lead_passed_on", service=self.service, to=better.host
+                "lease_transferred", service=self.service, to=better.host
             )
             return
         await self.others.update_backup_holder(home)
--- a/src/reedhook/process/primary_lease/lease_manager.py
+++ b/src/reedhook/process/primary_lease/lease_manager.py
@@ -257,12 +257,16 @@
         try:
             return await self.claim_at_store(service, requested, no_former_holders)
         except StoreUnansweredError as error:
-            self.decisions.record("lead_not_taken", service=service, error=str(error))
+            self.decisions.record(
+                "lease_not_acquired", service=service, error=str(error)
+            )
             if not requested:
                 self.background.spawn(self.request_claim_by_others(service))
             return False
         except KeyValueStoreError as error:
-            self.decisions.record("lead_not_taken", service=service, error=str(error))
+            self.decisions.record(
+                "lease_not_acquired", service=service, error=str(error)
+            )
             return False
         finally:
             self.claiming.discard(service)
@@ -282,7 +286,7 @@
                 )
             except (PeerError, RefusalError) as error:
                 self.decisions.record(
-                    "take_unanswered", host=host.host, error=str(error)
+                    "lease_transfer_unanswered", host=host.host, error=str(error)
                 )
                 continue
             if answer.get("taken") is True:
@@ -329,7 +333,7 @@
     def start_holding(self, record: PrimaryLeaseRecord, requested_at: float) -> None:
         """Start to use the primary under a claimed lease."""
         self.decisions.record(
-            "lead_taken",
+            "lease_acquired",
             service=record.service,
             revision=record.revision,
             former=[one.ref.host for one in record.former],
@@ -384,7 +388,9 @@
             if await self.indirect_prober.transfer_lease(
                 service, host, no_former_holders
             ):
-                self.decisions.record("lead_passed_on", service=service, to=host.host)
+                self.decisions.record(
+                    "lease_transferred", service=service, to=host.host
+                )
                 break
         holder = self.held.get(service)
         if holder is not None and not holder.draining:
--- a/src/reedhook/process/primary_lease/lease_registry.py
+++ b/src/reedhook/process/primary_lease/lease_registry.py
@@ -37,7 +37,7 @@
             return False
         self.records[record.service] = record
         self.decisions.record(
-            "lead",
+            "lease_record",
             service=record.service,
             holder=record.holder.ref.host,
             life=record.holder.incarnation,
--- a/src/reedhook/process/primary_lease/primary_client.py
+++ b/src/reedhook/process/primary_lease/primary_client.py
@@ -196,7 +196,7 @@
             return
         self.leadership_questioned = True
         self.decisions.record(
-            "primary_holds_less",
+            "primary_data_loss",
             service=self.service,
             primary=self.record.primary,
             position=None if position is None else position.to_json(),
@@ -300,7 +300,7 @@
 
     def log_released(self) -> None:
         """Record that the lease is released."""
-        self.decisions.record("lead_given_up", service=self.service)
+        self.decisions.record("lease_released", service=self.service)
 
     def stop(self) -> None:
         """Cancel the background tasks."""
--- a/src/reedhook/process/primary_lease/primary_replacement.py
+++ b/src/reedhook/process/primary_lease/primary_replacement.py
@@ -75,7 +75,9 @@
             return False
         successor = await self.choose_successor(old, planned, highest_position)
         if successor is None:
-            self.decisions.record("no_change", service=self.service, cause=cause)
+            self.decisions.record(
+                "primary_change_cancelled", service=self.service, cause=cause
+            )
             return False
         self.decisions.record(
             "primary_change",
@@ -151,7 +153,7 @@
         ):
             # It has restarted and lost the data for which it was chosen.
             self.decisions.record(
-                "successor_reborn", target=target, born=entry.started_at_ms
+                "successor_restarted", target=target, born=entry.started_at_ms
             )
             await self.choose_again()
             return None
--- a/src/reedhook/process/primary_lease/promotion_coordinator.py
+++ b/src/reedhook/process/primary_lease/promotion_coordinator.py
@@ -123,7 +123,7 @@
                 PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            self.decisions.record("duty_unknown", error=str(error))
+            self.decisions.record("promotion_role_unknown", error=str(error))
             return OrderOutcome.UNANSWERED
         holder = None if item is None else read_holder(item)
         if holder == self.me and item is not None:
@@ -173,7 +173,9 @@
             cause = refusal.detail
         except (PeerError, LookupError, ValueError) as error:
             cause = str(error)
-        self.decisions.record("duty_unreachable", holder=holder.ref.host, error=cause)
+        self.decisions.record(
+            "promotion_role_unreachable", holder=holder.ref.host, error=cause
+        )
         return None
 
     async def order_here(self, service: str, target: str) -> OrderOutcome | None:
@@ -185,7 +187,7 @@
                     PROMOTION_COORDINATOR_KEY, RESPONSE_TIMEOUT_SECONDS
                 )
             except KeyValueStoreError as error:
-                self.decisions.record("duty_unknown", error=str(error))
+                self.decisions.record("promotion_role_unknown", error=str(error))
                 return OrderOutcome.UNANSWERED
             if item is None or read_holder(item) != self.me:
                 return None
@@ -232,12 +234,13 @@
                 PROMOTION_COORDINATOR_KEY, value, revision, RESPONSE_TIMEOUT_SECONDS
             )
         except KeyValueStoreError as error:
-            self.decisions.record("duty_not_taken", error=str(error))
+            self.decisions.record("promotion_role_not_acquired", error=str(error))
             return False
         if before is not None and not self.gone(before):
             self.not_before = self.clock.boottime() + TAKEOVER_DELAY_SECONDS
         self.decisions.record(
-            "duty_taken", before=None if before is None else before.ref.host
+            "promotion_role_acquired",
+            before=None if before is None else before.ref.host,
         )
         return True
 
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -481,7 +481,7 @@
                 await self.primary_leases.transfer_all()
         except TimeoutError:
             self.decisions.record(
-                "leads_not_passed_on", left=list(self.primary_leases.held)
+                "leases_not_transferred", left=list(self.primary_leases.held)
             )
 
     def has_work_in_progress(self) -> bool:
--- a/src/reedhook/process/zone_isolation.py
+++ b/src/reedhook/process/zone_isolation.py
@@ -140,9 +140,9 @@
         """Record a change of whether another zone is reachable."""
         if reached and self.isolated_since is not None:
             self.decisions.record(
-                "zones_reached", after=round(self.isolated_seconds(), 2)
+                "zone_isolation_ended", after=round(self.isolated_seconds(), 2)
             )
             self.isolated_since = None
         elif not reached and self.isolated_since is None:
             self.isolated_since = self.clock.monotonic()
-            self.decisions.record("cut_off", zones=sorted(self.probed_hosts))
+            self.decisions.record("zone_isolated", zones=sorted(self.probed_hosts))
--- a/src/reedhook/request/statement_forwarder.py
+++ b/src/reedhook/request/statement_forwarder.py
@@ -198,7 +198,7 @@
             # The first call may have completed during the probe.
             if not pending_answer.done():
                 self.decisions.record(
-                    "host_not_alive", host=host.host, error=str(error)
+                    "host_unresponsive", host=host.host, error=str(error)
                 )
             return pending_answer.done()
         return True
