--- a/src/reedhook/address.py
+++ b/src/reedhook/address.py
@@ -7,9 +7,9 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``IP:port``; an IPv6 number stands in brackets.
+    """Split ``IP:port``; an IPv6 address is in brackets.
 
-    :raises ValueError: if the host part is no IP number or the port no port.
+    :raises ValueError: if the host is not an IP address or the port is invalid.
     """
     host, separator, port = address.rpartition(":")
     if not separator:
@@ -20,5 +20,5 @@
     else:
         ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
-        raise ValueError("the port is no number up to 65535")
+        raise ValueError("the port is not a number from 0 to 65535")
     return host, int(port)
--- a/src/reedhook/background_tasks.py
+++ b/src/reedhook/background_tasks.py
@@ -1,4 +1,4 @@
-"""Work that goes on beside its owner."""
+"""Background tasks that end with their owner and log unexpected failures."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,10 +8,10 @@
 
 
 class BackgroundTasks:
-    """Run work in tasks, and log the failure that none is meant to have.
+    """Run coroutines as tasks and log their failures.
 
-    :param log_fields: stands in the line of a failure, such as the service.
-    :ivar tasks: those that have not ended.
+    :param log_fields: added to the log line of a failure, such as the service.
+    :ivar tasks: tasks that have not ended.
     """
 
     __slots__ = ("decisions", "log_fields", "tasks")
@@ -22,19 +22,19 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run `work` until it ends, or `cancel` is called."""
+        """Start `work` as a task; `cancel` ends it."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.handle_done)
         return task
 
     def handle_done(self, task: asyncio.Task[None]) -> None:
-        """Forget a task, and log it if it failed."""
+        """Remove a task that has ended, and log its failure."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.decisions.record("task_failed", **self.log_fields, error=repr(error))
 
     def cancel(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in list(self.tasks):
             task.cancel()
--- a/src/reedhook/clock.py
+++ b/src/reedhook/clock.py
@@ -1,4 +1,4 @@
-"""Time as the process sees it, behind an interface that tests replace."""
+"""Interface to the clocks of the operating system, replaced in tests."""
 
 import asyncio
 import time
@@ -6,23 +6,23 @@
 
 
 class Clock(ABC):
-    """Give monotonic time in seconds and let tasks sleep."""
+    """Read time and sleep."""
 
     @abstractmethod
     def monotonic(self) -> float:
         """Return monotonic time in seconds."""
 
     def boottime(self) -> float:
-        """Return seconds that also pass while the machine is suspended.
+        """Return monotonic time that includes time in suspension, in seconds.
 
-        Permissions and proofs of age run on it: the monotonic clock stands
-        still during a suspension, and what it dates would look too young.
+        Leases and proofs of age use it: the monotonic clock stops while the
+        machine is suspended, so that they would appear too young.
         """
         return self.monotonic()
 
     @abstractmethod
     def wall(self) -> float:
-        """Return wall-clock time in seconds since the epoch, for people only."""
+        """Return wall-clock time in seconds since the epoch, for display only."""
 
     @abstractmethod
     async def sleep(self, seconds: float) -> None:
@@ -30,7 +30,7 @@
 
 
 class SystemClock(Clock):
-    """Read the clock of the operating system."""
+    """Read the clocks of the operating system."""
 
     def monotonic(self) -> float:
         return time.monotonic()
--- a/src/reedhook/connector.py
+++ b/src/reedhook/connector.py
@@ -14,12 +14,12 @@
 
 
 class SingleStepConnector(TCPConnector):
-    """Open connections to IP numbers in one step.
+    """Open connections to IP addresses in one step.
 
     aiohttp first connects a socket and then hands it to the loop. If a timeout
     cancels the second step, uvloop 0.22.1 and the socket object both close the
-    descriptor, which aborts the process or closes a connection that has
-    nothing to do with it. The loop's own connect has no such second step.
+    descriptor, which aborts the process or closes an unrelated connection.
+    `loop.create_connection` connects in a single step.
     """
 
     def __init__(self, **options: Any) -> None:
@@ -34,7 +34,7 @@
         client_error: type[ClientConnectorError] = ClientConnectorError,
         **options: Any,
     ) -> tuple[asyncio.Transport, ResponseHandler]:
-        """Connect to the one address that an IP number stands for.
+        """Connect to the single address of an IP host.
 
         :raises ClientConnectorError: if the connection cannot be opened.
         """
@@ -52,7 +52,7 @@
 
 
 def create_client_session(connector: SingleStepConnector) -> ClientSession:
-    """Return a client without cookies, deaf to proxies that the environment names."""
+    """Return a client that ignores cookies and proxy settings of the environment."""
     return ClientSession(
         connector=connector, cookie_jar=DummyCookieJar(), trust_env=False
     )
--- a/src/reedhook/decision_log.py
+++ b/src/reedhook/decision_log.py
@@ -1,4 +1,4 @@
-"""One structured line for each decision that an operator may ask about."""
+"""Rate-limited log of routing decisions, one JSON object a line."""
 
 import os
 from collections import deque
@@ -8,27 +8,26 @@
 from .wire import encode
 
 MAX_LINES_PER_SECOND: Final = 60.0
-"""Lines that are written at most in the long run; at about 200 bytes a line
-that is 12 KB/s, and 0.1 % of a core by the 20 us that a line takes."""
+"""Sustained limit of written lines."""
 
 BURST_LINES: Final = 300.0
-"""Lines that may come at once, such as those of a failed target."""
+"""Lines that may be written at once, such as after a target fails."""
 
 PER_EVENT_FRACTION: Final = 0.25
-"""Share of both that one event may use: a target that is cut off makes hundreds
-of lines a second of a few events, among which the change of primary must show."""
+"""Share of both limits that one event may use, so that frequent events do not
+hide rare ones such as a change of primary."""
 
 MAX_PENDING_LINES: Final = 1000
-"""Lines that wait for a reader of the output that is slow."""
+"""Lines that are buffered while the reader of the output is slow."""
 
 STDOUT_FD: Final = 1
 
 
 class LogRateLimiter:
-    """Let lines through at a rate, and some more at once.
+    """Limit log lines with a token bucket; the caller takes the tokens.
 
     :param rate: lines a second.
-    :param burst: lines at once.
+    :param burst: capacity of the bucket, in lines.
     """
 
     __slots__ = ("rate", "burst", "tokens", "refilled_at")
@@ -40,22 +39,22 @@
         self.refilled_at = now
 
     def admits(self, now: float) -> bool:
-        """Say whether another line is within the rate."""
-        earned = (now - self.refilled_at) * self.rate
-        self.tokens = min(self.burst, self.tokens + earned)
+        """Return whether another line is within the rate."""
+        refill = (now - self.refilled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + refill)
         self.refilled_at = now
         return self.tokens >= 1.0
 
 
 class DecisionLog:
-    """Write lines to the standard output and never wait for its reader.
+    """Write decisions to standard output without blocking.
 
-    Each line is a JSON object: `t` in seconds by `Clock.elapsed`, `host`,
-    `event`, and what decided with its age or version.
+    Each line is a JSON object: `t` in seconds of `Clock.boottime`, `host`,
+    `event`, and the inputs of the decision with their ages or versions.
 
     :param host: the host's id.
-    :param output_fd: the descriptor to write to; None writes nowhere.
-    :ivar dropped: lines that were not written.
+    :param output_fd: the descriptor to write to; None disables the log.
+    :ivar dropped: lines dropped since the last written line.
     """
 
     def __init__(
@@ -74,7 +73,7 @@
             os.set_blocking(output_fd, False)
 
     def record(self, event: str, **inputs: Any) -> None:
-        """Write one line, unless too many were written of late."""
+        """Write one line, or drop it if a limit is exceeded."""
         if self.output_fd is None:
             return
         if not self.admits(event):
@@ -92,25 +91,27 @@
         self.flush()
 
     def admits(self, event: str) -> bool:
-        """Say whether another line of an event is within the rates."""
+        """Return whether to write a line of `event`, and take its tokens."""
         now = self.clock.monotonic()
-        own = self.event_limiters.get(event)
-        if own is None:
+        event_limiter = self.event_limiters.get(event)
+        if event_limiter is None:
             rate, burst = (
                 MAX_LINES_PER_SECOND * PER_EVENT_FRACTION,
                 BURST_LINES * PER_EVENT_FRACTION,
             )
-            own = self.event_limiters[event] = LogRateLimiter(rate, burst, now)
-        if not self.total_limiter.admits(now) or not own.admits(now):
+            event_limiter = self.event_limiters[event] = LogRateLimiter(
+                rate, burst, now
+            )
+        if not self.total_limiter.admits(now) or not event_limiter.admits(now):
             return False
         if len(self.pending_lines) >= MAX_PENDING_LINES:
             return False
         self.total_limiter.tokens -= 1.0
-        own.tokens -= 1.0
+        event_limiter.tokens -= 1.0
         return True
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write pending lines until the output would block."""
         assert self.output_fd is not None
         while self.pending_lines:
             try:
@@ -118,7 +119,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads the output any more, so that nobody can be told.
+                # The output is closed, so that the error cannot be reported either.
                 self.pending_lines.clear()
                 return
             line = self.pending_lines.popleft()
--- a/src/reedhook/host_directory.py
+++ b/src/reedhook/host_directory.py
@@ -1,4 +1,4 @@
-"""Which hosts there are, as routing asks for them."""
+"""Interface through which routing finds the hosts of a target."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 
 
 class HostDirectory(ABC):
-    """Tell the home and the standbys of each target.
+    """Map each target to its home and its standby hosts.
 
     The home of a target is the first live host of the target's own
-    availability zone by rendezvous hashing; the next in rank stands by. A
-    zone without live hosts is served from the other zones.
+    availability zone by rendezvous hashing; the next in rank is its standby.
+    Targets of a zone without live hosts have their homes in other zones.
     """
 
     @property
@@ -21,11 +21,11 @@
 
     @abstractmethod
     def ranked(self, member: str, zone: str) -> list[HostRef]:
-        """Return the live hosts for the target `member` in `zone`, best first."""
+        """Return the live hosts for the target `member` in `zone`, by rank."""
 
     @abstractmethod
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call `callback` after each change of the view."""
+        """Call `callback` after each change of the live hosts."""
 
     def home(self, member: str, zone: str) -> HostRef | None:
         """Return the home of the target, or None if no host is live."""
--- a/src/reedhook/metrics.py
+++ b/src/reedhook/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics behind an interface: statsd in the daemon, memory in tests."""
+"""Interface for metrics, and an implementation that keeps them in memory."""
 
 from abc import ABC, abstractmethod
 from collections import Counter
 
 
 class Metrics(ABC):
-    """Count and time what happens."""
+    """Record counters, durations and gauges."""
 
     @abstractmethod
     def increment(self, name: str, by: int = 1) -> None:
@@ -13,15 +13,15 @@
 
     @abstractmethod
     def timing(self, name: str, seconds: float) -> None:
-        """Record a duration."""
+        """Record a duration for the timer `name`."""
 
     @abstractmethod
     def gauge(self, name: str, value: float) -> None:
-        """Record a current value."""
+        """Set the gauge `name` to `value`."""
 
 
 class MemoryMetrics(Metrics):
-    """Keep counters in memory; the admin interface and tests read them."""
+    """Keep metrics in memory for the administration API and for tests."""
 
     __slots__ = ("counters", "gauges")
 
--- a/src/reedhook/peer.py
+++ b/src/reedhook/peer.py
@@ -1,4 +1,4 @@
-"""Calls between hosts of the system, behind an interface that tests replace."""
+"""Interface for calls between hosts, replaced in tests."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 
 class HostRef(Record):
-    """Name a host of the system and where other hosts reach it.
+    """Identify a host and the address of its peer interface.
 
     :param host: the host's id.
     :param zone: its availability zone.
@@ -26,17 +26,17 @@
         self.address = address
 
     def to_json(self) -> list[str]:
-        """Return the reference as it stands on the wire."""
+        """Return the reference as JSON."""
         return [self.host, self.zone, self.address]
 
     @classmethod
     def from_json(cls, value: list[str]) -> "HostRef":
-        """Read a reference from the wire."""
+        """Parse a reference from JSON."""
         return cls(*value)
 
 
 class PeerError(Exception):
-    """Say that a peer gave no answer.
+    """Report that a peer did not answer.
 
     :param sent: whether the request may have reached the peer.
     """
@@ -47,7 +47,7 @@
 
 
 class PeerClient(ABC):
-    """Call other hosts."""
+    """Send requests to other hosts."""
 
     @abstractmethod
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
@@ -55,8 +55,8 @@
 
         :param path: one word, such as ``heartbeat``.
         :param timeout: in seconds.
-        :raises PeerError: if no answer came.
-        :raises Refusal: if the peer's handler raised one.
+        :raises PeerError: if the peer did not answer.
+        :raises RefusalError: if the peer's handler raised it.
         """
 
     @abstractmethod
@@ -67,7 +67,7 @@
 class PeerRoutes:
     """Map paths to the handlers of this host.
 
-    A handler may raise `Refusal`, which reaches the calling host as such.
+    A `RefusalError` of a handler is raised again at the calling host.
     """
 
     __slots__ = ("handlers",)
--- a/src/reedhook/platform/__init__.py
+++ b/src/reedhook/platform/__init__.py
@@ -1,1 +1,1 @@
-"""How the users' platform speaks: names, formats and calls, and no decisions."""
+"""Adapters to the platform: its names, formats and calls, but no decisions."""
--- a/src/reedhook/platform/assembly.py
+++ b/src/reedhook/platform/assembly.py
@@ -1,4 +1,4 @@
-"""Put a host together with its adapters to the platform."""
+"""Assembly of a host with its adapters to the platform."""
 
 import os
 from pathlib import Path
@@ -27,24 +27,23 @@
 from .store import PlatformStore
 
 PEER_CREDENTIAL: Final = "reedhook"
-"""Keeps calls that are none of ours out of the ports of the system; the platform
-hands out no secret."""
-
+"""Rejects stray connections to the peer ports. It is not a secret: the platform
+provides none."""
 
 PROBE_MAX_BODY_BYTES: Final = 1024
-"""Bytes of a question's body; it has none."""
+"""Limit of a probe's body, which is usually empty."""
 
 PROBE_KEEPALIVE_SECONDS: Final = 75.0
-"""Seconds after which an unused connection of the platform is closed."""
+"""Time after which an idle probe connection is closed."""
 
 PROBE_SHUTDOWN_GRACE_SECONDS: Final = 1.0
-"""Seconds for which its connections are left open at the end."""
+"""Time for which probe connections stay open while the process stops."""
 
 log = logbook.Logger("daemon")
 
 
 class PlatformProcess(SessionProcess):
-    """Run a host on the platform, and follow its settings file."""
+    """Run a host on the platform and reload its settings file when it changes."""
 
     def __init__(
         self,
@@ -87,9 +86,9 @@
         )
 
     def reload(self) -> None:
-        """Read the settings file again and go on with what has changed.
+        """Reload the settings file and apply it.
 
-        A file that is wrong is reported and changes nothing.
+        An invalid file is logged and changes nothing.
         """
         decisions = self.host.decisions
         try:
@@ -106,17 +105,17 @@
 
 
 def modification_time(path: Path) -> float:
-    """Return when a settings file last changed."""
+    """Return the modification time of a settings file, 0.0 if it is unknown."""
     try:
         return os.stat(path).st_mtime
     except OSError as error:
-        # It may be written anew just now; the next look tells.
-        log.warn("The settings file cannot be looked at: {}.", error)
+        # The file may be being replaced; the next check reads it again.
+        log.warn("Cannot get the modification time of the settings file: {}.", error)
         return 0.0
 
 
 def probe_server(name: str, probe: ProbeHandler, address: str) -> PlainServer:
-    """Return a server of what the platform asks this process."""
+    """Return a server for readiness probes and metrics scrapes."""
     return PlainServer(
         name,
         probe.answer,
@@ -128,10 +127,10 @@
 
 
 def create_process(path: Path) -> PlatformProcess:
-    """Return the process of a host with the settings of a file.
+    """Return the process of a host with the settings in `path`.
 
-    :raises OSError: if it cannot be read.
-    :raises SettingsFault: if the settings are wrong.
+    :raises OSError: if the file cannot be read.
+    :raises SettingsError: if the settings are invalid.
     """
     known = modification_time(path)
     settings = settings_file.load(path)
--- a/src/reedhook/platform/caller_listener.py
+++ b/src/reedhook/platform/caller_listener.py
@@ -1,4 +1,4 @@
-"""The callers' end of the platform's wire."""
+"""Server of the platform's line protocol for callers."""
 
 import asyncio
 from collections import deque
@@ -15,15 +15,14 @@
 from .line import ENCODING, LineError, LineReader, encode_line
 
 MAX_QUEUED_STATEMENTS: Final = 32
-"""Statements that may wait in a session before its connection is read on; a
-caller waits for its answers, so that more are a mistake of its."""
+"""Pipelined lines of a session beyond which reading from its connection pauses."""
 
 BACKLOG: Final = 512
-"""New connections that may wait to be accepted, such as after a restart."""
+"""Connections that may wait to be accepted, such as after a restart."""
 
 IDLE_GRACE_SECONDS: Final = 0.03
-"""Seconds of rest before a session is closed as the host ends: a statement that
-was sent just then is likely to have arrived."""
+"""Idle time before a draining host closes a session, so that a statement already
+in transit arrives first."""
 
 IN_DOUBT_CODE: Final = "INDOUBT"
 NOT_RUN_CODE: Final = "BUSY"
@@ -41,7 +40,7 @@
 
 
 class CallerProtocol(asyncio.Protocol, CallerConnection):
-    """Serve one caller, one statement after the other."""
+    """Serve one caller and run its statements one at a time."""
 
     def __init__(self, callers: CallerSessions) -> None:
         self.callers = callers
@@ -56,14 +55,14 @@
         self.idle_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve; called by the loop."""
+        """Start serving; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         self.callers.connections.add(self)
         self.idle_since = self.callers.clock.monotonic()
         self.task = asyncio.get_running_loop().create_task(self.serve())
 
     def data_received(self, data: bytes) -> None:
-        """Cut what arrives into lines; called by the loop."""
+        """Split received bytes into lines; called by the event loop."""
         if self.ended:
             return
         try:
@@ -76,13 +75,13 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """End the session as the caller does; called by the loop."""
+        """End the session after the caller has ended; called by the event loop."""
         self.ended = True
         self.input_event.set()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the caller; called by the loop."""
+        """Remove the connection; called by the event loop."""
         self.ended = True
         self.callers.connections.discard(self)
         self.input_event.set()
@@ -90,7 +89,7 @@
             self.session.close()
 
     async def serve(self) -> None:
-        """Open the session and answer its statements in their order."""
+        """Open the session and answer its statements in order."""
         try:
             async with asyncio.timeout(self.callers.announcements.table.start_timeout):
                 line = await self.next_line()
@@ -104,7 +103,7 @@
         self.close()
 
     async def next_line(self) -> str | None:
-        """Return the next line, or None once the caller has ended."""
+        """Return the next line, or None after the caller has disconnected."""
         while not self.lines:
             if self.ended:
                 return None
@@ -115,9 +114,9 @@
         return self.lines.popleft()
 
     async def start(self, line: str) -> bool:
-        """Open the session that the first line asks for; say whether it is.
+        """Open the session that the first line requests; return whether it is open.
 
-        The key stands behind the database; it goes no further than to its digest.
+        The key follows the database name; only its digest is kept.
         """
         fields = line.split(" ", 2)
         if fields[0] != "START" or len(fields) < 2 or not fields[1]:
@@ -159,11 +158,11 @@
             self.mark_idle()
 
     def mark_idle(self) -> None:
-        """Note that nothing is owed now; a host that ends says good-bye."""
+        """Record the time since which no statement is in progress."""
         self.idle_since = self.callers.clock.monotonic()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the caller is gone."""
+        """Send bytes, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -189,7 +188,7 @@
 
 
 class CallerListener:
-    """Listen for callers.
+    """Accept connections of callers.
 
     :param address: ``IP:port``; port 0 takes a free one.
     """
@@ -200,9 +199,9 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen.
+        """Bind the address and accept connections.
 
-        :raises OSError: if the address cannot be had.
+        :raises OSError: if the address cannot be bound.
         """
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
@@ -213,18 +212,18 @@
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting connections."""
         if self.server is not None:
             self.server.close()
 
 
 def read_key(field: str) -> str:
-    """Return a key as configurations state it; bytes that are no text stay apart."""
+    """Decode a key from UTF-8, as in configurations; keep invalid bytes distinct."""
     return field.encode(ENCODING).decode("utf-8", "surrogateescape")
 
 
 def encode_reply(reply: SessionReply) -> bytes:
-    """Return the bytes of an answer."""
+    """Return the lines of a reply."""
     state = encode_line(
         "READY", text.STATE_LETTERS[reply.state], text.write_position(reply.position)
     )
@@ -237,7 +236,7 @@
 
 
 def refusal_fields(refusal: RefusalError) -> tuple[str, str]:
-    """Return the code of a refusal, and its text with when to come back."""
+    """Return the code of a refusal, and its detail with the retry delay."""
     detail = refusal.detail
     if refusal.retry_after_ms is not None:
         detail = f"retry_after_ms={refusal.retry_after_ms} {detail}"
--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -1,4 +1,4 @@
-"""Values that the operators and the targets keep in the platform's store."""
+"""Parsers of the configuration and the target announcements in the platform's store."""
 
 from typing import Any, Final
 
@@ -48,16 +48,16 @@
 WORKSPACES_FIELD: Final = "tenants"
 API_KEYS_FIELD: Final = "api_keys"
 KEY_DIGESTS_FIELD: Final = "key_digests"
-"""Stands in place of the keys wherever the system keeps a configuration."""
+"""Replaces the keys in every copy of a configuration that the system keeps."""
 
 
 @wraps_decode_errors
 def read_table(value: bytes) -> RouteTable:
-    """Read the operators' configuration.
+    """Parse the operators' configuration.
 
-    A route's `host` is the name of a database, not of a machine.
+    The `host` of a route is the name of a database, not of a machine.
 
-    :raises WireError: if it has another form.
+    :raises WireError: if the configuration is malformed.
     """
     message = decode(value)
     limits = message.get("limits", {})
@@ -75,7 +75,7 @@
 
 
 def read_route(message: Any, keys_required: bool) -> Route | None:
-    """Read a route; one of a kind that is not known here serves nobody.
+    """Parse a route; return None if its kind is unknown.
 
     :param keys_required: whether callers need a key unless the route is public.
     """
@@ -96,13 +96,13 @@
 
 
 def read_service_limits(message: Any) -> ServiceLimits:
-    """Read what the targets of a service bear."""
+    """Parse the limits of the targets of a service."""
     connections = message.get("connection_limit", DEFAULT_CONNECTIONS)
     return ServiceLimits(message["name"], int(connections))
 
 
 def read_workspaces(message: Any) -> list[Workspace]:
-    """Read all workspaces that can be read; the others have no callers."""
+    """Parse the workspaces and skip malformed ones, whose keys are not accepted."""
     if not isinstance(message, list):
         return []
     found = [read_workspace(one) for one in message]
@@ -110,9 +110,9 @@
 
 
 def read_workspace(message: Any) -> Workspace | None:
-    """Read a workspace; None for one without a name that targets could be told.
+    """Parse a workspace; return None if its name cannot be sent to targets.
 
-    Nothing of what is wrong is repeated in an error: it may be a key.
+    Errors do not quote the input, which may be a key.
     """
     if not isinstance(message, dict):
         return None
@@ -132,7 +132,7 @@
 
 
 def read_digests(message: Json) -> frozenset[str]:
-    """Return the digests of the keys of a workspace, however they are stated."""
+    """Return the digests of a workspace's keys, given as digests or as keys."""
     digests = message.get(KEY_DIGESTS_FIELD)
     if isinstance(digests, list):
         return frozenset(one for one in digests if isinstance(one, str))
@@ -143,13 +143,13 @@
 
 
 def is_valid_key(key: object) -> bool:
-    """Say whether callers can present it as a key."""
+    """Return whether callers can present `key`."""
     return isinstance(key, str) and 0 < len(key) <= MAX_KEY_CHARACTERS
 
 
 @wraps_decode_errors
 def replace_keys_by_digests(value: bytes) -> bytes:
-    """Return a configuration with the digests of keys in their place.
+    """Return a configuration with the keys replaced by their digests.
 
     :raises WireError: if it is not a JSON object.
     """
@@ -165,15 +165,14 @@
 
 @wraps_decode_errors
 def read_target(key: str, value: bytes) -> TargetAnnouncement:
-    """Read what a target announces; its id is in the key only.
+    """Parse the announcement of a target; its id is only in the key.
 
-    Others may write there, so each field is looked at. `born` is unknown where
-    the platform does not state it.
+    Every field is validated, as other programs may write to the store.
 
-    :raises WireError: if it has another form.
+    :raises WireError: if the key or a field is invalid.
     """
     if not key.startswith(TARGET_PREFIX):
-        raise WireError(f"{key} names no target")
+        raise WireError(f"{key} is not the key of a target")
     message = decode(value)
     split_address(string_field(message, "address"))
     return TargetAnnouncement(
@@ -190,38 +189,38 @@
 
 
 def read_start_time(message: Json) -> int:
-    """Return when the process of a target started; 0 if that is not stated."""
+    """Return the start time of a target's process; 0 if it is not given."""
     return non_negative_int_field(message, "born") if "born" in message else 0
 
 
 def read_slots(message: Json) -> int:
-    """Return how many statements a target runs at a time.
+    """Return the number of statements that a target runs concurrently.
 
-    :raises WireError: if it runs none.
+    :raises WireError: if it is 0.
     """
     slots = non_negative_int_field(message, "slots")
     if not slots:
-        raise WireError("a target has at least one slot")
+        raise WireError("slots must be at least 1")
     return slots
 
 
 def check_name(field: str) -> str:
-    """Return a name that can stand on a line of the wire.
+    """Return `field` if it is valid as a field of a protocol line.
 
-    :raises WireError: if it is empty, or would end there as another field.
+    :raises WireError: if it is empty or holds a space or an unprintable character.
     """
     if not is_valid_name(field):
-        raise WireError("a name of printable characters without blanks is expected")
+        raise WireError("expected a name of printable ASCII characters without spaces")
     return field
 
 
 def is_valid_name(field: str) -> bool:
-    """Say whether a name can stand on a line of the wire."""
+    """Return whether a name is valid as a field of a protocol line."""
     return field.isascii() and field.isprintable() and " " not in field and bool(field)
 
 
 class PlatformDocuments(StoreValueParser):
-    """Read the values under the platform's keys."""
+    """Parse the values that the platform's store holds."""
 
     def is_table(self, key: str) -> bool:
         return key == CONFIGURATION_KEY
--- a/src/reedhook/platform/driver.py
+++ b/src/reedhook/platform/driver.py
@@ -1,4 +1,4 @@
-"""Connections to targets that speak the platform's wire."""
+"""Connections to targets over the platform's line protocol."""
 
 import asyncio
 from typing import Final, cast
@@ -31,7 +31,7 @@
 
 
 class WireConnection(asyncio.Protocol, SessionTargetConnection):
-    """Speak to one target, several queries in one go."""
+    """Exchange pipelined queries and replies with one target."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -45,35 +45,35 @@
         self.reset_reply()
 
     def reset_reply(self) -> None:
-        """Forget what was received of the reply in progress."""
+        """Discard the partial reply."""
         self.rows: list[str] = []
         self.signature = ""
         self.code = ""
         self.detail = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; called by the loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read replies; called by the loop."""
+        """Parse replies; called by the event loop."""
         try:
             for line in self.reader.feed(data):
                 self.parse_line(line)
         except (LineError, ValueError):
-            # An answer that cannot be read leaves the exchange in doubt; the
-            # waiting exchange reports it.
+            # The outcome is unknown after a malformed reply; closing makes the
+            # pending exchange raise.
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Let the exchange in progress fail; called by the loop."""
+        """Fail the pending exchange; called by the event loop."""
         self.closed = True
         self.wake()
 
     def parse_line(self, line: str) -> None:
-        """Take one line over into the reply in progress.
+        """Add one line to the current reply.
 
-        :raises ValueError: if it has no known form.
+        :raises ValueError: if the line is malformed.
         """
         word, _, rest = line.partition(" ")
         if word == "ROW":
@@ -91,7 +91,7 @@
             raise ValueError(f"unknown word {word!r}")
 
     def complete_reply(self, state: SessionState, position: Position | None) -> None:
-        """Complete the reply in progress."""
+        """Append the current reply, and wake the exchange after the last one."""
         fault = StatementFault.NONE
         if self.code:
             fault = text.FAULTS.get(self.code, StatementFault.FAILED)
@@ -105,7 +105,7 @@
             self.wake()
 
     def wake(self) -> None:
-        """Let who waits for replies look at them."""
+        """Wake the pending exchange."""
         if self.exchange_done is not None and not self.exchange_done.done():
             self.exchange_done.set_result(None)
 
@@ -121,9 +121,9 @@
     async def send(
         self, data: bytes, count: int, timeout: float
     ) -> list[SessionTargetReply]:
-        """Send bytes and return `count` replies; raises as `exchange`."""
+        """Send bytes and return `count` replies; raises the errors of `exchange`."""
         if self.closed or self.transport is None:
-            raise SessionTargetNoReplyError("the connection has ended")
+            raise SessionTargetNoReplyError("the connection is closed")
         self.replies = []
         self.expected_replies = count
         self.exchange_done = asyncio.get_running_loop().create_future()
@@ -133,19 +133,23 @@
                 await self.exchange_done
         except TimeoutError:
             self.close()
-            raise SessionTargetNoReplyError("no answer in time") from None
+            raise SessionTargetNoReplyError("timed out waiting for a reply") from None
         except asyncio.CancelledError:
             self.close()
             raise
         if len(self.replies) < count:
             self.close()
-            raise SessionTargetNoReplyError("the connection broke")
+            raise SessionTargetNoReplyError(
+                "the connection closed before the reply was complete"
+            )
         return self.replies
 
     async def status(self, timeout: float) -> SessionTargetStatus:
         (reply,) = await self.exchange([TargetQuery("", text.STATUS)], timeout)
         if reply.fault is not StatementFault.NONE or not reply.rows:
-            raise SessionTargetNoReplyError(f"no status: {reply.fault.value}")
+            raise SessionTargetNoReplyError(
+                f"the status query failed: {reply.fault.value}"
+            )
         return read_status(reply.rows[0])
 
     def close(self) -> None:
@@ -160,7 +164,7 @@
 class WireDriver(SessionTargetDriver):
     """Open connections over TCP.
 
-    :param host: this host, whose name targets are told where there is no workspace.
+    :param host: this host's id, sent to targets as the caller if there is no workspace.
     """
 
     def __init__(self, host: str) -> None:
@@ -181,7 +185,7 @@
                 connection.initial_position = opened.position
         except (TimeoutError, OSError, SessionTargetNoReplyError) as error:
             connection.close()
-            # A refusal of the start is an error without a state, then a close.
+            # A target refuses START with an ERROR line without READY, then closes.
             kind = REFUSAL_ERRORS.get(connection.code, SessionTargetUnreachableError)
             raise kind(f"{entry.target}: {connection.code or error}") from error
         except asyncio.CancelledError:
@@ -195,7 +199,7 @@
 
 
 class WirePhrases(StatementDialect):
-    """Word statements for the wire."""
+    """Format statements for the line protocol."""
 
     def begin(self, read_only: bool) -> str:
         return text.BEGIN_READ if read_only else text.BEGIN
@@ -214,16 +218,16 @@
 
 
 def query_text(query: TargetQuery) -> str:
-    """Return the text of a query with what its position demands."""
+    """Return the text of a query, prefixed with its minimum position if it has one."""
     if query.min_position is None:
         return query.text
     return text.after(query.min_position, query.text)
 
 
 def read_status(row: str) -> SessionTargetStatus:
-    """Read the row: role, term, received, term held, lag, busy, connections.
+    """Parse a row of role, term, received, term held, lag, busy, connections.
 
-    :raises MemberSilent: if it has another form.
+    :raises SessionTargetNoReplyError: if the row is malformed.
     """
     fields = row.split(" ")
     try:
@@ -232,4 +236,4 @@
         position = text.read_position(received) or ORIGIN
         return SessionTargetStatus(role == "primary", int(term), position, connections)
     except (LookupError, ValueError) as error:
-        raise SessionTargetNoReplyError(f"a status of unknown form: {row!r}") from error
+        raise SessionTargetNoReplyError(f"malformed status: {row!r}") from error
--- a/src/reedhook/platform/line.py
+++ b/src/reedhook/platform/line.py
@@ -1,4 +1,4 @@
-"""Lines of the wire that callers and targets speak, split and joined."""
+"""Encoding and decoding of the lines of the platform's protocol."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -6,22 +6,22 @@
 LINE_END: Final = b"\r\n"
 
 MAX_LINE_BYTES: Final = 1 << 20
-"""Bytes of the longest message; stated by the protocol."""
+"""Limit of the protocol."""
 
 ENCODING: Final = "latin-1"
-"""Maps each byte to one character and back, so that no text is changed."""
+"""Maps each byte to one character, so that any bytes survive a round trip."""
 
 FORBIDDEN: Final = (b"\r", b"\n", b"\0")
 
 
 class LineError(ValueError):
-    """Say that the bytes received are no line of the wire."""
+    """Report a malformed line."""
 
 
 class LineReader:
-    """Cut a stream of bytes into lines.
+    """Split a stream of bytes into lines.
 
-    :ivar rest: bytes of the line that is not complete yet.
+    :ivar rest: bytes of the incomplete line.
     """
 
     __slots__ = ("rest",)
@@ -30,10 +30,10 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> Iterator[str]:
-        """Iterate over the lines that `data` completes, without their ends.
+        """Yield the lines that `data` completes, without their terminators.
 
-        :raises LineError: for a line that is too long or holds a control
-            character that could pass for the end of a line.
+        :raises LineError: if a line is too long or holds a CR, LF or NUL, which
+            another parser could take for the end of the line.
         """
         data = self.rest + data if self.rest else data
         start = 0
@@ -48,18 +48,18 @@
 
 
 def decode_line(line: bytes) -> str:
-    """Return the text of a line.
+    """Decode a line.
 
-    :raises LineError: as `LineReader.feed`.
+    :raises LineError: if it is too long or holds a CR, LF or NUL.
     """
     if len(line) > MAX_LINE_BYTES:
         raise LineError("the line is too long")
-    for one in FORBIDDEN:
-        if one in line:
+    for character in FORBIDDEN:
+        if character in line:
             raise LineError("the line holds a control character")
     return line.decode(ENCODING)
 
 
 def encode_line(*fields: str) -> bytes:
-    """Return the line of a word and its fields."""
+    """Join a word and its fields into a line."""
     return " ".join(fields).encode(ENCODING) + LINE_END
--- a/src/reedhook/platform/probe.py
+++ b/src/reedhook/platform/probe.py
@@ -1,4 +1,4 @@
-"""The addresses at which the platform asks for readiness and metrics."""
+"""HTTP endpoints of the platform's readiness probes and metrics scrapes."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,9 +14,9 @@
 
 
 class ProbeHandler:
-    """Answer the platform's questions about this process.
+    """Answer readiness probes and metrics scrapes.
 
-    :param ready: says whether callers may be sent here.
+    :param ready: returns whether this host accepts callers.
     :param metrics: returns the metrics as text.
     """
 
@@ -25,7 +25,7 @@
         self.metrics = metrics
 
     async def answer(self, request: PlainRequest) -> PlainResponse:
-        """Answer one request."""
+        """Return the response to a request."""
         if request.path == READY:
             return PlainResponse(OK if self.ready() else UNREADY)
         if request.path == METRICS:
--- a/src/reedhook/platform/promoter.py
+++ b/src/reedhook/platform/promoter.py
@@ -1,4 +1,4 @@
-"""The platform's call that promotes a target."""
+"""Client of the platform's promotion call."""
 
 from typing import Final
 
@@ -24,14 +24,14 @@
         self.address = address
 
     def change_address(self, address: str) -> None:
-        """Go on at another address."""
+        """Send further orders to another address."""
         self.address = address
 
     async def promote(
         self, service: str, target: str, holder: str, token: int, timeout: float
     ) -> OrderOutcome:
-        # Orders are rare and must not meet a connection that went silent, so
-        # that each has one of its own.
+        # Promotions are rare, so a pooled connection could be dead by then; each
+        # order opens a new one.
         headers = {
             HOLDER_HEADER: holder,
             FENCING_TOKEN_HEADER: str(token),
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: lines ``a.b=value``, lists joined by commas."""
+"""Parser of the platform's settings file: lines ``a.b=value``, lists with commas."""
 
 import os
 from pathlib import Path
@@ -9,26 +9,25 @@
 from ..process.session_host_settings import SessionHostSettings
 
 SETTINGS_VARIABLE: Final = "REEDHOOK_SETTINGS"
-"""Environment variable with the path of the file."""
+"""Environment variable that holds the path of the file."""
 
 COMMENT: Final = "#"
 MS_PER_SECOND: Final = 1000.0
 
 DEFAULT_CORES: Final = 1.0
 DEFAULT_LINK_MBPS: Final = 1000.0
-"""Cores, and Mbit/s, of a machine whose limits the file does not state. A core is
-a share of the machine's time: `cpu_share` says how much of each of `cores`."""
+"""Used if the file does not state the machine's limits."""
 
 
 class SettingsError(ValueError):
-    """Say what is wrong in which line of a settings file."""
+    """Report an invalid settings file, with the line if there is one."""
 
 
 def settings_path(named: str | None) -> Path:
     """Return the path of the settings file.
 
-    :param named: on the command line, or None.
-    :raises SettingsFault: if nobody names one.
+    :param named: the path given on the command line, or None.
+    :raises SettingsError: if neither the command line nor the environment has one.
     """
     path = named or os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -37,7 +36,7 @@
 
 
 class SettingsLine:
-    """Keep a value with the number of its line."""
+    """Hold a value and its line number."""
 
     __slots__ = ("number", "value")
 
@@ -47,18 +46,18 @@
 
 
 def load(path: Path) -> SessionHostSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :raises OSError: if it cannot be read.
-    :raises SettingsFault: if a field that is needed is missing or wrong.
+    :raises SettingsError: if a required field is missing or a field is invalid.
     """
     return read(path.read_text(encoding="utf-8"))
 
 
 def read(text: str) -> SessionHostSettings:
-    """Read settings; fields that are not known here are ignored.
+    """Parse settings; unknown fields are ignored.
 
-    :raises SettingsFault: as `load`.
+    :raises SettingsError: if a required field is missing or a field is invalid.
     """
     fields = parse_fields(text)
     ip = required(fields, "ip")
@@ -82,7 +81,7 @@
 
 
 def rates(fields: dict[str, SettingsLine]) -> RateTolerance:
-    """Return how strictly the rates of workspaces are held."""
+    """Return the tolerance of the workspaces' rate limits."""
     return RateTolerance(
         optional(fields, "bounds.quota_window_s", DEFAULT_TOLERANCE.window),
         optional(fields, "bounds.quota_overshoot", DEFAULT_TOLERANCE.overshoot),
@@ -91,7 +90,7 @@
 
 
 def revoke_seconds(fields: dict[str, SettingsLine]) -> float | None:
-    """Return the seconds in which a key is taken away everywhere, if that is strict."""
+    """Return the time limit for revoking a key in seconds; None if not strict."""
     strict = fields.get("bounds.strict_revoke")
     if strict is None or strict.value != "true":
         return None
@@ -99,25 +98,25 @@
 
 
 def parse_fields(text: str) -> dict[str, SettingsLine]:
-    """Return the fields of a file.
+    """Parse the lines of a file into fields.
 
-    :raises SettingsFault: for a line without a value.
+    :raises SettingsError: if a line has no ``=``.
     """
     fields = {}
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith(COMMENT):
             continue
         name, separator, value = line.partition("=")
         if not separator:
-            raise SettingsError(f"line {number}: expected name=value")
-        fields[name.strip()] = SettingsLine(number, value.strip())
+            raise SettingsError(f"line {line_number}: expected name=value")
+        fields[name.strip()] = SettingsLine(line_number, value.strip())
     return fields
 
 
 def required(fields: dict[str, SettingsLine], name: str) -> str:
-    """Return a value.
+    """Return the value of a required field.
 
-    :raises SettingsFault: if it is missing or empty.
+    :raises SettingsError: if it is missing or empty.
     """
     line = fields.get(name)
     if line is None:
@@ -128,40 +127,48 @@
 
 
 def address(fields: dict[str, SettingsLine], name: str) -> str:
-    """Return an ``IP:port``; raises as `required`."""
+    """Return a required field that holds an ``IP:port``.
+
+    :raises SettingsError: if it is missing or invalid.
+    """
     value = required(fields, name)
     try:
         split_address(value)
     except ValueError as error:
-        number = fields[name].number
-        raise SettingsError(f"line {number}: {name}: {error}") from None
+        line_number = fields[name].number
+        raise SettingsError(f"line {line_number}: {name}: {error}") from None
     return value
 
 
 def number(fields: dict[str, SettingsLine], name: str) -> float:
-    """Return a number above 0; raises as `required`."""
+    """Return a required field that holds a positive number.
+
+    :raises SettingsError: if it is missing or invalid.
+    """
     value = required(fields, name)
     try:
         found = float(value)
     except ValueError:
         found = 0.0
     if found <= 0.0:
-        line = fields[name].number
-        raise SettingsError(f"line {line}: {name} is to be a number above 0")
+        line_number = fields[name].number
+        raise SettingsError(f"line {line_number}: {name} must be a number above 0")
     return found
 
 
 def optional(fields: dict[str, SettingsLine], name: str, default: float) -> float:
-    """Return a number above 0, or `default` for a field that is not there."""
+    """Return a field that holds a positive number, or `default` if it is missing."""
     return number(fields, name) if name in fields else default
 
 
 def ports(fields: dict[str, SettingsLine]) -> tuple[int, int]:
-    """Return the first and the last port for the system's own use."""
+    """Return the first and the last of the ports for internal use."""
     name = "internal_ports"
     value = required(fields, name)
     first, _, last = value.partition(",")
     if not (first.isdigit() and last.isdigit()) or int(first) >= int(last):
-        line = fields[name].number
-        raise SettingsError(f"line {line}: {name} is to be two ports in order")
+        line_number = fields[name].number
+        raise SettingsError(
+            f"line {line_number}: {name} must be two ports in ascending order"
+        )
     return int(first), int(last)
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP with JSON."""
+"""Client of the platform's key-value store over HTTP with JSON."""
 
 from base64 import b64decode, b64encode
 from typing import Any, Final
@@ -41,20 +41,19 @@
 MILLISECONDS: Final = 1000
 
 MAX_SILENCE_SECONDS: Final = 1.0
-"""Seconds of silence after which an answer that has begun to arrive is given up; a
-configuration of 250 KB takes 2.7 s over a link of 1 Mbit/s, and begun anew it would
-cross the same link twice."""
+"""Time without progress after which a partly received response is abandoned, so that
+a large response over a slow link may take longer than the timeout."""
 
 
 class PlatformStore(KeyValueStore):
-    """Reach the store at `address` (``IP:port``)."""
+    """Call the store at `address` (``IP:port``)."""
 
     def __init__(self, address: str, clock: Clock) -> None:
         self.clock = clock
         self.link = ChannelPool(address, JSON_HEADERS)
 
     def change_address(self, address: str) -> None:
-        """Go on at another address."""
+        """Send further requests to another address."""
         if address != self.link.address:
             self.link.retire()
             self.link = ChannelPool(address, JSON_HEADERS)
@@ -68,18 +67,18 @@
     async def list(self, prefix: str, timeout: float) -> Items:
         items: list[Item] = []
         query = {"prefix": prefix}
-        at = None
-        arrival = 0.0
+        first_revision = None
+        transfer_seconds = 0.0
         while True:
             answer = await self.request("GET", RANGE, query, None, timeout)
             page = read_items(answer, "items")
-            at = page.revision if at is None else at
+            first_revision = page.revision if first_revision is None else first_revision
             items += page.items
-            arrival += page.transfer_seconds
+            transfer_seconds += page.transfer_seconds
             if not answer.message.get("truncated") or not page.items:
-                # Pages are no snapshot: what changed since the first is in
-                # the changes after its revision.
-                return Items(items, at, arrival)
+                # Pages are not a snapshot: a watch from the revision of the first
+                # page returns what changed while the others were read.
+                return Items(items, first_revision, transfer_seconds)
             query = {"prefix": prefix, "after": page.items[-1].key}
 
     async def changes(
@@ -93,7 +92,9 @@
         timeout = hold + margin
         answer = await self.request("GET", WATCH, query, None, timeout)
         if answer.status == GONE:
-            raise HistoryCompactedError(f"changes after {after} are gone")
+            raise HistoryCompactedError(
+                f"the history after revision {after} was compacted"
+            )
         return read_items(answer, "events")
 
     async def put(
@@ -145,9 +146,9 @@
         body: Json | None,
         timeout: float,
     ) -> "StoreAnswer":
-        """Send one call; it is never repeated here.
+        """Send one request without retrying it.
 
-        :raises Unanswered: if no whole answer came.
+        :raises StoreUnansweredError: if no complete response arrived.
         """
         raw = b"" if body is None else encode(body)
         if query:
@@ -162,16 +163,16 @@
                 progress_timeout=MAX_SILENCE_SECONDS,
             )
         except (ChannelClosedError, ResponseIncompleteError) as error:
-            # What lost track of one connection may have lost them all.
+            # The other pooled connections may be broken as well.
             self.link.drop_idle()
             raise StoreUnansweredError(f"no answer to {path}: {error}") from error
         return StoreAnswer(answer.status, read_body(answer), answer.transfer_seconds)
 
 
 class StoreAnswer(Record):
-    """Carry the answer of the store to one call.
+    """Hold the store's response to a request.
 
-    :param arrival: seconds from its first byte to the last.
+    :param arrival: seconds from the first byte to the last.
     """
 
     __slots__ = ("status", "message", "arrival")
@@ -183,7 +184,7 @@
 
 
 def read_body(answer: ChannelResponse) -> Json:
-    """Return the message of an answer; one that cannot be read tells nothing."""
+    """Return the message of a response, or the parse error in ``error``."""
     if not answer.body.strip():
         return {}
     try:
@@ -193,32 +194,32 @@
 
 
 def require_ok(answer: StoreAnswer) -> Json:
-    """Return the message of a call that was done.
+    """Return the message of a successful response.
 
-    :raises Declined: otherwise.
+    :raises StoreRejectedError: if the status is not 200.
     """
     if answer.status != OK:
-        raise StoreRejectedError(f"the store answers {answer.status}")
+        raise StoreRejectedError(f"the store responded with status {answer.status}")
     return answer.message
 
 
 def read_items(answer: StoreAnswer, name: str) -> Items:
-    """Read a list of items and the revision at which they stood.
+    """Parse a list of items and its revision.
 
-    :raises Declined: if it was not done or has another form.
+    :raises StoreRejectedError: if the request failed or the response is malformed.
     """
     message = require_ok(answer)
     try:
         items = [read_item(one) for one in message[name]]
         return Items(items, int(message["at"]), answer.arrival)
     except (LookupError, TypeError, ValueError) as error:
-        raise StoreRejectedError(f"malformed answer: {error!r}") from error
+        raise StoreRejectedError(f"malformed response: {error!r}") from error
 
 
 def read_item(message: Any) -> Item:
-    """Read an item; one that was deleted has a `tombstone`.
+    """Parse an item; a deleted one has a `tombstone`.
 
-    :raises Declined: if the message has another form.
+    :raises StoreRejectedError: if the message is malformed.
     """
     try:
         value = None
--- a/src/reedhook/platform/text.py
+++ b/src/reedhook/platform/text.py
@@ -1,4 +1,4 @@
-"""Texts of statements, read into commands and written for targets."""
+"""Parsing of callers' statements and formatting of statements for targets."""
 
 from typing import Final
 
@@ -8,7 +8,7 @@
 from ..request.session_command import SessionCommand, SessionCommandKind
 
 NONE: Final = "-"
-"""Stands where there is no id, no position or no signature."""
+"""Placeholder for a missing id, position or signature."""
 
 BEGIN: Final = "BEGIN"
 BEGIN_READ: Final = "BEGIN READ"
@@ -39,7 +39,7 @@
     StatementFault.FAILED: "FAILED",
     StatementFault.TIMEOUT: "TIMEOUT",
 }
-"""Codes of targets' errors."""
+"""Error codes of the line protocol."""
 
 FAULTS: Final = {code: fault for fault, code in FAULT_CODES.items()}
 
@@ -47,10 +47,10 @@
 
 
 def read_command(text: str) -> SessionCommand:
-    """Return what `text` asks for; what is unknown is `MALFORMED`."""
-    whole = FIELDLESS_COMMANDS.get(text)
-    if whole is not None:
-        return SessionCommand(whole, text)
+    """Parse a statement; an unknown one becomes a `MALFORMED` command."""
+    kind = FIELDLESS_COMMANDS.get(text)
+    if kind is not None:
+        return SessionCommand(kind, text)
     word, _, rest = text.partition(" ")
     fields = rest.split(" ")
     if not all(fields):
@@ -59,7 +59,7 @@
 
 
 def read_fields(text: str, word: str, fields: list[str]) -> SessionCommand:
-    """Return the command of `word` with its fields."""
+    """Parse a statement that consists of `word` and `fields`."""
     count = len(fields)
     if word == "READ" and count == 1:
         return SessionCommand(SessionCommandKind.READ, text)
@@ -79,24 +79,24 @@
 
 
 def after(position: Position, text: str) -> str:
-    """Return `text` with the demand that the log holds `position`."""
+    """Return `text` with the condition that the target's log holds `position`."""
     return f"AFTER {write_position(position)} {text}"
 
 
 def deallocate(name: str) -> str:
-    """Return the text that forgets a prepared statement."""
+    """Return the statement that drops a prepared statement."""
     return f"DEALLOCATE {name}"
 
 
 def demote(term: int) -> str:
-    """Return the text that makes a primary of a lower term a replica."""
+    """Return the statement that demotes a primary of a term below `term`."""
     return f"DEMOTE {term}"
 
 
 def read_position(field: str) -> Position | None:
-    """Return the position that a field holds, or None.
+    """Parse a position; return None for the placeholder.
 
-    :raises ValueError: if it holds something else.
+    :raises ValueError: if the field is malformed.
     """
     if field == NONE:
         return None
@@ -105,5 +105,5 @@
 
 
 def write_position(position: Position | None) -> str:
-    """Return the field that holds `position`."""
+    """Format a position, or the placeholder for None."""
     return NONE if position is None else f"{position.term}.{position.index}"
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -29,9 +29,9 @@
 
 
 class Admin:
-    """Answer operators.
+    """Handle the requests of operators.
 
-    :param limit: size of a request body, in bytes.
+    :param limit: maximum size of a request body in bytes.
     """
 
     __slots__ = ("source", "fleet", "operators", "limit")
@@ -75,18 +75,18 @@
             groups = list(self.all_groups().values())
         else:
             groups = [self.group(name)]
-        places = asyncio.Semaphore(GROUPS_AT_ONCE)
-        asked = (self.group_status(group, places) for group in groups)
-        return respond(200, {"groups": await asyncio.gather(*asked)})
+        semaphore = asyncio.Semaphore(GROUPS_AT_ONCE)
+        statuses = (self.group_status(group, semaphore) for group in groups)
+        return respond(200, {"groups": await asyncio.gather(*statuses)})
 
     async def group_status(self, group: Group, places: asyncio.Semaphore) -> Json:
-        """Return what the homes of a group know of it."""
+        """Return the status of a group as its homes report it."""
         async with places:
             view = await self.source.view(group)
         return self.group_line(group, view)
 
     def group_line(self, group: Group, view: GroupView) -> Json:
-        """Return a group as it stands on the wire."""
+        """Return the JSON of a group."""
         homes: dict[str, str | None] = {}
         for member in group.members:
             home = self.source.home(member.member_id, member.zone)
@@ -112,15 +112,17 @@
         body = await self.body(request)
         host = body.get("host", self.source.me.host)
         if not isinstance(host, str) or set(body) - {"host"}:
-            raise bad_request_refusal("the body is {} or names a host as a text")
-        log.notice("{} drains {}.", request[OPERATOR], host)
+            raise bad_request_refusal(
+                "the body must be {} or hold only a host name as a string"
+            )
+        log.notice("Operator {} requested a drain of host {}.", request[OPERATOR], host)
         await self.fleet.drain(host)
         return respond(202, {"verdict": Verdict.DONE.value, "host": host})
 
     async def body(self, request: web.Request) -> Json:
-        """Return the JSON object in the body; {} if there is none.
+        """Return the JSON object in the body; {} if the body is empty.
 
-        :raises Refusal: if it is malformed, too large or late.
+        :raises RefusalError: if the body is malformed, too large or late.
         """
         raw = await read_body(request, self.limit)
         if not raw:
@@ -128,12 +130,12 @@
         try:
             return decode(raw)
         except WireError as error:
-            raise bad_request_refusal(f"the body is {error}") from error
+            raise bad_request_refusal(f"invalid body: {error}") from error
 
     def all_groups(self) -> dict[str, Group]:
         """Return the groups by name.
 
-        :raises Refusal: if no configuration is in force yet.
+        :raises RefusalError: if no configuration is in force yet.
         """
         catalog = self.source.catalog()
         if catalog is None:
@@ -143,9 +145,9 @@
         return catalog.groups
 
     def group(self, name: str) -> Group:
-        """Return a group.
+        """Return the group called `name`.
 
-        :raises Refusal: if there is none of that name.
+        :raises RefusalError: if there is no such group.
         """
         group = self.all_groups().get(name)
         if group is None:
@@ -153,13 +155,13 @@
         return group
 
     def names(self, group: str) -> frozenset[str]:
-        """Return the names of a group and its targets."""
+        """Return the names of a group and of its targets."""
         members = (member.member_id for member in self.group(group).members)
         return frozenset({group, *members})
 
 
 def admin_app(admin: Admin, routes: list[web.RouteDef]) -> web.Application:
-    """Return the application with the routes of `admin` and further ones."""
+    """Return the application with the routes of `admin` and `routes`."""
     app = web.Application(
         middlewares=[typed_errors, authentication(admin.operators)],
         client_max_size=admin.limit,
@@ -170,7 +172,7 @@
 
 
 def admin_routes(admin: Admin) -> list[web.RouteDef]:
-    """Return the routes that need no configuration editor."""
+    """Return the routes that do not need the configuration editor."""
     return [
         web.get("/admin/status", admin.status),
         web.get("/admin/metrics", admin.metrics),
@@ -183,7 +185,7 @@
 
 @web.middleware
 async def typed_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Answer with a typed refusal whatever `handler` raises."""
+    """Convert any exception of `handler` to a typed refusal."""
     try:
         return await handler(request)
     except RefusalError as refusal:
@@ -192,8 +194,8 @@
         detail = f"{request.method} {request.path}: {error.reason}"
         return respond(error.status, bad_request_refusal(detail).to_json())
     except Exception:
-        log.exception("A request of an operator failed.")
-        detail = "this host failed; its log says more"
+        log.exception("Unexpected error in a request to the administration API.")
+        detail = "internal error; see the log of this host"
         verdict = Verdict.NOT_RUN if request.method == "GET" else Verdict.MAY_HAVE_RUN
         return respond_refused(RefusalError(RefusalReason.INTERNAL, verdict, detail))
 
@@ -201,7 +203,7 @@
 def authentication(
     operators: OperatorAuthenticator,
 ) -> Callable[..., Awaitable[web.StreamResponse]]:
-    """Return a middleware that lets only operators pass."""
+    """Return a middleware that rejects requests without an operator's credential."""
 
     @web.middleware
     async def authenticate(
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -1,4 +1,4 @@
-"""The part of the administration API that edits and shows the configuration."""
+"""Configuration endpoints of the administration API."""
 
 from typing import Final
 
@@ -23,7 +23,7 @@
 
 
 class ConfigurationAdmin:
-    """Answer operators about the configuration."""
+    """Handle the requests of operators about the configuration."""
 
     __slots__ = ("admin", "editor")
 
@@ -98,7 +98,9 @@
             )
         except InvalidConfigurationError as error:
             return respond_invalid(error)
-        log.notice("{} applied version {}.", operator, head.version)
+        log.notice(
+            "Operator {} applied configuration version {}.", operator, head.version
+        )
         return respond(200, applied(head))
 
 
@@ -121,11 +123,11 @@
 def documents_of(body: Json, known: set[str]) -> ConfigurationDocuments:
     """Return the documents in a body.
 
-    :raises Refusal: if the body has another form.
+    :raises RefusalError: if the body is malformed.
     """
-    odd = ", ".join(sorted(set(body) - known))
-    if odd:
-        raise bad_request_refusal(f"unknown field: {odd}")
+    unknown = ", ".join(sorted(set(body) - known))
+    if unknown:
+        raise bad_request_refusal(f"unknown field: {unknown}")
     try:
         return ConfigurationDocuments.from_json(body)
     except WireError as error:
@@ -133,23 +135,23 @@
 
 
 def text_of(body: Json, name: str) -> str:
-    """Return a text from a body.
+    """Return a string field of a body.
 
-    :raises Refusal: if it is missing or something else.
+    :raises RefusalError: if it is missing or not a string.
     """
     value = body.get(name)
     if not isinstance(value, str):
-        raise bad_request_refusal(f"{name} must be a text")
+        raise bad_request_refusal(f"{name} must be a string")
     return value
 
 
 def applied(head: SnapshotManifest) -> Json:
-    """Return the answer to an accepted edit."""
+    """Return the response to an accepted edit."""
     return {"verdict": Verdict.DONE.value, "head": head.summary()}
 
 
 def respond_invalid(error: InvalidConfigurationError) -> web.Response:
-    """Return the response that names every fault; nothing was changed."""
+    """Return the response that lists all faults of a rejected edit."""
     count = len(error.exceptions)
     message = {
         "verdict": Verdict.NOT_RUN.value,
--- a/src/reedhook/process/administration/admin_fleet.py
+++ b/src/reedhook/process/administration/admin_fleet.py
@@ -1,4 +1,4 @@
-"""Questions that operators ask of all hosts, and this host's part of the answer."""
+"""Queries of operators to all hosts, and the handlers that answer them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -23,9 +23,9 @@
 
 
 class HostEvents(Record):
-    """Carry events of one host.
+    """Hold events of one host.
 
-    :param truncated: whether there are older ones that are wanted.
+    :param truncated: whether older matching events were left out.
     """
 
     __slots__ = ("events", "truncated")
@@ -36,7 +36,7 @@
 
 
 class FleetQueries:
-    """Ask all hosts, a bounded number at once."""
+    """Query all hosts, with a limit on concurrent requests."""
 
     __slots__ = ("source", "peers")
 
@@ -45,7 +45,7 @@
         self.peers = peers
 
     def register(self, routes: PeerRoutes) -> None:
-        """Answer the peer paths ``status``, ``events`` and ``drain``."""
+        """Register the peer paths ``status``, ``events`` and ``drain``."""
         routes.add("status", self.answer_status)
         routes.add("events", self.answer_events)
         routes.add("drain", self.answer_drain)
@@ -65,12 +65,12 @@
         return {"host": self.source.me.host}
 
     def own_part(self, wanted: EventFilter) -> "HostEvents":
-        """Return the newest events of this host that are wanted."""
+        """Return the newest events of this host that match the filter."""
         found = [one for one in self.source.timeline.events if wanted.accepts(one)]
         return HostEvents(found[-MAX_EVENTS:], len(found) > MAX_EVENTS)
 
     async def statuses(self) -> tuple[list[HostStatus], dict[str, str]]:
-        """Return the status of each host, and why it is missing of the others."""
+        """Return the status of each host, and errors of hosts that did not respond."""
         answers, missing = await self.query_hosts(self.status_of)
         return [self.source.status(), *answers.values()], missing
 
@@ -79,30 +79,30 @@
         parts: dict[str, HostEvents] = {}
         missing: dict[str, str] = {}
 
-        async def part_of(peer: HostRef) -> HostEvents:
+        async def fetch_events(peer: HostRef) -> HostEvents:
             answer = await self.call(peer, "events", wanted.to_json())
             events = [Event.from_json(one) for one in answer["events"]]
             return HostEvents(events, answer["cut"] is True)
 
         if everywhere:
-            asked = self.asked_hosts(wanted)
-            parts, missing = await self.query_hosts(part_of, asked)
+            hosts = self.asked_hosts(wanted)
+            parts, missing = await self.query_hosts(fetch_events, hosts)
         parts[self.source.me.host] = self.own_part(wanted)
-        cut = tuple(host for host, part in parts.items() if part.truncated)
-        rings = [part.events for part in parts.values()]
-        return EventHistory(merge(rings), missing, cut)
+        truncated = tuple(host for host, part in parts.items() if part.truncated)
+        event_lists = [part.events for part in parts.values()]
+        return EventHistory(merge(event_lists), missing, truncated)
 
     def asked_hosts(self, wanted: EventFilter) -> list[HostRef]:
-        """Return the hosts that may have such events."""
+        """Return the other hosts that may have matching events."""
         others = self.source.others()
         if wanted.host is None:
             return others
         return [one for one in others if one.host == wanted.host]
 
     async def drain(self, host: str) -> None:
-        """Let `host` begin to hand over all its work.
+        """Start to drain `host`.
 
-        :raises Refusal: if it is not known or does not answer.
+        :raises RefusalError: if it is unknown or does not respond.
         """
         if host == self.source.me.host:
             self.source.start_drain()
@@ -111,19 +111,19 @@
             if peer.host == host:
                 await self.drain_other(peer)
                 return
-        raise not_run(RefusalReason.BAD_REQUEST, f"no host {host} is known")
+        raise not_run(RefusalReason.BAD_REQUEST, f"unknown host {host}")
 
     async def drain_other(self, peer: HostRef) -> None:
-        """Pass the request on."""
+        """Forward a drain request to another host."""
         try:
             await self.call(peer, "drain", {})
         except PeerError as error:
-            detail = f"{peer.host} gave no answer; asking again is safe"
+            detail = f"{peer.host} did not respond; the request may be repeated safely"
             refuse = may_have_run if error.sent else not_run
             raise refuse(RefusalReason.HOST_UNREACHABLE, detail, RETRY_MS) from error
 
     async def status_of(self, peer: HostRef) -> HostStatus:
-        """Ask one host for its status."""
+        """Return the status of another host."""
         return HostStatus.from_json(await self.call(peer, "status", {}))
 
     async def call(self, peer: HostRef, path: str, body: Json) -> Json:
@@ -135,24 +135,24 @@
         question: Callable[[HostRef], Awaitable[T]],
         hosts: Iterable[HostRef] | None = None,
     ) -> tuple[dict[str, T], dict[str, str]]:
-        """Return the answers by host, and why there is none of the others.
+        """Return the responses and the errors, each by host.
 
         :param hosts: all other hosts if None.
         """
         answers: dict[str, T] = {}
         missing: dict[str, str] = {}
-        places = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-        async def ask(peer: HostRef) -> None:
-            async with places:
+        async def query_host(peer: HostRef) -> None:
+            async with semaphore:
                 try:
                     answers[peer.host] = await question(peer)
                 except (PeerError, RefusalError) as error:
                     missing[peer.host] = str(error)
                 except (WireError, KeyError, TypeError) as error:
-                    missing[peer.host] = f"its answer is malformed: {error}"
+                    missing[peer.host] = f"malformed response: {error}"
 
         async with asyncio.TaskGroup() as tasks:
             for peer in self.source.others() if hosts is None else hosts:
-                tasks.create_task(ask(peer))
+                tasks.create_task(query_host(peer))
         return answers, missing
--- a/src/reedhook/process/administration/admin_operator.py
+++ b/src/reedhook/process/administration/admin_operator.py
@@ -1,4 +1,4 @@
-"""Authentication of operators, apart from that of callers."""
+"""Authentication of operators."""
 
 import hashlib
 import hmac
@@ -8,7 +8,7 @@
 
 
 class OperatorAuthenticator:
-    """Know the operators by the digests of their credentials.
+    """Authenticate operators by the digests of their credentials.
 
     :param digests: SHA-256 hex digest of each operator's credential, by name.
     """
@@ -19,11 +19,11 @@
         self.digests = digests
 
     def authenticate(self, header: str | None) -> str:
-        """Return the operator that the header ``Authorization`` proves.
+        """Return the name of the operator that sent an ``Authorization`` header.
 
-        All are compared, each in constant time.
+        Compares all digests, each in constant time, to leak nothing by timing.
 
-        :raises Refusal: ``unauthenticated`` if it proves none.
+        :raises RefusalError: ``unauthenticated`` if the credential is unknown.
         """
         digest = hashlib.sha256(bearer_credential(header)).hexdigest()
         found = None
@@ -31,5 +31,5 @@
             if hmac.compare_digest(known, digest):
                 found = name
         if found is None:
-            raise not_run(RefusalReason.UNAUTHENTICATED, "the credential is not known")
+            raise not_run(RefusalReason.UNAUTHENTICATED, "unknown credential")
         return found
--- a/src/reedhook/process/administration/admin_query.py
+++ b/src/reedhook/process/administration/admin_query.py
@@ -1,4 +1,4 @@
-"""Query parameters of the administration API, checked."""
+"""Validation of the administration API's query parameters."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -12,20 +12,20 @@
 
 
 def require_known(request: web.Request, known: Iterable[str]) -> None:
-    """Refuse query parameters that mean nothing here.
+    """Reject unknown query parameters.
 
-    :raises Refusal: ``bad_request``.
+    :raises RefusalError: ``bad_request`` if there is one.
     """
-    odd = sorted(set(request.query) - set(known))
-    if odd:
-        names = ", ".join(odd)
+    unknown = sorted(set(request.query) - set(known))
+    if unknown:
+        names = ", ".join(unknown)
         raise bad_request_refusal(f"unknown query parameter: {names}")
 
 
 def whole_number(request: web.Request, name: str) -> int | None:
-    """Return a query parameter as a number; None if it is absent.
+    """Return a query parameter as an integer; None if it is absent.
 
-    :raises Refusal: ``bad_request`` if it is no number from 0 up.
+    :raises RefusalError: ``bad_request`` if it is not a non-negative integer.
     """
     text = request.query.get(name)
     if text is None:
@@ -36,9 +36,9 @@
 
 
 def needed_number(request: web.Request, name: str) -> int:
-    """Return a query parameter as a number.
+    """Return a required query parameter as an integer.
 
-    :raises Refusal: ``bad_request`` if it is absent or no number.
+    :raises RefusalError: ``bad_request`` if it is absent or invalid.
     """
     number = whole_number(request, name)
     if number is None:
@@ -47,9 +47,9 @@
 
 
 def kinds(request: web.Request) -> frozenset[EventKind] | None:
-    """Return the kinds of event named by ``kind``, with commas between them.
+    """Return the event kinds listed in the parameter ``kind``; None if it is absent.
 
-    :raises Refusal: ``bad_request`` if one is unknown.
+    :raises RefusalError: ``bad_request`` if one is unknown.
     """
     text = request.query.get("kind")
     if text is None:
--- a/src/reedhook/process/administration/admin_source.py
+++ b/src/reedhook/process/administration/admin_source.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of the host, behind one interface."""
+"""Interface between the administration API and the host."""
 
 from abc import ABC, abstractmethod
 
@@ -11,7 +11,7 @@
 
 
 class AdminSource(ABC):
-    """Tell of this host and act on it.
+    """Report the state of this host and drain it.
 
     :ivar me: this host.
     :ivar timeline: the events of this host.
@@ -26,23 +26,23 @@
 
     @abstractmethod
     def status(self) -> HostStatus:
-        """Return what this host says of itself."""
+        """Return the status of this host."""
 
     @abstractmethod
     def known_hosts(self) -> list[KnownHost]:
-        """Return all hosts that are known, this one included."""
+        """Return all known hosts, including this one."""
 
     @abstractmethod
     def others(self) -> list[HostRef]:
-        """Return all other hosts that may answer."""
+        """Return all other live hosts."""
 
     @abstractmethod
     def catalog(self) -> Catalog | None:
-        """Return the configuration in force here."""
+        """Return the configuration in force, or None before the first."""
 
     @abstractmethod
     async def view(self, group: Group) -> GroupView:
-        """Return what the homes of `group` know of it."""
+        """Query the homes of `group` and return the group's view."""
 
     @abstractmethod
     def home(self, member: str, zone: str) -> HostRef | None:
@@ -50,8 +50,8 @@
 
     @abstractmethod
     def start_drain(self) -> None:
-        """Begin to hand over all work; return at once."""
+        """Start to drain this host, without waiting for the end."""
 
     @abstractmethod
     def metrics(self) -> MemoryMetrics | None:
-        """Return the metrics gathered in this process, if they are kept."""
+        """Return the metrics of this process; None if not kept in memory."""
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -1,4 +1,4 @@
-"""What operators see of hosts and groups, as typed messages."""
+"""Status messages of hosts and groups."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class HostPhase(str, Enum):
-    """Name what a host does now."""
+    """Enumerate the phases of a host's life cycle."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -19,24 +19,25 @@
 
 
 class JsonRecord(Record):
-    """Stand on the wire as an object with all its values."""
+    """Record that is encoded as a JSON object of its slots."""
 
     __slots__: tuple[str, ...] = ()
 
     def to_json(self) -> Json:
-        """Return the values by their names."""
+        """Return the values by name."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class HostStatus(JsonRecord):
-    """Carry what a host says of itself.
+    """Hold the status that a host reports.
 
-    :param version: the version of the configuration in force; 0 before the first.
-    :param in_force_ms: wall-clock time since when, in milliseconds; None before.
-    :param started_ms: wall-clock time of its start, in milliseconds.
+    :param version: version of the configuration in force; 0 before the first.
+    :param in_force_ms: wall-clock time at which it came into force, in
+        milliseconds; None before the first.
+    :param started_ms: wall-clock time at which the host started, in milliseconds.
     :param active: callers' requests in progress.
-    :param homes: the targets that it is home of.
-    :param rejected_stamps: stamps too far ahead of its clock.
+    :param homes: targets whose home is this host.
+    :param rejected_stamps: timestamps rejected as too far ahead of its clock.
     """
 
     __slots__ = (
@@ -78,25 +79,25 @@
 
     @classmethod
     def from_json(cls, message: Any) -> "HostStatus":
-        """Read a status from the wire.
+        """Parse a status from JSON.
 
-        :raises WireError: if it has another form.
+        :raises WireError: if it is malformed.
         """
         try:
             values = {name: message[name] for name in cls.__slots__}
             values["state"] = HostPhase(values["state"])
             values["homes"] = tuple(values["homes"])
         except (KeyError, TypeError, ValueError) as error:
-            raise WireError(f"not a status: {error}") from error
+            raise WireError(f"malformed status: {error}") from error
         return cls(**values)
 
 
 class KnownHost(JsonRecord):
-    """Carry what this host knows of another.
+    """Hold what this host knows of a host.
 
     :param state: ``live``, ``suspected``, ``leaving``, ``dead`` or ``gone``.
-    :param version: the version of the configuration that it last stated; None
-        if it stated none here.
+    :param version: version of the configuration that it last reported; None if
+        it has reported none.
     """
 
     __slots__ = ("host", "zone", "address", "state", "version")
@@ -114,7 +115,7 @@
 def group_json(
     group: Group, view: GroupView, homes: dict[str, str | None], now: float
 ) -> Json:
-    """Return what is known of a group as it stands on the wire.
+    """Return the JSON of a group's status.
 
     :param homes: the home of each member.
     :param now: local monotonic time in seconds.
@@ -131,7 +132,7 @@
 def member_lines(
     group: Group, view: GroupView, homes: dict[str, str | None], now: float
 ) -> Iterable[Json]:
-    """Give what is known of each member."""
+    """Yield the JSON of each member's status."""
     for member in group.members:
         known = view.members.get(member.member_id)
         line: Json = {
@@ -153,7 +154,7 @@
 
 
 def role_of(member: str, view: GroupView) -> str:
-    """Return the part that a member plays, as far as it is known."""
+    """Return the role of a member, ``unknown`` if the primary is unknown."""
     if view.primary is None:
         return "unknown"
     return "primary" if member == view.primary else "replica"
--- a/src/reedhook/process/administration/host_source.py
+++ b/src/reedhook/process/administration/host_source.py
@@ -1,4 +1,4 @@
-"""What the administration API learns of this host and does to it."""
+"""Implementation of the administration API's interface to the host."""
 
 from collections.abc import Callable
 from typing import Final
@@ -20,10 +20,10 @@
 
 
 class HostSource(AdminSource):
-    """Answer the administration API from the parts of a host.
+    """Collect the state of a host for the administration API.
 
-    :param drain: begins to drain the host; returns at once.
-    :ivar state: what the host does now; the host sets it.
+    :param drain: starts to drain the host, without waiting for the end.
+    :ivar state: the current phase, set by the host.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         ]
 
     def version_of(self, host: str) -> int | None:
-        """Return the version that `host` last stated, or None."""
+        """Return the configuration version that `host` last reported, or None."""
         if host == self.me.host:
             return self.configuration.version
         return self.membership.configuration_versions.get(host)
--- a/src/reedhook/process/tool/command.py
+++ b/src/reedhook/process/tool/command.py
@@ -76,14 +76,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the tool; return its exit code."""
+    """Run the tool and return its exit code."""
     return asyncio.run(execute(argv, os.environ, sys.stdout, sys.stderr))
 
 
 async def execute(
     argv: list[str] | None, environment: Mapping[str, str], out: TextIO, err: TextIO
 ) -> int:
-    """Run the tool and report to `out` and `err`; return its exit code."""
+    """Run the tool with output to `out` and `err`; return its exit code."""
     try:
         arguments = docopt(__doc__, argv)
     except DocoptExit as error:
@@ -100,9 +100,9 @@
 
 
 async def run(arguments: dict[str, Any], environment: Mapping[str, str]) -> Result:
-    """Run the command that the arguments name.
+    """Run the command in `arguments`.
 
-    :raises CommandError: if it cannot be done.
+    :raises CommandError: if it fails.
     """
     if arguments["settings"]:
         return command_settings.check(Path(arguments["FILE"]))
@@ -115,25 +115,25 @@
     except RequestRefusedError as refused:
         raise refused.error() from refused
     except (KeyError, TypeError) as error:
-        problem = f"a host gave an answer of another form: {error!r}"
+        problem = f"malformed response from a host: {error!r}"
         raise CommandError(
             ToolExitCode.REFUSED, problem, "check the address"
         ) from error
 
 
 def access_of(arguments: dict[str, Any], environment: Mapping[str, str]) -> Access:
-    """Return where the hosts are."""
+    """Return the addresses and credentials of the hosts."""
     options = {name: arguments.get(f"--{name}") for name in ("access", *FIELDS)}
     return Access(options, environment)
 
 
 def endpoint_of(arguments: dict[str, Any], access: Access) -> Endpoint:
-    """Return where the command's questions go."""
+    """Return the endpoint to which the command sends its requests."""
     return access.callers() if arguments["query"] else access.admin()
 
 
 async def run_config(client: Client, arguments: dict[str, Any]) -> Result:
-    """Run a command about the configuration."""
+    """Run a ``config`` command."""
     match next(name for name in CONFIG if arguments[name]):
         case "check":
             return await config.check(client, Path(arguments["DIR"]))
@@ -162,7 +162,7 @@
 
 
 async def run_other(client: Client, arguments: dict[str, Any]) -> Result:
-    """Run a command that is not about the configuration."""
+    """Run a command other than ``config`` and ``settings``."""
     if arguments["groups"]:
         body = await client.get("/admin/groups", group=arguments["--group"])
         return Result(body, groups_text(body))
@@ -170,8 +170,8 @@
         body = await client.get("/admin/hosts")
         return Result(body, hosts_text(body))
     if arguments["drain"]:
-        named = {"host": arguments["HOST"]} if arguments["HOST"] else {}
-        body = await client.post("/admin/drain", named)
+        request = {"host": arguments["HOST"]} if arguments["HOST"] else {}
+        body = await client.post("/admin/drain", request)
         return Result(body, f"Host {body['host']} drains.")
     if arguments["query"]:
         return await query(client, query_of(arguments))
@@ -186,7 +186,7 @@
 
 
 def query_of(arguments: dict[str, Any]) -> StatementRequest:
-    """Return the statement that the arguments state."""
+    """Return the request of a ``query`` command."""
     return StatementRequest(
         group=arguments["GROUP"],
         sql=arguments["SQL"],
@@ -201,9 +201,9 @@
 
 
 def number(arguments: dict[str, Any], name: str) -> int | None:
-    """Return an argument as a number from 0 up; None if it is not given.
+    """Return an argument as a non-negative integer; None if it is not given.
 
-    :raises CommandError: if it is something else.
+    :raises CommandError: if it is not a non-negative integer.
     """
     text = arguments[name]
     if text is None:
--- a/src/reedhook/process/tool/command_access.py
+++ b/src/reedhook/process/tool/command_access.py
@@ -1,4 +1,4 @@
-"""Where the tool finds the hosts, and with which credentials."""
+"""Addresses and credentials of the hosts that the tool calls."""
 
 import ssl
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 
 class Endpoint(Record):
-    """Name hosts that can each answer, and the credential for them.
+    """Hold the addresses of equivalent hosts and the credential for them.
 
     :param addresses: ``IP:port`` of the hosts, tried in this order.
     :param tls: None for plain HTTP.
@@ -42,12 +42,12 @@
 
     @property
     def scheme(self) -> str:
-        """Return the scheme of URLs."""
+        """Return the URL scheme."""
         return "http" if self.tls is None else "https"
 
 
 class Access:
-    """Take each value from the option, the environment or the access file.
+    """Look up values in the options, the environment and the access file.
 
     :param options: values from the command line; None where not given.
     """
@@ -65,17 +65,17 @@
             self.file = read_access(Path(path))
 
     def admin(self) -> Endpoint:
-        """Return where operators are answered."""
+        """Return the endpoint for operators."""
         return self.endpoint("admin", "credential")
 
     def callers(self) -> Endpoint:
-        """Return where callers are answered."""
+        """Return the endpoint for callers."""
         return self.endpoint("callers", "caller_credential")
 
     def endpoint(self, addresses: str, credential: str) -> Endpoint:
-        """Return an endpoint from the values of these names."""
-        found = self.needed(addresses)
-        listed = found.split(",") if isinstance(found, str) else found
+        """Return the endpoint with the values called `addresses` and `credential`."""
+        value = self.needed(addresses)
+        listed = value.split(",") if isinstance(value, str) else value
         ca = self.value("ca")
         return Endpoint(
             tuple(checked_address(addresses, one) for one in listed),
@@ -84,9 +84,9 @@
         )
 
     def needed(self, name: str) -> Any:
-        """Return a value that must be there.
+        """Return a required value.
 
-        :raises CommandError: if it is nowhere.
+        :raises CommandError: if it is missing or empty.
         """
         value = self.value(name)
         if value:
@@ -97,7 +97,7 @@
         raise CommandError(ToolExitCode.USAGE, problem, advice)
 
     def value(self, name: str) -> Any:
-        """Return a value, or None."""
+        """Return a value, or None if it is missing."""
         given = self.options.get(name)
         if given is not None:
             return given
@@ -107,7 +107,7 @@
 def read_access(path: Path) -> dict[str, Any]:
     """Read an access file.
 
-    :raises CommandError: if it cannot be read or has another form.
+    :raises CommandError: if it cannot be read or is malformed.
     """
     try:
         content = yaml.safe_load(path.read_text(encoding="utf-8")) or {}
@@ -119,29 +119,27 @@
     known = ", ".join(FIELDS)
     if not isinstance(content, dict) or set(content) - set(FIELDS):
         advice = f"it may hold only: {known}"
-        raise CommandError(ToolExitCode.USAGE, f"{path} has another form", advice)
+        raise CommandError(ToolExitCode.USAGE, f"{path} is malformed", advice)
     return content
 
 
 def checked_address(name: str, text: Any) -> str:
-    """Return an address without blanks around it.
+    """Return an address without surrounding whitespace.
 
-    :raises CommandError: if it is no ``IP:port``.
+    :raises CommandError: if it is not an ``IP:port``.
     """
     address = str(text).strip()
     try:
         split_address(address)
     except ValueError as error:
-        problem = f"'{address}' in '{name}' is no address"
+        problem = f"'{address}' in '{name}' is not an address"
         advice = "give an IP number with a port, such as 10.0.0.1:18021"
         raise CommandError(ToolExitCode.USAGE, problem, advice) from error
     return address
 
 
 def create_tls_context(file: str) -> ssl.SSLContext:
-    """Return a context that trusts the authorities in `file`.
-
-    Certificates hold for hosts of a deployment and may name no IP number.
+    """Return a TLS context that trusts the authorities in `file`.
 
     :raises CommandError: if the file cannot be used.
     """
--- a/src/reedhook/process/tool/command_client.py
+++ b/src/reedhook/process/tool/command_client.py
@@ -1,4 +1,4 @@
-"""Questions to the hosts over HTTP with JSON."""
+"""HTTP client of the tool."""
 
 from typing import Final
 
@@ -22,7 +22,7 @@
 
 
 class RequestRefusedError(Exception):
-    """Carry a refusal of a host.
+    """Report that a host refused a request.
 
     :param status: the HTTP status.
     :param body: the typed refusal.
@@ -34,7 +34,7 @@
         self.body = body
 
     def error(self) -> CommandError:
-        """Return the error that the user sees."""
+        """Return the error to show to the user."""
         detail = str(self.body.get("detail"))
         reason = str(self.body.get("reason"))
         verdict = self.body.get("verdict")
@@ -54,7 +54,7 @@
 
 
 def advice_for(body: Json) -> str:
-    """Return what to do about a refusal."""
+    """Return advice on a refusal; may be empty."""
     advice = ADVICE.get(str(body.get("reason")))
     if advice is not None:
         return advice
@@ -63,9 +63,10 @@
 
 
 class Client:
-    """Ask the first host that can be reached.
+    """Send requests to the first host that responds.
 
-    All requests of the tool may be repeated: edits and writes carry an id.
+    A request may reach more than one host, so it must be safe to repeat: edits
+    and writes carry an id.
     """
 
     __slots__ = ("endpoint", "session")
@@ -90,22 +91,22 @@
             await self.session.close()
 
     async def get(self, path: str, **query: str | int | None) -> Json:
-        """Ask a question; parameters that are None are left out.
+        """Send a GET request; parameters that are None are left out.
 
-        :raises Refused: if the host refused.
-        :raises Unreachable: if no host answered.
+        :raises RequestRefusedError: if the host refused the request.
+        :raises HostsUnreachableError: if no host responded.
         """
         params = {name: str(one) for name, one in query.items() if one is not None}
         return await self.ask("GET", path, params, None)
 
     async def post(self, path: str, body: Json) -> Json:
-        """Send a body; raises as `get`."""
+        """Send a POST request; raises the errors of `get`."""
         return await self.ask("POST", path, {}, encode(body))
 
     async def ask(
         self, method: str, path: str, params: dict[str, str], data: bytes | None
     ) -> Json:
-        """Ask one host after the other until one answers."""
+        """Try one host after the other until one responds."""
         failures: list[str] = []
         sent = False
         for address in self.endpoint.addresses:
@@ -122,7 +123,7 @@
     async def exchange(
         self, method: str, url: str, params: dict[str, str], data: bytes | None
     ) -> Json:
-        """Ask one host."""
+        """Send a request to one host."""
         assert self.session is not None
         async with self.session.request(
             method, url, params=params, data=data, allow_redirects=False
@@ -134,7 +135,7 @@
 
 
 def cause_of(error: Exception) -> str:
-    """Return why a host gave no answer."""
+    """Return why a host did not respond, as text."""
     if isinstance(error, aiohttp.ClientConnectorError):
         return str(error.os_error.strerror or error.os_error)
     return str(error) or type(error).__name__
--- a/src/reedhook/process/tool/command_config.py
+++ b/src/reedhook/process/tool/command_config.py
@@ -1,4 +1,4 @@
-"""The tool's commands about the configuration."""
+"""The ``config`` commands of the tool."""
 
 from difflib import unified_diff
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 async def check(client: Client, folder: Path) -> Result:
-    """Have a folder checked; nothing changes."""
+    """Have a host check the documents of a folder, without any change."""
     documents = ConfigurationFolder(folder).documents()
     try:
         body = await client.post("/admin/config/check", documents)
@@ -29,17 +29,17 @@
 ) -> Result:
     """Put the documents of a folder in force.
 
-    :param parent: the version that was edited; None takes the folder's.
-    :param edit_id: of an earlier attempt whose outcome is unknown, or None.
+    :param parent: the version that was edited; None for the folder's version.
+    :param edit_id: id of an earlier attempt with an unknown outcome, or None.
     """
     folder = ConfigurationFolder(path)
-    known = folder.version() if parent is None else parent
-    if known is None:
-        problem = f"it is not known which version {path} was made of"
-        advice = "give --parent N, 0 for the first, or begin by config show --output"
+    base_version = folder.version() if parent is None else parent
+    if base_version is None:
+        problem = f"the version on which {path} is based is unknown"
+        advice = "give --parent N, 0 for the first, or start from config show --output"
         raise CommandError(ToolExitCode.USAGE, problem, advice)
     edit_id = edit_id or uuid4().hex
-    edit = {"parent": known, "comment": comment, "edit_id": edit_id}
+    edit = {"parent": base_version, "comment": comment, "edit_id": edit_id}
     try:
         body = await client.post("/admin/config/apply", folder.documents() | edit)
     except RequestRefusedError as refused:
@@ -53,13 +53,11 @@
 
 
 def explain(refused: RequestRefusedError, edit_id: str) -> CommandError:
-    """Return the error that the user sees, with its details."""
+    """Return the error to show to the user, with its details."""
     body = refused.body
     if body.get("reason") == INVALID:
         faults = tuple(map(fault_line, body["faults"]))
-        return CommandError(
-            ToolExitCode.USAGE, str(body["detail"]), "mend them", faults
-        )
+        return CommandError(ToolExitCode.USAGE, str(body["detail"]), "fix them", faults)
     error = refused.error()
     if error.code is ToolExitCode.CONFLICT and "since" in body:
         details = tuple(map(since_line, body["since"]))
@@ -72,16 +70,16 @@
 
 
 def fault_line(fault: Json) -> str:
-    """Return one fault as compilers print them."""
-    place = (
+    """Return a fault in the format of compiler messages."""
+    location = (
         fault["file"] if fault["line"] is None else f"{fault['file']}:{fault['line']}"
     )
-    where = fault["path"] or "the document"
-    return f"{place}: {where}: {fault['reason']}"
+    path = fault["path"] or "the document"
+    return f"{location}: {path}: {fault['reason']}"
 
 
 def since_line(version: Json) -> str:
-    """Say who changed what in a version."""
+    """Return the author, time and changed paths of a version as one line."""
     paths = ", ".join(f"{one['file']} {one['path']}" for one in version["changes"])
     number, author, when = (
         version["version"],
@@ -104,7 +102,7 @@
 
 
 def documents_lines(body: Json) -> list[str]:
-    """Return a version's documents, each after its name."""
+    """Return a version's documents as lines, each under its name."""
     head = body["head"]
     when = moment(head["wall"])
     lines = [f"# version {head['version']} by {head['author']} at {when}"]
@@ -114,7 +112,7 @@
 
 
 async def diff(client: Client, old: int, new: int | None) -> Result:
-    """Compare two versions line by line; None stands for the one in force."""
+    """Compare two versions line by line; None is the version in force."""
     before = await client.get("/admin/config", version=old)
     after = await client.get("/admin/config", version=new)
     number = after["head"]["version"]
@@ -142,13 +140,13 @@
 
 
 async def history(client: Client, limit: int | None) -> Result:
-    """Show the accepted versions, the newest first."""
+    """Show the accepted versions, newest first."""
     body = await client.get("/admin/config/history", limit=limit)
     return Result(body, history_text(body))
 
 
 async def status(client: Client) -> Result:
-    """Show which host has which version; fail unless all have the newest."""
+    """Show the version of each host; fail unless all have the newest."""
     body = await client.get("/admin/config/status")
     newest = body["newest"]
     behind = [one["host"] for one in body["hosts"] if one["version"] != newest]
--- a/src/reedhook/process/tool/command_error.py
+++ b/src/reedhook/process/tool/command_error.py
@@ -1,10 +1,10 @@
-"""Exit codes of the tool, and errors that tell the user what to do."""
+"""Exit codes and errors of the tool."""
 
 from enum import IntEnum
 
 
 class ToolExitCode(IntEnum):
-    """Name the exit codes."""
+    """Enumerate the exit codes of the tool."""
 
     DONE = 0
     REFUSED = 1
@@ -15,12 +15,12 @@
 
 
 class CommandError(Exception):
-    """End the tool with an error.
+    """Report an error that ends the tool.
 
     :param code: the exit code.
-    :param problem: what is wrong, as one line.
-    :param advice: what to do about it; may be empty.
-    :param details: further lines, such as one for each fault.
+    :param problem: what is wrong, in one line.
+    :param advice: how to solve it; may be empty.
+    :param details: lines printed before, such as one for each fault.
     """
 
     def __init__(
@@ -44,13 +44,13 @@
 
 
 class HostsUnreachableError(CommandError):
-    """Say that no host answered.
+    """Report that no host responded.
 
-    :param sent: whether a host may have got the request all the same.
+    :param sent: whether a host may have received the request.
     """
 
     def __init__(self, problem: str, sent: bool) -> None:
-        advice = "check the addresses, or name other hosts"
+        advice = "check the addresses, or give other hosts"
         super().__init__(ToolExitCode.UNREACHABLE, problem, advice)
         self.sent = sent
 
--- a/src/reedhook/process/tool/command_folder.py
+++ b/src/reedhook/process/tool/command_folder.py
@@ -1,4 +1,4 @@
-"""The folder in which an operator edits a version of the configuration."""
+"""The folder in which an operator edits the configuration."""
 
 import re
 from pathlib import Path
@@ -17,8 +17,8 @@
 class ConfigurationFolder:
     """Read and write ``base.yaml``, ``overlays/SITE.yaml`` and ``.version``.
 
-    The last one holds the version that the folder was made of, so that an
-    edit is accepted only if nobody else changed it since.
+    The last one holds the version on which the folder is based, so that an
+    edit is rejected if the configuration has changed since.
     """
 
     __slots__ = ("path",)
@@ -27,7 +27,7 @@
         self.path = path
 
     def documents(self) -> Json:
-        """Return the documents as the administration API takes them.
+        """Return the documents in the format of the administration API.
 
         :raises CommandError: if they cannot be read.
         """
@@ -43,17 +43,17 @@
         return {"base": base, "overlays": overlays}
 
     def version(self) -> int | None:
-        """Return the version that the folder was made of, if it is known."""
+        """Return the version on which the folder is based; None if it is unknown."""
         try:
             return int((self.path / VERSION).read_text(encoding="ascii"))
         except (OSError, ValueError):
             return None
 
     def write(self, documents: Json, version: int, force: bool) -> None:
-        """Fill the folder with a version.
+        """Write the documents of a version.
 
-        :param force: also if it holds something; its files are replaced.
-        :raises CommandError: if it holds something or cannot be written.
+        :param force: replace the documents in a folder that is not empty.
+        :raises CommandError: if the folder is not empty or cannot be written.
         """
         if not force and self.path.is_dir() and any(self.path.iterdir()):
             advice = "give another folder, or --force to replace its documents"
@@ -70,7 +70,7 @@
             ) from error
 
     def write_files(self, base: str, overlays: dict[str, str]) -> None:
-        """Write the documents and drop overlays that are not among them."""
+        """Write the documents and delete other overlays."""
         folder = self.path / OVERLAYS
         folder.mkdir(parents=True, exist_ok=True)
         for file in folder.glob(f"*{SUFFIX}"):
@@ -81,12 +81,15 @@
         (self.path / BASE).write_text(base, encoding="utf-8")
 
     def set_version(self, version: int) -> None:
-        """State the version that the folder holds now."""
+        """Store the version on which the folder is based."""
         (self.path / VERSION).write_text(f"{version}\n", encoding="ascii")
 
 
 def refuse_odd_sites(overlays: dict[str, str]) -> None:
-    """Refuse names of sites that would lead out of the folder."""
+    """Reject site names that could be paths outside the folder.
+
+    :raises CommandError: if there is one.
+    """
     for site in overlays:
         if not SITE.fullmatch(site):
             problem = f"the site '{site}' cannot be a file name"
--- a/src/reedhook/process/tool/command_query.py
+++ b/src/reedhook/process/tool/command_query.py
@@ -1,4 +1,4 @@
-"""The tool's command that sends one statement, as a caller does."""
+"""The ``query`` command of the tool."""
 
 import time
 from typing import Any, Final
@@ -16,12 +16,12 @@
 
 
 class StatementRequest(Record):
-    """Carry a statement as the user states it.
+    """Hold a statement and its options from the command line.
 
-    :param params: each as JSON, or else as a text.
-    :param write: whether it is a write.
-    :param max_age_ms: accepted age of the answer; implies ``max_age``.
-    :param request_id: of an earlier attempt whose outcome is unknown.
+    :param params: parameters, each parsed as JSON or else taken as a string.
+    :param write: whether the statement is a write.
+    :param max_age_ms: accepted age of the result; implies ``max_age``.
+    :param request_id: id of an earlier attempt with an unknown outcome.
     """
 
     __slots__ = (
@@ -59,7 +59,7 @@
         self.request_id = request_id
 
     def body(self) -> Json:
-        """Return the request as the callers' interface takes it.
+        """Return the request in the format of the callers' API.
 
         :raises CommandError: if the consistency is unknown.
         """
@@ -77,19 +77,22 @@
         return {name: value for name, value in body.items() if value is not None}
 
     def read_fields(self) -> Json:
-        """Return the fields that only a read has."""
+        """Return the fields that are specific to reads.
+
+        :raises CommandError: if the consistency is unknown.
+        """
         consistency = self.consistency
         if consistency is None and self.max_age_ms is not None:
             consistency = "max_age"
         if consistency not in (None, *CONSISTENCIES):
             choices = ", ".join(CONSISTENCIES)
-            problem = f"the consistency '{consistency}' is unknown"
+            problem = f"unknown consistency '{consistency}'"
             raise CommandError(ToolExitCode.USAGE, problem, f"give one of: {choices}")
         return {"consistency": consistency, "max_age_ms": self.max_age_ms}
 
 
 async def query(client: Client, wanted: StatementRequest) -> Result:
-    """Send a statement and return its answer."""
+    """Send a statement and return its result."""
     body = wanted.body()
     path = "/v1/write" if wanted.write else "/v1/read"
     try:
@@ -103,7 +106,7 @@
 
 
 def parameter(text: str) -> Any:
-    """Return a parameter: a JSON number, text, true, false or null, or the text."""
+    """Parse a JSON scalar; return `text` itself if it is anything else."""
     try:
         value = orjson.loads(text)
     except orjson.JSONDecodeError:
@@ -112,5 +115,5 @@
 
 
 def new_request_id() -> str:
-    """Return an id that holds the time of issue and is used once."""
+    """Return a unique id that starts with the current time in milliseconds."""
     return f"{int(time.time() * 1000):013d}-{uuid4().hex}"
--- a/src/reedhook/process/tool/command_report.py
+++ b/src/reedhook/process/tool/command_report.py
@@ -1,4 +1,4 @@
-"""What users of the tool see: text for people, JSON for programs."""
+"""Output of the tool, as text or JSON."""
 
 from collections.abc import Iterable
 from datetime import UTC, datetime
@@ -12,10 +12,10 @@
 
 
 class Result(Record):
-    """Carry the outcome of a command.
+    """Hold the outcome of a command.
 
-    :param value: for programs.
-    :param text: for people.
+    :param value: printed as JSON with ``--json``.
+    :param text: printed otherwise.
     """
 
     __slots__ = ("value", "text", "code")
@@ -29,7 +29,7 @@
 
 
 class ResultPrinter:
-    """Write results and errors."""
+    """Print results and errors."""
 
     __slots__ = ("out", "err", "as_json")
 
@@ -39,24 +39,24 @@
         self.as_json = as_json
 
     def result(self, result: Result) -> None:
-        """Write a result."""
+        """Print a result."""
         text = pretty(result.value) if self.as_json else result.text
         print(text.rstrip("\n"), file=self.out)
 
     def error(self, error: CommandError) -> None:
-        """Write an error: one line, after its details."""
+        """Print the details of an error and then the error as one line."""
         for line in error.details:
             print(line, file=self.err)
         print(f"reedhook: {error.line}", file=self.err)
 
 
 def pretty(value: Json) -> str:
-    """Return `value` as JSON."""
+    """Return `value` as indented JSON."""
     return orjson.dumps(value, option=orjson.OPT_INDENT_2).decode()
 
 
 def table(titles: tuple[str, ...], rows: Iterable[tuple[Any, ...]]) -> str:
-    """Return columns with titles."""
+    """Return aligned columns with titles."""
     lines = [titles, *(tuple(map(cell, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines)]
     return "\n".join(
@@ -66,14 +66,14 @@
 
 
 def cell(value: Any) -> str:
-    """Return a value as a person reads it."""
+    """Return the text of a table cell."""
     if value is None:
         return "-"
     return ("no", "yes")[value] if isinstance(value, bool) else str(value)
 
 
 def moment(seconds: float | None) -> str:
-    """Return a time since the epoch in UTC."""
+    """Format a time since the epoch as ISO 8601 in UTC."""
     if seconds is None:
         return "-"
     text = datetime.fromtimestamp(seconds, UTC).isoformat(timespec="seconds")
@@ -81,7 +81,7 @@
 
 
 def hosts_text(body: Json) -> str:
-    """Return the answer about hosts."""
+    """Return the table of hosts."""
     rows = [
         (one["host"], one["zone"], one["address"], one["state"], one["version"])
         for one in body["hosts"]
@@ -90,7 +90,7 @@
 
 
 def groups_text(body: Json) -> str:
-    """Return the answer about groups."""
+    """Return the table of groups and their members."""
     rows = [
         member_row(group, member)
         for group in body["groups"]
@@ -119,7 +119,7 @@
 
 
 def status_text(body: Json) -> str:
-    """Return which host has which version."""
+    """Return the table of the hosts' configuration versions."""
     rows: list[tuple[Any, ...]] = [
         (one["host"], one["zone"], one["version"], moment_ms(one["in_force_ms"]))
         for one in body["hosts"]
@@ -129,12 +129,12 @@
 
 
 def moment_ms(milliseconds: int | None) -> str:
-    """Return a time in milliseconds since the epoch in UTC."""
+    """Format a time in milliseconds since the epoch as ISO 8601 in UTC."""
     return moment(None if milliseconds is None else milliseconds / 1000)
 
 
 def history_text(body: Json) -> str:
-    """Return the accepted versions."""
+    """Return the table of accepted versions."""
     rows = [
         (one["version"], moment(one["wall"]), one["author"], one["comment"])
         for one in body["versions"]
@@ -143,7 +143,7 @@
 
 
 def query_text(body: Json) -> str:
-    """Return the answer to a statement."""
+    """Return the rows, the summary and the session token of a statement."""
     lines = []
     if body["columns"]:
         lines.append(table(tuple(body["columns"]), map(tuple, body["rows"])))
@@ -154,12 +154,12 @@
 
 
 def answer_line(body: Json) -> str:
-    """Say in one line where an answer comes from and how old it is."""
+    """Return the row count, source and age of a result as one line."""
     age = body["age_ms"]
     proved = "" if age is None else f", at most {age:g} ms old"
     repeated = ", the answer of an earlier run" if body["repeated"] else ""
     count = len(body["rows"]) if body["columns"] else body["rowcount"]
-    rows = "row" if count == 1 else "rows"
-    what = rows if body["columns"] else f"{rows} changed"
+    noun = "row" if count == 1 else "rows"
+    what = noun if body["columns"] else f"{noun} changed"
     target, role, host = body["target"], body["role"], body["host"]
     return f"{count} {what}; {target} ({role}) by {host}{proved}{repeated}"
--- a/src/reedhook/process/tool/command_settings.py
+++ b/src/reedhook/process/tool/command_settings.py
@@ -1,4 +1,4 @@
-"""The tool's check of a settings file, in either of the two formats."""
+"""The ``settings check`` command, for both formats of settings files."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -14,9 +14,9 @@
 
 
 def check(path: Path) -> Result:
-    """Check a settings file; its content tells the format.
+    """Check a settings file, whose format is detected from its content.
 
-    :raises CommandError: naming every fault that was found.
+    :raises CommandError: with all faults, if the file is invalid.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -30,13 +30,13 @@
     format = CHECKS[by_platform]
     if faults:
         problem = f"the settings in {path} ({format}) are wrong"
-        raise CommandError(ToolExitCode.USAGE, problem, "mend the lines named", faults)
+        raise CommandError(ToolExitCode.USAGE, problem, "fix the lines listed", faults)
     body = {"file": str(path), "format": format}
     return Result(body, f"The settings in {path} ({format}) are fine.")
 
 
 def is_platforms(text: str) -> bool:
-    """Say whether a file has lines of ``name=value``, not of ``name: value``."""
+    """Return whether a file has lines ``name=value`` instead of ``name: value``."""
     for line in text.splitlines():
         if not line.strip() or line.startswith(COMMENT):
             continue
@@ -46,7 +46,7 @@
 
 
 def faults_of(path: Path, load: Callable[[Path], object]) -> tuple[str, ...]:
-    """Return what is wrong with a file, one line for each fault."""
+    """Return the faults of a file, one line for each."""
     try:
         load(path)
     except ExceptionGroup as errors:
--- a/src/reedhook/process/tool/command_timeline.py
+++ b/src/reedhook/process/tool/command_timeline.py
@@ -1,4 +1,4 @@
-"""The tool's command that shows what happened on all hosts."""
+"""The ``timeline`` command of the tool."""
 
 import re
 import time
@@ -26,9 +26,9 @@
     since: str | None,
     page: str | None,
 ) -> Result:
-    """Show the events of all hosts in one causal order.
+    """Show the events of all hosts in causal order.
 
-    :param page: file to write an HTML page to, or None.
+    :param page: file to which to write an HTML page, or None.
     """
     body = await client.get(
         "/admin/events",
@@ -41,8 +41,8 @@
     try:
         history = EventHistory.from_json(body)
     except WireError as error:
-        problem = f"the host gave events of another form: {error}"
-        advice = "use the tool of the hosts' version"
+        problem = f"malformed events from the host: {error}"
+        advice = "use the same version of the tool as the hosts"
         raise CommandError(ToolExitCode.REFUSED, problem, advice) from error
     if page is None:
         return Result(body, text_of(history))
@@ -56,7 +56,7 @@
 
 
 def write_page(file: Path, page: str) -> None:
-    """Write a page.
+    """Write an HTML page.
 
     :raises CommandError: if the file cannot be written.
     """
@@ -69,10 +69,10 @@
 
 
 def since_ms(text: str, now: float) -> int:
-    """Return a moment, such as ``10m`` ago, in milliseconds since the epoch.
+    """Parse a time, such as ``10m`` ago, into milliseconds since the epoch.
 
     :param now: wall-clock time in seconds.
-    :raises CommandError: if `text` is no moment.
+    :raises CommandError: if `text` is malformed.
     """
     ago = AGO.fullmatch(text)
     if ago is not None:
--- a/src/reedhook/record.py
+++ b/src/reedhook/record.py
@@ -9,7 +9,7 @@
     __slots__: tuple[str, ...] = ()
 
     def values(self) -> tuple[Any, ...]:
-        """Return the values of all slots in their order."""
+        """Return the values of all slots in order of declaration."""
         return tuple(getattr(self, name) for name in self.__slots__)
 
     def __eq__(self, other: object) -> bool:
--- a/src/reedhook/wire.py
+++ b/src/reedhook/wire.py
@@ -1,4 +1,4 @@
-"""JSON as it stands on the wire, with typed errors."""
+"""Encoding and decoding of JSON messages, with typed errors."""
 
 from collections.abc import Callable
 from functools import wraps
@@ -12,11 +12,11 @@
 
 
 class WireError(ValueError):
-    """Say that a message does not have the expected form."""
+    """Report that a message is malformed."""
 
 
 def wraps_decode_errors(read: Callable[P, T]) -> Callable[P, T]:
-    """Let what reads a message raise `WireError` for one of the wrong form."""
+    """Decorate a parser to raise `WireError` for a malformed message."""
 
     @wraps(read)
     def typed(*args: P.args, **kwargs: P.kwargs) -> T:
@@ -31,24 +31,24 @@
 
 
 def string_field(message: Json, name: str) -> str:
-    """Return a field that holds a text.
+    """Return a string field.
 
-    :raises WireError: if it does not.
+    :raises WireError: if it is missing or not a string.
     """
     value = message.get(name)
     if not isinstance(value, str):
-        raise WireError(f"{name} is to hold a text")
+        raise WireError(f"{name} must be a string")
     return value
 
 
 def non_negative_int_field(message: Json, name: str) -> int:
-    """Return a field that holds a whole number that is not negative.
+    """Return a field that holds a non-negative integer.
 
-    :raises WireError: if it does not; true and false are no numbers.
+    :raises WireError: if it holds anything else, booleans included.
     """
     value = message.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise WireError(f"{name} is to hold a whole number")
+        raise WireError(f"{name} must be a non-negative integer")
     return value
 
 
@@ -67,5 +67,5 @@
     except orjson.JSONDecodeError as error:
         raise WireError(f"not JSON: {error}") from error
     if not isinstance(message, dict):
-        raise WireError("a JSON object is expected")
+        raise WireError("expected a JSON object")
     return message
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -298,8 +298,8 @@
         ("zone=vittoria", "", "the field zone is missing"),
         ("zone=vittoria", "zone", "line 5: expected name=value"),
         ("listen.front=10.1.0.8:8784", "listen.front=x:1", "line 6: listen.front: "),
-        ("=7440,7455", "=7455,7440", "line 8: internal_ports is to be two ports"),
-        ("grace_s=6", "grace_s=soon", "line 11: bounds.grace_s is to be a number"),
+        ("=7440,7455", "=7455,7440", "line 8: internal_ports must be two ports"),
+        ("grace_s=6", "grace_s=soon", "line 11: bounds.grace_s must be a number"),
         (
             "grace_s=6",
             "grace_s=6\nbounds.strict_revoke=true",
