--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API over HTTP, against fake hosts."""
+"""Tests of the administration API over HTTP, with fake hosts."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -21,8 +21,10 @@
 PATHS = ["status", "metrics", "hosts", "groups", "events", "drain"]
 
 
-def visit(network: FakeNetwork, steps: Callable[[Any], Awaitable[Any]]) -> Any:
-    """Run `steps` with a client of the first host of `network`."""
+def run_with_client(
+    network: FakeNetwork, steps: Callable[[Any], Awaitable[Any]]
+) -> Any:
+    """Run `steps` with an HTTP client of the first host of `network`."""
 
     async def main() -> Any:
         source = network.sources["vittoria-1"]
@@ -35,26 +37,26 @@
 
 
 def get(network: FakeNetwork, path: str, headers: Any = HEADERS) -> tuple[int, Json]:
-    """Return status and body of a GET."""
+    """Send a GET request; return status and body."""
 
     async def steps(client: Any) -> tuple[int, Json]:
         async with client.get(path, headers=headers) as response:
             return response.status, await response.json()
 
-    found: tuple[int, Json] = visit(network, steps)
+    found: tuple[int, Json] = run_with_client(network, steps)
     return found
 
 
 def post(
     network: FakeNetwork, path: str, data: bytes, headers: Any = HEADERS
 ) -> tuple[int, Json]:
-    """Return status and body of a POST."""
+    """Send a POST request; return status and body."""
 
     async def steps(client: Any) -> tuple[int, Json]:
         async with client.post(path, data=data, headers=headers) as response:
             return response.status, await response.json()
 
-    found: tuple[int, Json] = visit(network, steps)
+    found: tuple[int, Json] = run_with_client(network, steps)
     return found
 
 
@@ -67,7 +69,9 @@
         {"Authorization": "Bearer "},
     ],
 )
-def test_only_operators_pass(headers: dict[str, str]) -> None:
+def test_requests_without_an_operator_credential_are_rejected(
+    headers: dict[str, str],
+) -> None:
     network = FakeNetwork()
     for path in PATHS:
         status, body = get(network, f"/admin/{path}", headers)
@@ -82,7 +86,7 @@
         assert get(network, f"/admin/{path}") == snapshot(name=path)
 
 
-def test_without_configuration_groups_are_refused() -> None:
+def test_groups_are_refused_without_a_configuration() -> None:
     network = FakeNetwork()
     network.sources["vittoria-1"].known = None
     status, body = get(network, "/admin/groups")
@@ -101,24 +105,24 @@
         ("drain", 405),
     ],
 )
-def test_bad_questions_get_typed_errors(path: str, status: int) -> None:
+def test_invalid_requests_get_typed_errors(path: str, status: int) -> None:
     found, body = get(FakeNetwork(), f"/admin/{path}")
     assert found == status
     assert body["verdict"] == "not run"
     assert body["detail"]
 
 
-def test_a_drain_reaches_this_host_or_the_named_one() -> None:
+def test_drain_reaches_this_host_or_the_named_host() -> None:
     network = FakeNetwork()
     assert post(network, "/admin/drain", b"")[0] == 202
     assert network.sources["vittoria-1"].draining
     status, body = post(network, "/admin/drain", b'{"host": "vittoria-3"}')
     assert (status, body["host"]) == (202, "vittoria-3")
-    drained = [one.me.host for one in network.sources.values() if one.draining]
-    assert drained == ["vittoria-1", "vittoria-3"]
+    draining_hosts = [one.me.host for one in network.sources.values() if one.draining]
+    assert draining_hosts == ["vittoria-1", "vittoria-3"]
 
 
-def test_a_drain_that_gets_no_answer_is_not_called_not_run() -> None:
+def test_unanswered_drain_is_reported_as_may_have_run() -> None:
     network = FakeNetwork()
     network.cut.add("vittoria-2")
     status, body = post(network, "/admin/drain", b'{"host": "vittoria-2"}')
@@ -129,19 +133,19 @@
 @pytest.mark.parametrize(
     "data", [b"[]", b"{", b'{"host": 4}', b'{"host": "absent"}', b'{"hots": "a"}']
 )
-def test_a_malformed_drain_has_no_effect(data: bytes) -> None:
+def test_malformed_drain_has_no_effect(data: bytes) -> None:
     network = FakeNetwork()
     status, body = post(network, "/admin/drain", data)
     assert (status, body["verdict"]) == (400, "not run")
     assert not any(one.draining for one in network.sources.values())
 
 
-def test_a_body_beyond_the_limit_is_refused() -> None:
+def test_body_above_the_limit_is_refused() -> None:
     status, body = post(FakeNetwork(), "/admin/drain", b" " * (LIMIT + 1))
     assert (status, body["reason"]) == (413, "too_large")
 
 
-def test_events_of_all_hosts_come_merged_and_gaps_are_named() -> None:
+def test_events_of_all_hosts_are_merged_and_missing_hosts_listed() -> None:
     network = FakeNetwork(4)
     for number in (3, 1, 2):
         source = network.sources[f"vittoria-{number}"]
@@ -165,7 +169,7 @@
     assert body["missing"] == {}
 
 
-def test_a_host_with_older_events_is_named() -> None:
+def test_hosts_with_truncated_events_are_listed() -> None:
     network = FakeNetwork()
     for number, count in ((1, MAX_EVENTS), (2, MAX_EVENTS + 1)):
         timeline = network.sources[f"vittoria-{number}"].timeline
@@ -179,7 +183,7 @@
     }
 
 
-def test_many_hosts_are_asked_a_bounded_number_at_once() -> None:
+def test_concurrent_host_queries_are_bounded() -> None:
     network = FakeNetwork(100)
     statuses, missing = run(network.fleet().statuses())
     assert len(statuses) == 100
@@ -194,7 +198,7 @@
     query=st.dictionaries(st.text(max_size=8), st.text(max_size=8), max_size=3),
     data=st.binary(max_size=64),
 )
-def test_no_request_fails_within(
+def test_no_request_causes_an_internal_error(
     path: str, method: str, query: dict[str, str], data: bytes
 ) -> None:
     async def steps(client: Any) -> tuple[int, Json]:
@@ -204,6 +208,6 @@
         ) as response:
             return response.status, await response.json()
 
-    status, body = visit(FakeNetwork(1), steps)
+    status, body = run_with_client(FakeNetwork(1), steps)
     assert status < 500
     assert status < 300 or body["verdict"] == "not run"
--- a/tests/test_admin_config.py
+++ b/tests/test_admin_config.py
@@ -1,4 +1,4 @@
-"""The administration API of the configuration, with the real editor."""
+"""Tests of the configuration endpoints, with the real editor."""
 
 import json
 import random
@@ -28,9 +28,9 @@
 
 
 def editor_of(network: FakeNetwork, store: FakeStore) -> ConfigurationEditor:
-    """Return the editor of the first host."""
+    """Return a configuration editor for the first host."""
     source, clock = network.sources["vittoria-1"], SystemClock()
-    keeper = ConfigurationManager(
+    manager = ConfigurationManager(
         source.me,
         network,
         lambda count: [],
@@ -39,11 +39,11 @@
         source.timeline,
         MemoryMetrics(),
     )
-    return ConfigurationEditor(keeper, SnapshotRepository(store), clock)
+    return ConfigurationEditor(manager, SnapshotRepository(store), clock)
 
 
 @asynccontextmanager
-async def visiting(network: FakeNetwork | None = None) -> AsyncIterator[Any]:
+async def api_client(network: FakeNetwork | None = None) -> AsyncIterator[Any]:
     """Serve the API at the first host and yield a client."""
     hosts = network or FakeNetwork()
     source = hosts.sources["vittoria-1"]
@@ -62,19 +62,19 @@
 
 
 async def apply(client: Any, body: Json) -> tuple[int, Json]:
-    """Send an edit."""
+    """Send an edit; return status and body."""
     async with client.post("/admin/config/apply", json=body) as response:
         return response.status, await response.json()
 
 
 async def get(client: Any, path: str) -> tuple[int, Json]:
-    """Ask a question."""
+    """Send a GET request; return status and body."""
     async with client.get(f"/admin/config{path}") as response:
         return response.status, await response.json()
 
 
-@using(visiting)
-async def test_an_edit_is_accepted_under_the_operators_name_and_shown(
+@using(api_client)
+async def test_accepted_edit_is_shown_with_its_author(
     client: Any,
 ) -> None:
     status, body = await apply(client, edit(11, 0, "e1", comment="why"))
@@ -85,16 +85,16 @@
     assert shown["head"]["comment"] == "why"
 
 
-@using(visiting)
-async def test_a_repeated_edit_is_accepted_once(client: Any) -> None:
+@using(api_client)
+async def test_repeated_edit_is_accepted_once(client: Any) -> None:
     first = await apply(client, edit(11, 0, "e1"))
     assert await apply(client, edit(11, 0, "e1")) == first
     _, history = await get(client, "/history")
     assert [one["version"] for one in history["versions"]] == [1]
 
 
-@using(visiting)
-async def test_of_two_operators_who_race_one_is_told_of_the_other(client: Any) -> None:
+@using(api_client)
+async def test_conflicting_edit_is_refused_with_the_changes_since(client: Any) -> None:
     await apply(client, edit(11, 0, "e1"))
     assert (await apply(client, edit(12, 1, "e2")))[0] == 200
     status, body = await apply(client, edit(13, 1, "e3"))
@@ -108,8 +108,8 @@
     assert shown["base"] == documents(12).base
 
 
-@using(visiting)
-async def test_every_fault_is_named_and_nothing_changes(client: Any) -> None:
+@using(api_client)
+async def test_invalid_edit_lists_all_faults_and_changes_nothing(client: Any) -> None:
     wrong = {"base": "limits: {queue: -1, qeueu: 2}\n", "overlays": {"x": "- 1"}}
     async with client.post("/admin/config/check", json=wrong) as response:
         checked = await response.json()
@@ -123,15 +123,15 @@
     assert (await get(client, "/history"))[1] == {"versions": []}
 
 
-@using(visiting)
-async def test_a_check_accepts_and_changes_nothing(client: Any) -> None:
+@using(api_client)
+async def test_check_of_valid_documents_changes_nothing(client: Any) -> None:
     body = documents(11).to_json()
     async with client.post("/admin/config/check", json=body) as response:
         assert (await response.json())["valid"] is True
     assert (await get(client, ""))[1]["reason"] == "no_configuration"
 
 
-@using(visiting)
+@using(api_client)
 async def test_malformed_edits_are_refused(client: Any) -> None:
     wrong: list[Json] = [
         {"parent": "1"},
@@ -151,8 +151,8 @@
     assert (await get(client, "/history"))[1] == {"versions": []}
 
 
-@using(visiting)
-async def test_a_diff_names_the_paths_that_changed(client: Any) -> None:
+@using(api_client)
+async def test_diff_lists_the_changed_paths(client: Any) -> None:
     await apply(client, edit(11, 0, "e1"))
     await apply(client, edit(12, 1, "e2"))
     _, body = await get(client, "/diff?from=1&to=2")
@@ -181,8 +181,8 @@
 
 @settings(max_examples=60)
 @given(path=st.sampled_from(["check", "apply"]), body=edits | values)
-@using(visiting)
-async def test_no_edit_fails_within_or_takes_effect_by_mistake(
+@using(api_client)
+async def test_arbitrary_edits_cause_no_internal_error_or_unreported_change(
     client: Any, path: str, body: Any
 ) -> None:
     url = f"/admin/config/{path}"
@@ -196,11 +196,11 @@
 
 
 @on_loop
-async def test_the_status_names_each_hosts_version() -> None:
+async def test_status_lists_the_version_of_each_host() -> None:
     network = FakeNetwork(3)
     network.sources["vittoria-3"].version = 9
     network.cut.add("vittoria-2")
-    async with visiting(network=network) as client:
+    async with api_client(network=network) as client:
         _, body = await get(client, "/status")
         assert body["newest"] == 9
         versions = {one["host"]: one["version"] for one in body["hosts"]}
--- a/tests/test_admin_docs.py
+++ b/tests/test_admin_docs.py
@@ -1,4 +1,4 @@
-"""The operators' pages name what there is."""
+"""Tests that the operators' pages cover all routes, settings and metrics."""
 
 import re
 from pathlib import Path
@@ -69,7 +69,7 @@
         assert f"`{name}`" in OPERATIONS or short in OPERATIONS, name
 
 
-def test_the_help_lists_the_exit_codes() -> None:
+def test_help_lists_the_exit_codes() -> None:
     for text, codes in ((command.__doc__, ToolExitCode), (daemon.__doc__, DaemonExit)):
         assert text is not None
         listed = text.split("Exit codes:")[1]
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Work beside its owner: it ends with it, and its failure is logged."""
+"""Tests that background tasks can be cancelled and their failures are logged."""
 
 import asyncio
 import os
@@ -10,17 +10,19 @@
 from .fakes_clock import LoopClock, run_virtual
 
 
-async def failing() -> None:
+async def fail() -> None:
     raise ValueError("broken")
 
 
-def test_a_failure_is_logged_with_what_it_was_about() -> None:
+def test_failure_is_logged_with_its_fields() -> None:
     async def main() -> None:
-        out, into = os.pipe()
-        background = BackgroundTasks(DecisionLog("h1", LoopClock(), into), service="db")
-        background.spawn(failing())
+        read_fd, write_fd = os.pipe()
+        background = BackgroundTasks(
+            DecisionLog("h1", LoopClock(), write_fd), service="db"
+        )
+        background.spawn(fail())
         await asyncio.sleep(0.01)
-        line = decode(os.read(out, 1000))
+        line = decode(os.read(read_fd, 1000))
         assert line["event"] == "task_failed"
         assert line["service"] == "db"
         assert "broken" in line["error"]
@@ -29,11 +31,11 @@
     run_virtual(main())
 
 
-def test_cancelled_work_is_no_failure() -> None:
+def test_cancellation_is_not_logged_as_failure() -> None:
     async def main() -> None:
-        out, into = os.pipe()
-        os.set_blocking(out, False)
-        background = BackgroundTasks(DecisionLog("h1", LoopClock(), into))
+        read_fd, write_fd = os.pipe()
+        os.set_blocking(read_fd, False)
+        background = BackgroundTasks(DecisionLog("h1", LoopClock(), write_fd))
         task = background.spawn(asyncio.sleep(10.0))
         await asyncio.sleep(0.01)
         background.cancel()
@@ -41,7 +43,7 @@
         assert task.cancelled()
         assert not background.tasks
         try:
-            raise AssertionError(os.read(out, 1000))
+            raise AssertionError(os.read(read_fd, 1000))
         except BlockingIOError:
             pass
 
--- a/tests/test_command_settings.py
+++ b/tests/test_command_settings.py
@@ -1,4 +1,4 @@
-"""The tool's check of settings files."""
+"""Tests of the command ``settings check``."""
 
 import io
 from pathlib import Path
@@ -24,8 +24,8 @@
 """
 
 
-def checked(tmp_path: Path, text: str) -> tuple[int, str, str]:
-    """Check a file with that text; return the exit code and what was printed."""
+def check_settings(tmp_path: Path, text: str) -> tuple[int, str, str]:
+    """Check a file with `text`; return the exit code, stdout and stderr."""
     path = tmp_path / "file"
     path.write_text(text)
     out, err = io.StringIO(), io.StringIO()
@@ -33,8 +33,8 @@
     return code, out.getvalue(), err.getvalue()
 
 
-def test_a_file_of_the_platform_passes(tmp_path: Path) -> None:
-    code, out, err = checked(tmp_path, PLATFORM)
+def test_valid_platform_file_passes(tmp_path: Path) -> None:
+    code, out, err = check_settings(tmp_path, PLATFORM)
     assert (code, err) == (0, "")
     assert "(the platform's format) are fine" in out
 
@@ -48,15 +48,15 @@
         ("ip=10.0.0.1", "ip", "line 4"),
     ],
 )
-def test_a_fault_is_named_with_its_line(
+def test_fault_is_reported_with_its_line(
     tmp_path: Path, before: str, after: str, named: str
 ) -> None:
-    code, out, err = checked(tmp_path, PLATFORM.replace(before, after))
+    code, out, err = check_settings(tmp_path, PLATFORM.replace(before, after))
     assert (code, out) == (2, "")
     assert named in err
 
 
-def test_a_yaml_file_passes(tmp_path: Path) -> None:
+def test_valid_yaml_file_passes(tmp_path: Path) -> None:
     examples = Path(__file__).parent.parent / "examples"
     found = sorted(examples.glob("*/hosts/*.yaml"))
     assert found
@@ -66,14 +66,14 @@
     assert "(YAML) are fine" in out.getvalue()
 
 
-def test_every_fault_of_a_yaml_file_is_named(tmp_path: Path) -> None:
-    code, out, err = checked(tmp_path, "host: 3\nzone: []\n")
+def test_all_faults_of_a_yaml_file_are_reported(tmp_path: Path) -> None:
+    code, out, err = check_settings(tmp_path, "host: 3\nzone: []\n")
     assert (code, out) == (2, "")
     assert "host" in err
     assert "zone" in err
 
 
-def test_a_file_that_is_not_there_is_an_error(tmp_path: Path) -> None:
+def test_missing_file_is_an_error(tmp_path: Path) -> None:
     out, err = io.StringIO(), io.StringIO()
     code = run(execute(["settings", "check", str(tmp_path / "no")], {}, out, err))
     assert code == 2
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Structured lines are bounded, and no event drowns another."""
+"""Tests that the decision log is rate-limited without hiding rare events."""
 
 import os
 
@@ -8,32 +8,32 @@
 from .fakes_clock import LoopClock, in_virtual_time
 
 
-def written(descriptor: int) -> list[str]:
-    """Return the events of the lines in a pipe."""
+def read_events(descriptor: int) -> list[str]:
+    """Return the event names of the lines in a pipe."""
     lines = os.read(descriptor, 1 << 20).splitlines()
     return [decode(line)["event"] for line in lines]
 
 
 @in_virtual_time
-async def test_a_flood_of_one_event_leaves_room_for_others() -> None:
-    reading, writing = os.pipe()
-    decisions = DecisionLog("h1", LoopClock(), writing)
+async def test_frequent_event_does_not_suppress_others() -> None:
+    read_fd, write_fd = os.pipe()
+    decisions = DecisionLog("h1", LoopClock(), write_fd)
     for _ in range(1000):
         decisions.record("target_unreachable", target="i-1")
     decisions.record("primary_change", service="db")
-    events = written(reading)
+    events = read_events(read_fd)
     assert events[-1] == "primary_change"
     assert len(events) < BURST_LINES
-    os.close(reading)
-    os.close(writing)
+    os.close(read_fd)
+    os.close(write_fd)
 
 
 @in_virtual_time
-async def test_all_events_together_are_bounded() -> None:
-    reading, writing = os.pipe()
-    decisions = DecisionLog("h1", LoopClock(), writing)
+async def test_total_rate_of_events_is_limited() -> None:
+    read_fd, write_fd = os.pipe()
+    decisions = DecisionLog("h1", LoopClock(), write_fd)
     for number in range(1000):
         decisions.record(f"event_{number % 20}")
-    assert len(written(reading)) <= BURST_LINES
-    os.close(reading)
-    os.close(writing)
+    assert len(read_events(read_fd)) <= BURST_LINES
+    os.close(read_fd)
+    os.close(write_fd)
--- a/tests/test_keys_on_the_wire.py
+++ b/tests/test_keys_on_the_wire.py
@@ -1,4 +1,4 @@
-"""Callers' keys on real sockets: what is answered, and where no key may stand."""
+"""Tests of callers' keys over real sockets: responses, and no key in any output."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 FARM = {"name": "farm", "keys": [KEY, "clé-4711"]}
 
 
-class Lines:
-    """One caller's connection."""
+class CallerClient:
+    """Hold the connection of a caller."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -29,7 +29,7 @@
         self.writer = writer
 
     async def ask(self, text: str) -> list[str]:
-        """Send a line and return what is answered, to the next state or the end."""
+        """Send a line; return the lines up to READY or the end of the connection."""
         self.writer.write(f"{text}\r\n".encode("latin-1"))
         lines: list[str] = []
         while raw := await self.reader.readline():
@@ -39,12 +39,12 @@
         return lines
 
 
-Connect = Callable[[], Awaitable[Lines]]
+Connect = Callable[[], Awaitable[CallerClient]]
 Test = Callable[[SessionWorld, SessionHost, Connect], Awaitable[None]]
 
 
 def with_host(test: Test) -> str:
-    """Run a test with a host whose routes need a key; return all that it logged."""
+    """Run a test with a host whose routes require a key; return the host's log."""
     read, write = os.pipe()
     os.set_blocking(read, False)
 
@@ -52,19 +52,19 @@
         world = SessionWorld(zones=1, hosts_a_zone=1)
         world.configure(1, ["tickets"], [FARM])
         host = await world.start_host(world.refs[0])
-        use(host, DecisionLog(host.me.host, host.clock, output_fd=write))
+        set_decision_log(host, DecisionLog(host.me.host, host.clock, output_fd=write))
         await host.announcements.configured.wait()
-        front = CallerListener(host.caller_sessions, "127.0.0.1:0")
-        await front.start()
-        address, _, port = front.address.rpartition(":")
+        listener = CallerListener(host.caller_sessions, "127.0.0.1:0")
+        await listener.start()
+        address, _, port = listener.address.rpartition(":")
 
-        async def connect() -> Lines:
-            return Lines(*await asyncio.open_connection(address, int(port)))
+        async def connect() -> CallerClient:
+            return CallerClient(*await asyncio.open_connection(address, int(port)))
 
         try:
             await test(world, host, connect)
         finally:
-            front.stop()
+            listener.stop()
             await world.stop()
 
     asyncio.run(run())
@@ -73,8 +73,8 @@
     return ""
 
 
-def use(host: SessionHost, decisions: DecisionLog) -> None:
-    """Have the parts that see callers write their lines."""
+def set_decision_log(host: SessionHost, decisions: DecisionLog) -> None:
+    """Replace the decision log of the parts of a host that handle callers."""
     host.caller_sessions.decisions = decisions
     host.caller_sessions.authorization.decisions = decisions
     host.announcements.decisions = decisions
@@ -84,20 +84,20 @@
 @pytest.mark.parametrize(
     "key", ["", f" {WRONG}", f" {KEY} ", f" {'k' * 300}", " k\xe9y", " two words"]
 )
-def test_a_key_that_opens_nothing_is_denied_at_once_and_closed(key: str) -> None:
+def test_invalid_key_is_denied_and_the_connection_closed(key: str) -> None:
     async def test(world: SessionWorld, host: SessionHost, connect: Connect) -> None:
-        line = await connect()
-        answer = await line.ask(f"START tickets{key}")
+        caller = await connect()
+        answer = await caller.ask(f"START tickets{key}")
         assert len(answer) == 1
         assert answer[0].startswith("ERROR DENIED ")
-        assert await line.reader.read() == b""
+        assert await caller.reader.read() == b""
         assert not world.group.ran_as
 
     with_host(test)
 
 
-def test_a_key_is_compared_by_its_bytes() -> None:
-    """Configurations hold text, the wire bytes: keys are UTF-8 on it."""
+def test_key_is_compared_as_utf8_bytes() -> None:
+    """Keys are text in configurations and UTF-8 in the protocol."""
 
     async def test(world: SessionWorld, host: SessionHost, connect: Connect) -> None:
         key = "clé-4711".encode().decode("latin-1")
@@ -108,48 +108,48 @@
     with_host(test)
 
 
-def test_no_key_is_in_anything_that_a_host_writes_or_serves() -> None:
-    said: list[str] = []
+def test_no_key_appears_in_logs_metrics_or_responses() -> None:
+    outputs: list[str] = []
 
     async def test(world: SessionWorld, host: SessionHost, connect: Connect) -> None:
-        line = await connect()
-        said.extend(await line.ask(f"START tickets {KEY}"))
-        said.extend(await line.ask("QUERY 1 SET a b"))
-        said.extend(await line.ask("QUERY 2 READ a"))
-        said.extend(await line.ask("QUERY 3 WHAT"))
-        for first in (
+        caller = await connect()
+        outputs.extend(await caller.ask(f"START tickets {KEY}"))
+        outputs.extend(await caller.ask("QUERY 1 SET a b"))
+        outputs.extend(await caller.ask("QUERY 2 READ a"))
+        outputs.extend(await caller.ask("QUERY 3 WHAT"))
+        for start in (
             f"START tickets {WRONG}",
             f"START nobody {WRONG}",
             f"WHAT tickets {WRONG}",
             f"START tickets {WRONG}\x00",
         ):
-            said.extend(await (await connect()).ask(first))
+            outputs.extend(await (await connect()).ask(start))
         world.store.write("op", encode({"version": "x", "workspaces": [FARM]}))
         world.configure(3, ["tickets"], [])
         await asyncio.sleep(1.5)
-        said.extend(await line.ask("QUERY 4 READ a"))
-        said.append(host.metrics.render())
-        said.append(repr(vars(host.caller_sessions)))
-        said.append(repr(host.announcements.table_value))
-        said.append(repr(host.announcements.table.workspaces.by_digest))
+        outputs.extend(await caller.ask("QUERY 4 READ a"))
+        outputs.append(host.metrics.render())
+        outputs.append(repr(vars(host.caller_sessions)))
+        outputs.append(repr(host.announcements.table_value))
+        outputs.append(repr(host.announcements.table.workspaces.by_digest))
 
-    logged = with_host(test)
-    assert '"denied"' in logged
-    assert "ERROR DENIED" in " ".join(said)
-    everything = logged + " ".join(said)
-    assert "marked" not in everything
+    log = with_host(test)
+    assert '"denied"' in log
+    assert "ERROR DENIED" in " ".join(outputs)
+    all_output = log + " ".join(outputs)
+    assert "marked" not in all_output
 
 
-def test_a_flood_of_unknown_keys_costs_few_lines() -> None:
+def test_log_lines_for_unknown_keys_are_rate_limited() -> None:
     async def test(world: SessionWorld, host: SessionHost, connect: Connect) -> None:
         for index in range(400):
-            line = await connect()
-            await line.ask(f"START tickets {WRONG}{index}")
-            line.writer.close()
+            caller = await connect()
+            await caller.ask(f"START tickets {WRONG}{index}")
+            caller.writer.close()
         await asyncio.sleep(0.05)
         assert not host.caller_sessions.connections
         assert not host.announcements.table.workspaces.by_name.keys() - {"farm"}
 
-    logged = with_host(test)
-    assert logged.count('"denied"') < 400
-    assert "marked" not in logged
+    log = with_host(test)
+    assert log.count('"denied"') < 400
+    assert "marked" not in log
--- a/tests/test_peer_connector.py
+++ b/tests/test_peer_connector.py
@@ -1,4 +1,4 @@
-"""The connector of all HTTP clients."""
+"""Tests of the connector of the HTTP clients."""
 
 import asyncio
 import os
@@ -13,8 +13,8 @@
 from .support import on_loop
 
 
-def test_timeouts_while_connections_open_do_no_harm() -> None:
-    """With aiohttp's own connector the process aborts."""
+def test_connect_timeouts_do_not_abort_the_process() -> None:
+    """Guards against the abort that aiohttp's own connector causes with uvloop."""
     done = subprocess.run(
         [sys.executable, "-m", "tests.connector_storm"],
         env={"PYTHONPATH": os.pathsep.join(sys.path)},
@@ -27,7 +27,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_and_one_in_time() -> None:
+async def test_connector_succeeds_and_reports_refused_connections() -> None:
     server = web.ServerRunner(web.Server(respond))
     await server.setup()
     await web.TCPSite(server, "127.0.0.1", 0).start()
@@ -42,6 +42,6 @@
 
 
 async def respond(request: web.BaseRequest) -> web.Response:
-    """Answer anything."""
+    """Answer any request."""
     await asyncio.sleep(0)
     return web.Response(body=b"here")
--- a/tests/test_peer_fakes.py
+++ b/tests/test_peer_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes that other tests rely on: virtual time and the faulty network."""
+"""Tests of the fakes of other tests: virtual time and the faulty network."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 TWO = HostRef("two", "comiso", "127.0.0.1:2")
 
 
-def pair(network: FakeNetwork) -> tuple[FakePeers, list[Json]]:
+def connect_pair(network: FakeNetwork) -> tuple[FakePeers, list[Json]]:
     seen: list[Json] = []
 
     async def note(body: Json) -> Json:
@@ -32,7 +32,7 @@
     return network.join(ONE, PeerRoutes()), seen
 
 
-def test_virtual_time_jumps_and_names_a_deadlock() -> None:
+def test_virtual_time_skips_sleeps_and_detects_deadlock() -> None:
     async def main() -> float:
         await asyncio.sleep(3600)
         return asyncio.get_running_loop().time()
@@ -46,9 +46,9 @@
 
 
 @in_virtual_time
-async def test_a_refusal_travels_and_a_crash_is_not_sent() -> None:
+async def test_refusal_is_raised_at_the_caller_and_crashed_host_gets_nothing() -> None:
     network = FakeNetwork()
-    peers, _ = pair(network)
+    peers, _ = connect_pair(network)
     with pytest.raises(RefusalError) as refused:
         await peers.call(TWO, "refuse", {}, 1.0)
     assert refused.value.reason is RefusalReason.WRONG_HOME
@@ -61,11 +61,11 @@
 
 @pytest.mark.parametrize(("sender", "effects"), [("one", 0), ("two", 1)])
 @in_virtual_time
-async def test_a_one_way_cut_loses_the_question_or_the_answer(
+async def test_one_way_partition_loses_request_or_response(
     sender: str, effects: int
 ) -> None:
     network = FakeNetwork()
-    peers, seen = pair(network)
+    peers, seen = connect_pair(network)
     network.cut(sender, "two" if sender == "one" else "one")
     with pytest.raises(PeerError) as failed:
         await peers.call(TWO, "note", {"n": 1}, 1.0)
@@ -74,9 +74,9 @@
 
 
 @in_virtual_time
-async def test_a_paused_host_answers_after_it_resumes() -> None:
+async def test_paused_host_answers_after_it_resumes() -> None:
     network = FakeNetwork()
-    peers, seen = pair(network)
+    peers, seen = connect_pair(network)
     network.pause("two")
     call = asyncio.create_task(peers.call(TWO, "note", {}, 10.0))
     await asyncio.sleep(2.0)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""Lines, texts, documents and settings of the platform."""
+"""Tests of the parsers of the platform's lines, statements, documents and settings."""
 
 import contextlib
 
@@ -21,7 +21,7 @@
 from reedhook.version.route_table import RouteConsistency, TargetAnnouncement
 from reedhook.wire import WireError, encode
 
-ENTRY: dict[str, object] = {
+ANNOUNCEMENT: dict[str, object] = {
     "service": "huvo11a",
     "address": "10.128.0.9:8080",
     "zone": "vittoria",
@@ -40,7 +40,9 @@
     | st.text(st.characters(exclude_categories=["Cs"]), max_size=8),
     lambda inner: st.lists(inner, max_size=4)
     | st.dictionaries(
-        st.sampled_from([*ENTRY, "version", "routes", "services", "limits", "name"]),
+        st.sampled_from(
+            [*ANNOUNCEMENT, "version", "routes", "services", "limits", "name"]
+        ),
         inner,
         max_size=6,
     ),
@@ -48,8 +50,8 @@
 )
 
 
-def read_entry(**fields: object) -> TargetAnnouncement:
-    """Read what a target announces with these fields."""
+def read_announcement(**fields: object) -> TargetAnnouncement:
+    """Parse a target announcement with `fields`."""
     return PlatformDocuments().read_target("servers/i-7f3a", orjson.dumps(fields))
 
 
@@ -101,7 +103,7 @@
 
 
 @given(LINES, st.lists(st.integers(1, 40), min_size=1))
-def test_lines_are_the_same_however_they_arrive(
+def test_lines_do_not_depend_on_how_the_stream_is_split(
     lines: list[str], cuts: list[int]
 ) -> None:
     data = b"".join(encode_line(line) for line in lines)
@@ -118,7 +120,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_bring_a_reader_down(data: bytes) -> None:
+def test_line_reader_raises_only_line_errors(data: bytes) -> None:
     reader = LineReader()
     try:
         for line in reader.feed(data):
@@ -137,12 +139,14 @@
     ],
     ids=["bare line feed", "nul", "bare carriage return", "too long"],
 )
-def test_lines_that_could_smuggle_another_are_refused(data: bytes) -> None:
+def test_lines_with_control_characters_or_excess_length_are_refused(
+    data: bytes,
+) -> None:
     with pytest.raises(LineError):
         list(LineReader().feed(data))
 
 
-def test_a_line_of_the_longest_size_is_read() -> None:
+def test_line_of_maximum_length_is_read() -> None:
     line = "x" * (MAX_LINE_BYTES - 2)
     assert list(LineReader().feed(encode_line(line))) == [line]
 
@@ -163,7 +167,7 @@
         ("DEALLOCATE s1", SessionCommandKind.DEALLOCATE, "s1", False),
     ],
 )
-def test_texts_are_read(
+def test_statements_are_parsed(
     text: str, kind: SessionCommandKind, name: str, writes: bool
 ) -> None:
     command = read_command(text)
@@ -175,23 +179,23 @@
     "text",
     ["", "READ", "READ  a", "AFTER 3.1 READ a", "STATUS", "DEMOTE 4", "begin", "RESET"],
 )
-def test_texts_that_callers_may_not_send_are_malformed(text: str) -> None:
+def test_statements_not_allowed_to_callers_are_malformed(text: str) -> None:
     assert read_command(text).kind is SessionCommandKind.MALFORMED
 
 
 @given(st.text(max_size=40))
-def test_no_text_brings_the_reader_down(text: str) -> None:
+def test_statement_parser_accepts_any_text(text: str) -> None:
     assert read_command(text).text == text
 
 
-def test_positions_stand_in_fields() -> None:
+def test_positions_are_parsed_and_formatted() -> None:
     assert read_position("3.1207") == Position(3, 1207)
     assert read_position("-") is None
     assert write_position(None) == "-"
     assert after(Position(3, 9), "READ a") == "AFTER 3.9 READ a"
 
 
-def test_a_configuration_is_read_and_unknown_kinds_serve_nobody() -> None:
+def test_configuration_is_parsed_and_routes_of_unknown_kind_skipped() -> None:
     table = PlatformDocuments().read_table(encode(CONFIGURATION))
     assert table.version == 7
     assert set(table.routes) == {"lepu270"}
@@ -203,48 +207,52 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version": 1}', b"\xff"])
-def test_a_malformed_configuration_is_refused(value: bytes) -> None:
+def test_malformed_configuration_is_refused(value: bytes) -> None:
     with pytest.raises(WireError):
         PlatformDocuments().read_table(value)
 
 
-def test_a_target_is_read() -> None:
-    entry = read_entry(**ENTRY)
+def test_announcement_is_parsed() -> None:
+    entry = read_announcement(**ANNOUNCEMENT)
     assert entry.target == "i-7f3a"
     assert entry.leaving and entry.claims_primary
     assert (entry.started_at_ms, entry.sequence) == (1_764_720_000_000, 4)
 
 
-def test_a_target_whose_start_is_not_stated_is_read() -> None:
-    entry = read_entry(**{name: ENTRY[name] for name in ENTRY if name != "born"})
+def test_announcement_without_start_time_is_parsed() -> None:
+    entry = read_announcement(
+        **{name: ANNOUNCEMENT[name] for name in ANNOUNCEMENT if name != "born"}
+    )
     assert entry.started_at_ms == 0
 
 
-@pytest.mark.parametrize("name", [name for name in ENTRY if name != "born"])
-def test_an_entry_that_lacks_a_field_names_no_target(name: str) -> None:
+@pytest.mark.parametrize("name", [name for name in ANNOUNCEMENT if name != "born"])
+def test_announcement_without_a_required_field_is_refused(name: str) -> None:
     with pytest.raises(WireError):
-        read_entry(**{one: ENTRY[one] for one in ENTRY if one != name})
+        read_announcement(
+            **{one: ANNOUNCEMENT[one] for one in ANNOUNCEMENT if one != name}
+        )
 
 
-@pytest.mark.parametrize("name", list(ENTRY))
+@pytest.mark.parametrize("name", list(ANNOUNCEMENT))
 @pytest.mark.parametrize(
     "value", [None, True, False, -1, 1.5, "", "a b", "a\r\nb", [], {}, ["ready"], "é"]
 )
-def test_an_entry_with_a_field_of_another_type_names_no_target(
+def test_announcement_with_an_invalid_field_is_refused(
     name: str, value: object
 ) -> None:
     with pytest.raises(WireError):
-        read_entry(**{**ENTRY, name: value})
+        read_announcement(**{**ANNOUNCEMENT, name: value})
 
 
 @pytest.mark.parametrize("key", ["servers/", "servers/a b", "servers/a\r\nb", "op/x"])
-def test_a_key_that_names_no_target_is_refused(key: str) -> None:
+def test_invalid_key_of_an_announcement_is_refused(key: str) -> None:
     with pytest.raises(WireError):
-        PlatformDocuments().read_target(key, encode(ENTRY))
+        PlatformDocuments().read_target(key, encode(ANNOUNCEMENT))
 
 
 @given(st.binary(max_size=300) | JSON.map(orjson.dumps))
-def test_nothing_in_the_store_brings_the_readers_down(value: bytes) -> None:
+def test_parsers_of_store_values_raise_only_wire_errors(value: bytes) -> None:
     with contextlib.suppress(WireError):
         PlatformDocuments().read_table(value)
     with contextlib.suppress(WireError):
@@ -252,15 +260,13 @@
 
 
 @given(st.sampled_from(list(CONFIGURATION)), JSON)
-def test_no_part_of_a_configuration_brings_the_reader_down(
-    name: str, value: object
-) -> None:
+def test_configuration_parser_raises_only_wire_errors(name: str, value: object) -> None:
     with contextlib.suppress(WireError):
         PlatformDocuments().read_table(orjson.dumps({**CONFIGURATION, name: value}))
 
 
 @given(JSON, st.sampled_from(["name", "api_keys", "rate_per_s", "burst", "priority"]))
-def test_no_workspace_brings_the_reader_down(value: object, name: str) -> None:
+def test_workspace_parser_raises_only_wire_errors(value: object, name: str) -> None:
     good = {"name": "farm", "api_keys": ["key"], "rate_per_s": 5, "burst": 5}
     documents = PlatformDocuments()
     for tenants in (value, [value, good], [{**good, name: value}]):
@@ -269,7 +275,7 @@
             documents.read_table(documents.without_keys(whole))
 
 
-def test_bounds_of_keys_and_rates_are_read() -> None:
+def test_revocation_and_rate_bounds_are_parsed() -> None:
     settings = read(SETTINGS)
     assert settings.revoke is None
     assert settings.rates == DEFAULT_TOLERANCE
@@ -283,7 +289,7 @@
     assert read(SETTINGS + bounds.replace("true", "false")).revoke is None
 
 
-def test_settings_are_read_and_unknown_fields_ignored() -> None:
+def test_settings_are_parsed_and_unknown_fields_ignored() -> None:
     settings = read(SETTINGS)
     assert settings.host == "front-vittoria-1"
     assert settings.peer_listen == "10.1.0.8:7440"
@@ -307,14 +313,14 @@
         ),
     ],
 )
-def test_wrong_settings_are_told_with_their_line(
+def test_invalid_settings_are_reported_with_their_line(
     old: str, new: str, message: str
 ) -> None:
     with pytest.raises(SettingsError, match=message.replace(".", r"\.")):
         read(SETTINGS.replace(old, new))
 
 
-def test_the_file_is_named_by_the_command_line_or_the_environment(
+def test_settings_path_comes_from_command_line_or_environment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv("REEDHOOK_SETTINGS", raising=False)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against a stand-in over HTTP."""
+"""Tests of the store client against a stand-in of the store over HTTP."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 def with_store(
     test: Callable[[KeyValueStandIn, PlatformStore], Awaitable[None]],
 ) -> None:
-    """Run a test with a stand-in and a client of it."""
+    """Run a test with a stand-in of the store and a client."""
 
     async def run() -> None:
         stand_in = KeyValueStandIn()
@@ -37,7 +37,7 @@
     asyncio.run(run())
 
 
-def test_items_are_written_under_a_condition_and_read() -> None:
+def test_conditional_writes_and_reads() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         assert await store.get("a", TIMEOUT) is None
         revision = await store.put("a", b"1", 0, TIMEOUT)
@@ -51,7 +51,7 @@
     with_store(test)
 
 
-def test_a_list_is_read_page_by_page() -> None:
+def test_list_is_read_page_by_page() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         for number in range(5):
             stand_in.write(f"k{number}", b"v")
@@ -62,7 +62,7 @@
     with_store(test)
 
 
-def test_changes_are_told_once_they_come_deletions_included() -> None:
+def test_watch_returns_changes_and_deletions() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.write("a", b"1")
         waiting = asyncio.create_task(
@@ -76,7 +76,7 @@
     with_store(test)
 
 
-def test_a_history_that_is_gone_is_told() -> None:
+def test_watch_of_compacted_history_raises() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.write("a", b"1")
         stand_in.forget()
@@ -86,7 +86,7 @@
     with_store(test)
 
 
-def test_leases_are_granted_kept_and_ended() -> None:
+def test_leases_are_granted_renewed_and_revoked() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         lease = await store.grant_lease(5.0, TIMEOUT)
         await store.put("a", b"1", None, TIMEOUT, lease)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("status", [403, 429, 503])
-def test_a_call_that_is_turned_away_has_done_nothing(status: int) -> None:
+def test_error_status_raises_store_rejected(status: int) -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.status = status
         with pytest.raises(StoreRejectedError):
@@ -113,7 +113,7 @@
     with_store(test)
 
 
-def test_silence_and_refused_connections_leave_a_call_unanswered() -> None:
+def test_timeout_and_refused_connection_raise_store_unanswered() -> None:
     async def test(stand_in: KeyValueStandIn, store: PlatformStore) -> None:
         stand_in.silent = True
         with pytest.raises(StoreUnansweredError):
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Both ends of the platform's wire, on real sockets."""
+"""Tests of the line protocol with callers and targets over real sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,23 +32,25 @@
     test: Callable[[WireMemberStandIn, TargetAnnouncement], Awaitable[None]],
     answers: dict[str, bytes] | None = None,
 ) -> None:
-    """Run a test with a stand-in of a target."""
+    """Run a test with a stand-in target and its announcement."""
 
     async def run() -> None:
         member = WireMemberStandIn(answers)
         await member.start()
-        entry = TargetAnnouncement("i-1", "huvo11a", member.address, "z", False, False)
+        announcement = TargetAnnouncement(
+            "i-1", "huvo11a", member.address, "z", False, False
+        )
         try:
-            await test(member, entry)
+            await test(member, announcement)
         finally:
             await member.stop()
 
     asyncio.run(run())
 
 
-def test_queries_that_travel_together_are_answered_in_order() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
-        connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
+def test_pipelined_queries_are_answered_in_order() -> None:
+    async def test(member: WireMemberStandIn, announcement: TargetAnnouncement) -> None:
+        connection = await WireDriver("reedhook").connect(announcement, TIMEOUT)
         queries = [
             TargetQuery("", "RESET"),
             TargetQuery("5c0e", "READ a", Position(3, 9)),
@@ -75,9 +77,9 @@
     with_member(test, {"AFTER 3.9 READ a": LAGGING})
 
 
-def test_the_state_of_a_target_is_read() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
-        connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
+def test_status_of_a_target_is_parsed() -> None:
+    async def test(member: WireMemberStandIn, announcement: TargetAnnouncement) -> None:
+        connection = await WireDriver("reedhook").connect(announcement, TIMEOUT)
         status = await connection.status(TIMEOUT)
         assert not status.is_primary
         assert (status.term, status.received) == (3, Position(3, 1209))
@@ -94,13 +96,13 @@
         (b"ERROR BUSY x\r\n", SessionTargetUnreachableError),
     ],
 )
-def test_a_start_that_is_refused_says_why(
+def test_refused_start_raises_the_specific_error(
     answer: bytes, error: type[SessionTargetUnreachableError]
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
+    async def test(member: WireMemberStandIn, announcement: TargetAnnouncement) -> None:
         member.start_answer = answer
         with pytest.raises(error):
-            await WireDriver("reedhook").connect(entry, TIMEOUT)
+            await WireDriver("reedhook").connect(announcement, TIMEOUT)
 
     with_member(test)
 
@@ -109,11 +111,11 @@
     "answer",
     [b"ROW half\r\nREADY I", b"WHAT\r\n", b"READY I x.y\r\n", b"\xff\r\n"],
 )
-def test_an_answer_that_cannot_be_read_leaves_the_exchange_in_doubt(
+def test_malformed_reply_raises_no_reply_and_closes(
     answer: bytes,
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
-        connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
+    async def test(member: WireMemberStandIn, announcement: TargetAnnouncement) -> None:
+        connection = await WireDriver("reedhook").connect(announcement, TIMEOUT)
         with pytest.raises(SessionTargetNoReplyError):
             await connection.exchange([TargetQuery("1", "READ a")], 0.1)
         assert connection.closed
@@ -121,17 +123,17 @@
     with_member(test, {"READ a": answer})
 
 
-def test_a_silent_target_is_given_up() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
+def test_connect_to_a_silent_target_times_out() -> None:
+    async def test(member: WireMemberStandIn, announcement: TargetAnnouncement) -> None:
         member.silent = True
         with pytest.raises(SessionTargetUnreachableError):
-            await WireDriver("reedhook").connect(entry, 0.05)
+            await WireDriver("reedhook").connect(announcement, 0.05)
 
     with_member(test)
 
 
-class Line:
-    """One caller's connection to the front."""
+class CallerClient:
+    """Hold the connection of a caller."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -145,57 +147,61 @@
         return (await self.reader.readline()).decode("latin-1").rstrip("\r\n")
 
     async def next(self) -> str:
-        """Return the next line; empty at the end."""
+        """Return the next line; empty at the end of the connection."""
         return (await self.reader.readline()).decode("latin-1").rstrip("\r\n")
 
 
-def with_front(
-    test: Callable[[CallerSessions, Line, SessionWorld], Awaitable[None]],
+def with_listener(
+    test: Callable[[CallerSessions, CallerClient, SessionWorld], Awaitable[None]],
 ) -> None:
-    """Run a test with a front whose host knows a configuration and no target."""
+    """Run a test with a listener whose host has a configuration but no target."""
 
     async def run() -> None:
         world = SessionWorld(zones=1, hosts_a_zone=1)
         world.configure(1, ["tickets", "views"])
         host = await world.start_host(world.refs[0])
         await host.announcements.configured.wait()
-        front = CallerListener(host.caller_sessions, "127.0.0.1:0")
-        await front.start()
-        address, _, port = front.address.rpartition(":")
+        listener = CallerListener(host.caller_sessions, "127.0.0.1:0")
+        await listener.start()
+        address, _, port = listener.address.rpartition(":")
         reader, writer = await asyncio.open_connection(address, int(port))
         try:
-            await test(host.caller_sessions, Line(reader, writer), world)
+            await test(host.caller_sessions, CallerClient(reader, writer), world)
         finally:
             writer.close()
-            front.stop()
+            listener.stop()
             await world.stop()
 
     asyncio.run(run())
 
 
-def test_a_session_answers_what_needs_no_target() -> None:
-    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
-        assert await line.send(b"START tickets u1\r\n") == "READY I -"
-        assert await line.send(b"QUERY 1 SET a b\r\n") == "COMPLETE -"
-        assert await line.next() == "READY I -"
-        assert await line.send(b"QUERY 2 PREPARE s READ q\r\n") == "COMPLETE -"
-        assert await line.next() == "READY I -"
-        assert await line.send(b"QUERY 3 BEGIN\r\n") == "COMPLETE -"
-        assert await line.next() == "READY T -"
-        assert await line.send(b"QUERY 4 BEGIN\r\n") == (
+def test_session_answers_statements_that_need_no_target() -> None:
+    async def test(
+        callers: CallerSessions, caller: CallerClient, world: SessionWorld
+    ) -> None:
+        assert await caller.send(b"START tickets u1\r\n") == "READY I -"
+        assert await caller.send(b"QUERY 1 SET a b\r\n") == "COMPLETE -"
+        assert await caller.next() == "READY I -"
+        assert await caller.send(b"QUERY 2 PREPARE s READ q\r\n") == "COMPLETE -"
+        assert await caller.next() == "READY I -"
+        assert await caller.send(b"QUERY 3 BEGIN\r\n") == "COMPLETE -"
+        assert await caller.next() == "READY T -"
+        assert await caller.send(b"QUERY 4 BEGIN\r\n") == (
             "ERROR MALFORMED a transaction is open already"
         )
-        assert await line.next() == "READY E -"
-        assert await line.send(b"QUERY 5 ROLLBACK\r\n") == "COMPLETE -"
-        assert await line.next() == "READY I -"
-        assert (await line.send(b"QUERY 6 EXECUTE x a\r\n")).startswith("ERROR UNKNOWN")
-        assert await line.next() == "READY I -"
+        assert await caller.next() == "READY E -"
+        assert await caller.send(b"QUERY 5 ROLLBACK\r\n") == "COMPLETE -"
+        assert await caller.next() == "READY I -"
+        assert (await caller.send(b"QUERY 6 EXECUTE x a\r\n")).startswith(
+            "ERROR UNKNOWN"
+        )
+        assert await caller.next() == "READY I -"
 
-    with_front(test)
+    with_listener(test)
 
 
 @pytest.mark.parametrize(
-    "first, code",
+    "start, code",
     [
         (b"START nobody u1\r\n", "ERROR NODATABASE "),
         (b"START \r\n", "ERROR MALFORMED "),
@@ -203,38 +209,42 @@
         (b"START tickets\nQUERY 1 WRITE a b\r\n", "ERROR MALFORMED "),
     ],
 )
-def test_a_start_that_makes_no_sense_is_refused_and_closed(
-    first: bytes, code: str
-) -> None:
-    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
-        assert (await line.send(first)).startswith(code)
-        assert await line.next() == ""
+def test_invalid_start_is_refused_and_closed(start: bytes, code: str) -> None:
+    async def test(
+        callers: CallerSessions, caller: CallerClient, world: SessionWorld
+    ) -> None:
+        assert (await caller.send(start)).startswith(code)
+        assert await caller.next() == ""
 
-    with_front(test)
+    with_listener(test)
 
 
-def test_a_smuggled_statement_closes_the_session() -> None:
-    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
-        await line.send(b"START tickets u1\r\n")
-        answer = await line.send(b"QUERY 1 READ a\nQUERY 2 WRITE a b\r\n")
+def test_line_with_embedded_newline_closes_the_session() -> None:
+    async def test(
+        callers: CallerSessions, caller: CallerClient, world: SessionWorld
+    ) -> None:
+        await caller.send(b"START tickets u1\r\n")
+        answer = await caller.send(b"QUERY 1 READ a\nQUERY 2 WRITE a b\r\n")
         assert answer.startswith("ERROR MALFORMED")
-        assert await line.next() == ""
+        assert await caller.next() == ""
         assert all(not one.runs for one in world.group.members.values())
 
-    with_front(test)
+    with_listener(test)
 
 
-def test_a_host_that_ends_closes_idle_sessions() -> None:
-    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
-        await line.send(b"START tickets u1\r\n")
+def test_draining_host_closes_idle_sessions() -> None:
+    async def test(
+        callers: CallerSessions, caller: CallerClient, world: SessionWorld
+    ) -> None:
+        await caller.send(b"START tickets u1\r\n")
         draining = asyncio.create_task(callers.drain(0.5))
-        assert await line.next() == ""
+        assert await caller.next() == ""
         draining.cancel()
 
-    with_front(test)
+    with_listener(test)
 
 
-def test_refusals_carry_their_code_and_when_to_come_back() -> None:
+def test_refusals_carry_their_code_and_retry_delay() -> None:
     refusal = not_run(RefusalReason.NO_PRIMARY, "no primary", 150)
     assert refusal_fields(refusal) == ("BUSY", "retry_after_ms=150 no primary")
     lost = not_run(RefusalReason.TRANSACTION_LOST, "lost")
