--- a/src/reedhook/platform/documents.py
+++ b/src/reedhook/platform/documents.py
@@ -61,13 +61,13 @@
     """
     message = decode(value)
     limits = message.get("limits", {})
-    keyed = WORKSPACES_FIELD in message
-    routes = [read_route(one, keyed) for one in message["routes"]]
-    services = [read_service_limits(one) for one in message["services"]]
+    keys_required = WORKSPACES_FIELD in message
+    routes = [read_route(route, keys_required) for route in message["routes"]]
+    services = [read_service_limits(service) for service in message["services"]]
     return RouteTable(
         int(message["version"]),
         {route.database: route for route in routes if route is not None},
-        {terms.service: terms for terms in services},
+        {limit.service: limit for limit in services},
         limits.get("transaction_idle_ms", DEFAULT_TRANSACTION_IDLE_MS) / MS_PER_SECOND,
         limits.get("header_timeout_ms", DEFAULT_START_MS) / MS_PER_SECOND,
         Workspaces(read_workspaces(message.get(WORKSPACES_FIELD, []))),
@@ -105,8 +105,8 @@
     """Parse the workspaces and skip malformed ones, whose keys are not accepted."""
     if not isinstance(message, list):
         return []
-    found = [read_workspace(one) for one in message]
-    return [one for one in found if one is not None]
+    workspaces = [read_workspace(item) for item in message]
+    return [workspace for workspace in workspaces if workspace is not None]
 
 
 def read_workspace(message: Any) -> Workspace | None:
@@ -135,11 +135,11 @@
     """Return the digests of a workspace's keys, given as digests or as keys."""
     digests = message.get(KEY_DIGESTS_FIELD)
     if isinstance(digests, list):
-        return frozenset(one for one in digests if isinstance(one, str))
+        return frozenset(digest for digest in digests if isinstance(digest, str))
     keys = message.get(API_KEYS_FIELD)
     if not isinstance(keys, list):
         return frozenset()
-    return frozenset(key_digest(one) for one in keys if is_valid_key(one))
+    return frozenset(key_digest(key) for key in keys if is_valid_key(key))
 
 
 def is_valid_key(key: object) -> bool:
@@ -154,12 +154,12 @@
     :raises WireError: if it is not a JSON object.
     """
     message = decode(value)
-    found = message.get(WORKSPACES_FIELD)
-    if isinstance(found, list):
-        for one in found:
-            if isinstance(one, dict):
-                one[KEY_DIGESTS_FIELD] = sorted(read_digests(one))
-                one.pop(API_KEYS_FIELD, None)
+    workspaces = message.get(WORKSPACES_FIELD)
+    if isinstance(workspaces, list):
+        for workspace in workspaces:
+            if isinstance(workspace, dict):
+                workspace[KEY_DIGESTS_FIELD] = sorted(read_digests(workspace))
+                workspace.pop(API_KEYS_FIELD, None)
     return encode(message)
 
 
--- a/src/reedhook/platform/driver.py
+++ b/src/reedhook/platform/driver.py
@@ -113,8 +113,8 @@
         self, queries: list[TargetQuery], timeout: float
     ) -> list[SessionTargetReply]:
         lines = [
-            encode_line("QUERY", one.id or text.NONE, query_text(one))
-            for one in queries
+            encode_line("QUERY", query.id or text.NONE, query_text(query))
+            for query in queries
         ]
         return await self.send(b"".join(lines), len(queries), timeout)
 
@@ -181,20 +181,24 @@
                 await loop.create_connection(lambda: connection, host, int(port))
                 caller = workspace or self.host
                 start = encode_line("START", entry.service, caller, entry.target)
-                (opened,) = await connection.send(start, 1, timeout)
-                connection.initial_position = opened.position
+                (reply,) = await connection.send(start, 1, timeout)
+                connection.initial_position = reply.position
         except (TimeoutError, OSError, SessionTargetNoReplyError) as error:
             connection.close()
             # A target refuses START with an ERROR line without READY, then closes.
-            kind = REFUSAL_ERRORS.get(connection.code, SessionTargetUnreachableError)
-            raise kind(f"{entry.target}: {connection.code or error}") from error
+            error_type = REFUSAL_ERRORS.get(
+                connection.code, SessionTargetUnreachableError
+            )
+            raise error_type(f"{entry.target}: {connection.code or error}") from error
         except asyncio.CancelledError:
             connection.close()
             raise
         if connection.refusal:
             connection.close()
-            kind = REFUSAL_ERRORS.get(connection.refusal, SessionTargetUnreachableError)
-            raise kind(f"{entry.target}: {connection.refusal}")
+            error_type = REFUSAL_ERRORS.get(
+                connection.refusal, SessionTargetUnreachableError
+            )
+            raise error_type(f"{entry.target}: {connection.refusal}")
         return connection
 
 
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -147,13 +147,13 @@
     """
     value = required(fields, name)
     try:
-        found = float(value)
+        parsed = float(value)
     except ValueError:
-        found = 0.0
-    if found <= 0.0:
+        parsed = 0.0
+    if parsed <= 0.0:
         line_number = fields[name].number
         raise SettingsError(f"line {line_number}: {name} must be a number above 0")
-    return found
+    return parsed
 
 
 def optional(fields: dict[str, SettingsLine], name: str, default: float) -> float:
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -210,7 +210,7 @@
     """
     message = require_ok(answer)
     try:
-        items = [read_item(one) for one in message[name]]
+        items = [read_item(item) for item in message[name]]
         return Items(items, int(message["at"]), answer.arrival)
     except (LookupError, TypeError, ValueError) as error:
         raise StoreRejectedError(f"malformed response: {error!r}") from error
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -56,16 +56,20 @@
     async def metrics(self, request: web.Request) -> web.Response:
         """Answer ``GET /admin/metrics``."""
         require_known(request, ())
-        kept = self.source.metrics()
-        if kept is None:
+        metrics = self.source.metrics()
+        if metrics is None:
             return respond(200, {"counters": {}, "gauges": {}})
-        return respond(200, {"counters": dict(kept.counters), "gauges": kept.gauges})
+        return respond(
+            200, {"counters": dict(metrics.counters), "gauges": metrics.gauges}
+        )
 
     async def hosts(self, request: web.Request) -> web.Response:
         """Answer ``GET /admin/hosts``."""
         require_known(request, ())
-        hosts = sorted(self.source.known_hosts(), key=lambda one: (one.zone, one.host))
-        return respond(200, {"hosts": [one.to_json() for one in hosts]})
+        hosts = sorted(
+            self.source.known_hosts(), key=lambda host: (host.zone, host.host)
+        )
+        return respond(200, {"hosts": [host.to_json() for host in hosts]})
 
     async def groups(self, request: web.Request) -> web.Response:
         """Answer ``GET /admin/groups``."""
@@ -97,14 +101,14 @@
         """Answer ``GET /admin/events``."""
         require_known(request, ("group", "host", "kind", "since", "all"))
         group = request.query.get("group")
-        wanted = EventFilter(
+        event_filter = EventFilter(
             names=None if group is None else self.names(group),
             host=request.query.get("host"),
             kinds=kinds(request),
             since_ms=whole_number(request, "since"),
         )
         everywhere = whole_number(request, "all") == 1
-        history = await self.fleet.history(wanted, everywhere)
+        history = await self.fleet.history(event_filter, everywhere)
         return respond(200, history.to_json())
 
     async def drain(self, request: web.Request) -> web.Response:
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -55,17 +55,17 @@
         """Answer ``GET /admin/config/status``: the version of each host."""
         require_known(request, ())
         statuses, missing = await self.admin.fleet.statuses()
-        statuses.sort(key=lambda one: (one.zone, one.host))
+        statuses.sort(key=lambda status: (status.zone, status.host))
         hosts = [
             {
-                "host": one.host,
-                "zone": one.zone,
-                "version": one.version,
-                "in_force_ms": one.in_force_ms,
+                "host": status.host,
+                "zone": status.zone,
+                "version": status.version,
+                "in_force_ms": status.in_force_ms,
             }
-            for one in statuses
+            for status in statuses
         ]
-        newest = max(one.version for one in statuses)
+        newest = max(status.version for status in statuses)
         return respond(200, {"newest": newest, "hosts": hosts, "missing": missing})
 
     async def check(self, request: web.Request) -> web.Response:
--- a/src/reedhook/process/administration/admin_fleet.py
+++ b/src/reedhook/process/administration/admin_fleet.py
@@ -57,7 +57,10 @@
     async def answer_events(self, body: Json) -> Json:
         """Answer the peer path ``events``; the body is a filter."""
         part = self.own_part(EventFilter.from_json(body))
-        return {"events": [one.to_json() for one in part.events], "cut": part.truncated}
+        return {
+            "events": [event.to_json() for event in part.events],
+            "cut": part.truncated,
+        }
 
     async def answer_drain(self, body: Json) -> Json:
         """Answer the peer path ``drain``."""
@@ -66,8 +69,10 @@
 
     def own_part(self, wanted: EventFilter) -> "HostEvents":
         """Return the newest events of this host that match the filter."""
-        found = [one for one in self.source.timeline.events if wanted.accepts(one)]
-        return HostEvents(found[-MAX_EVENTS:], len(found) > MAX_EVENTS)
+        events = [
+            event for event in self.source.timeline.events if wanted.accepts(event)
+        ]
+        return HostEvents(events[-MAX_EVENTS:], len(events) > MAX_EVENTS)
 
     async def statuses(self) -> tuple[list[HostStatus], dict[str, str]]:
         """Return the status of each host, and errors of hosts that did not respond."""
@@ -81,7 +86,7 @@
 
         async def fetch_events(peer: HostRef) -> HostEvents:
             answer = await self.call(peer, "events", wanted.to_json())
-            events = [Event.from_json(one) for one in answer["events"]]
+            events = [Event.from_json(event) for event in answer["events"]]
             return HostEvents(events, answer["cut"] is True)
 
         if everywhere:
@@ -97,7 +102,7 @@
         others = self.source.others()
         if wanted.host is None:
             return others
-        return [one for one in others if one.host == wanted.host]
+        return [peer for peer in others if peer.host == wanted.host]
 
     async def drain(self, host: str) -> None:
         """Start to drain `host`.
--- a/src/reedhook/process/administration/admin_operator.py
+++ b/src/reedhook/process/administration/admin_operator.py
@@ -26,10 +26,10 @@
         :raises RefusalError: ``unauthenticated`` if the credential is unknown.
         """
         digest = hashlib.sha256(bearer_credential(header)).hexdigest()
-        found = None
-        for name, known in self.digests.items():
-            if hmac.compare_digest(known, digest):
-                found = name
-        if found is None:
+        operator = None
+        for name, known_digest in self.digests.items():
+            if hmac.compare_digest(known_digest, digest):
+                operator = name
+        if operator is None:
             raise not_run(RefusalReason.UNAUTHENTICATED, "unknown credential")
-        return found
+        return operator
--- a/src/reedhook/process/administration/admin_status.py
+++ b/src/reedhook/process/administration/admin_status.py
@@ -134,22 +134,24 @@
 ) -> Iterable[Json]:
     """Yield the JSON of each member's status."""
     for member in group.members:
-        known = view.members.get(member.member_id)
+        member_view = view.members.get(member.member_id)
         line: Json = {
             "member": member.member_id,
             "zone": member.zone,
             "address": member.address,
             "home": homes.get(member.member_id),
             "role": role_of(member.member_id, view),
-            "known": known is not None,
+            "known": member_view is not None,
         }
-        if known is not None:
-            line["held"] = known.held.to_json()
-            line["applied"] = known.applied.to_json()
-            line["age_ms"] = round((now - known.observed_at) * 1000)
-            line["wait_ms"] = round(known.expected_wait * 1000, 1)
-            line["lag_ms"] = None if known.lag is None else round(known.lag * 1000)
-            line["leaving"] = known.leaving
+        if member_view is not None:
+            line["held"] = member_view.held.to_json()
+            line["applied"] = member_view.applied.to_json()
+            line["age_ms"] = round((now - member_view.observed_at) * 1000)
+            line["wait_ms"] = round(member_view.expected_wait * 1000, 1)
+            line["lag_ms"] = (
+                None if member_view.lag is None else round(member_view.lag * 1000)
+            )
+            line["leaving"] = member_view.leaving
         yield line
 
 
--- a/src/reedhook/process/administration/host_source.py
+++ b/src/reedhook/process/administration/host_source.py
@@ -106,5 +106,5 @@
         self.drain()
 
     def metrics(self) -> MemoryMetrics | None:
-        kept = self.kept_metrics
-        return kept if isinstance(kept, MemoryMetrics) else None
+        metrics = self.kept_metrics
+        return metrics if isinstance(metrics, MemoryMetrics) else None
--- a/src/reedhook/process/tool/command_access.py
+++ b/src/reedhook/process/tool/command_access.py
@@ -78,7 +78,7 @@
         listed = value.split(",") if isinstance(value, str) else value
         ca = self.value("ca")
         return Endpoint(
-            tuple(checked_address(addresses, one) for one in listed),
+            tuple(checked_address(addresses, address) for address in listed),
             str(self.needed(credential)),
             None if ca is None else create_tls_context(str(ca)),
         )
@@ -98,9 +98,9 @@
 
     def value(self, name: str) -> Any:
         """Return a value, or None if it is missing."""
-        given = self.options.get(name)
-        if given is not None:
-            return given
+        option = self.options.get(name)
+        if option is not None:
+            return option
         return self.environment.get(FIELDS[name]) or self.file.get(name)
 
 
--- a/src/reedhook/process/tool/command_client.py
+++ b/src/reedhook/process/tool/command_client.py
@@ -96,7 +96,9 @@
         :raises RequestRefusedError: if the host refused the request.
         :raises HostsUnreachableError: if no host responded.
         """
-        params = {name: str(one) for name, one in query.items() if one is not None}
+        params = {
+            name: str(value) for name, value in query.items() if value is not None
+        }
         return await self.ask("GET", path, params, None)
 
     async def post(self, path: str, body: Json) -> Json:
--- a/src/reedhook/process/tool/command_config.py
+++ b/src/reedhook/process/tool/command_config.py
@@ -80,7 +80,9 @@
 
 def since_line(version: Json) -> str:
     """Return the author, time and changed paths of a version as one line."""
-    paths = ", ".join(f"{one['file']} {one['path']}" for one in version["changes"])
+    paths = ", ".join(
+        f"{change['file']} {change['path']}" for change in version["changes"]
+    )
     number, author, when = (
         version["version"],
         version["author"],
@@ -149,10 +151,10 @@
     """Show the version of each host; fail unless all have the newest."""
     body = await client.get("/admin/config/status")
     newest = body["newest"]
-    behind = [one["host"] for one in body["hosts"] if one["version"] != newest]
-    late = len(behind) + len(body["missing"])
+    behind = [host["host"] for host in body["hosts"] if host["version"] != newest]
+    outdated = len(behind) + len(body["missing"])
     summary = f"Version {newest} is in force everywhere."
-    if late:
-        summary = f"{late} host(s) are not known to have version {newest}."
-    code = ToolExitCode.REFUSED if late else ToolExitCode.DONE
+    if outdated:
+        summary = f"{outdated} host(s) are not known to have version {newest}."
+    code = ToolExitCode.REFUSED if outdated else ToolExitCode.DONE
     return Result(body, f"{status_text(body)}\n{summary}", code)
--- a/src/reedhook/process/tool/command_report.py
+++ b/src/reedhook/process/tool/command_report.py
@@ -83,8 +83,8 @@
 def hosts_text(body: Json) -> str:
     """Return the table of hosts."""
     rows = [
-        (one["host"], one["zone"], one["address"], one["state"], one["version"])
-        for one in body["hosts"]
+        (host["host"], host["zone"], host["address"], host["state"], host["version"])
+        for host in body["hosts"]
     ]
     return table(("HOST", "ZONE", "ADDRESS", "STATE", "VERSION"), rows)
 
@@ -121,10 +121,12 @@
 def status_text(body: Json) -> str:
     """Return the table of the hosts' configuration versions."""
     rows: list[tuple[Any, ...]] = [
-        (one["host"], one["zone"], one["version"], moment_ms(one["in_force_ms"]))
-        for one in body["hosts"]
+        (host["host"], host["zone"], host["version"], moment_ms(host["in_force_ms"]))
+        for host in body["hosts"]
+    ]
+    rows += [
+        (host, None, cause, None) for host, cause in sorted(body["missing"].items())
     ]
-    rows += [(host, None, why, None) for host, why in sorted(body["missing"].items())]
     return table(("HOST", "ZONE", "VERSION", "IN FORCE SINCE"), rows)
 
 
@@ -136,8 +138,8 @@
 def history_text(body: Json) -> str:
     """Return the table of accepted versions."""
     rows = [
-        (one["version"], moment(one["wall"]), one["author"], one["comment"])
-        for one in body["versions"]
+        (head["version"], moment(head["wall"]), head["author"], head["comment"])
+        for head in body["versions"]
     ]
     return table(("VERSION", "ACCEPTED", "AUTHOR", "COMMENT"), rows)
 
@@ -156,10 +158,10 @@
 def answer_line(body: Json) -> str:
     """Return the row count, source and age of a result as one line."""
     age = body["age_ms"]
-    proved = "" if age is None else f", at most {age:g} ms old"
+    age_text = "" if age is None else f", at most {age:g} ms old"
     repeated = ", the answer of an earlier run" if body["repeated"] else ""
     count = len(body["rows"]) if body["columns"] else body["rowcount"]
     noun = "row" if count == 1 else "rows"
-    what = noun if body["columns"] else f"{noun} changed"
+    summary = noun if body["columns"] else f"{noun} changed"
     target, role, host = body["target"], body["role"], body["host"]
-    return f"{count} {what}; {target} ({role}) by {host}{proved}{repeated}"
+    return f"{count} {summary}; {target} ({role}) by {host}{age_text}{repeated}"
--- a/src/reedhook/process/tool/command_settings.py
+++ b/src/reedhook/process/tool/command_settings.py
@@ -25,9 +25,9 @@
         raise CommandError(
             ToolExitCode.USAGE, problem, "name a settings file"
         ) from None
-    by_platform = is_platforms(text)
-    faults = faults_of(path, load_hosting if by_platform else load_settings)
-    format = CHECKS[by_platform]
+    has_platform_format = is_platforms(text)
+    faults = faults_of(path, load_hosting if has_platform_format else load_settings)
+    format = CHECKS[has_platform_format]
     if faults:
         problem = f"the settings in {path} ({format}) are wrong"
         raise CommandError(ToolExitCode.USAGE, problem, "fix the lines listed", faults)
@@ -50,7 +50,7 @@
     try:
         load(path)
     except ExceptionGroup as errors:
-        return tuple(str(one) for one in errors.exceptions)
+        return tuple(str(error) for error in errors.exceptions)
     except (OSError, SettingsError) as error:
         return (str(error),)
     return ()
