--- a/src/reedhook_standins/__init__.py
+++ b/src/reedhook_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests, demo and benchmarks."""
+"""In-memory stand-ins of the external systems, for tests, demo and benchmarks."""
--- a/src/reedhook_standins/caller.py
+++ b/src/reedhook_standins/caller.py
@@ -1,4 +1,4 @@
-"""A well-made caller of the statement interface, which records what it sees."""
+"""A client of the statement interface that records every attempt and its result."""
 
 import asyncio
 import random
@@ -46,16 +46,15 @@
 
 
 class GaveUp(Exception):
-    """Say that a request found no answer within the caller's patience."""
+    """Report that a request got no answer within the caller's time limit."""
 
 
 class Reply(Record):
-    """Carry what one call brought.
+    """Represent the result of one call.
 
     :param body: the answer or refusal; empty if none came.
-    :param reason: why the call brought no answer; None for an answer.
-    :param retry_after: when to come back, in seconds; None if a retry cannot
-        help.
+    :param reason: why the call got no answer; None for an answer.
+    :param retry_after: seconds until the next try; None if a retry cannot help.
     """
 
     __slots__ = ("body", "verdict", "reason", "retry_after")
@@ -74,10 +73,10 @@
 
 
 class WriteOrder(Record):
-    """Carry a write that raises a register.
+    """Describe a write that raises the version of a register.
 
     :param key: the register.
-    :param version: the version that it raises the register to.
+    :param version: the version that it sets.
     :param sql: the statement; its first parameter is the request id.
     :param params: the parameters after the request id.
     """
@@ -95,14 +94,14 @@
 
 
 class ReadOrder(Record):
-    """Carry a read of registers.
+    """Describe a read of registers.
 
-    :param kind: what the workload calls it.
-    :param sql: the statement; its first parameter is given back as the first
-        column, the others are the key and the version that were found.
+    :param kind: the workload's name of the read.
+    :param sql: the statement; it returns its first parameter as the first column, then
+        key and version.
     :param params: the parameters after the mark.
     :param keys: the registers that count as absent if no row names them.
-    :param max_age: the age that is accepted, in seconds; for bounded reads.
+    :param max_age: maximum age in seconds; for bounded reads.
     """
 
     __slots__ = ("kind", "group", "sql", "params", "keys", "consistency", "max_age")
@@ -127,9 +126,9 @@
 
 
 class Caller:
-    """Send one session's requests, one at a time, to one host after another.
+    """Send the requests of one session sequentially, through changing entry hosts.
 
-    :param name: names the session.
+    :param name: the name of the session.
     :param hosts: ``IP:port`` of the entry hosts that the caller knows.
     :param credential: the credential of the caller's workspace.
     :param delay: one-way delay to the entry hosts, in seconds.
@@ -173,12 +172,12 @@
         self.marks = 0
 
     def roam(self) -> None:
-        """Go on at another host, as the balancer may have it."""
+        """Switch to another host, as a load balancer may do."""
         others = [host for host in self.hosts if host != self.host]
         self.host = self.random.choice(others or list(self.hosts))
 
     def forget(self) -> None:
-        """Go on without the token, which would demand more than the next read."""
+        """Drop the session token, so that the next read has no minimum position."""
         self.token = None
 
     async def write(self, order: WriteOrder, patience: float) -> Json:
@@ -186,7 +185,7 @@
 
         Each try carries the same request id.
 
-        :param patience: how long to go on trying, in seconds.
+        :param patience: time limit of all tries, in seconds.
         :raises GaveUp: if no answer came by then or a retry cannot help.
         """
         request_id = self.new_request_id()
@@ -219,7 +218,7 @@
     async def read(self, order: ReadOrder, patience: float) -> Json:
         """Run a read and return the answer.
 
-        :param patience: how long to go on trying, in seconds.
+        :param patience: time limit of all tries, in seconds.
         :raises GaveUp: if no answer came by then or a retry cannot help.
         """
         mark = self.new_mark()
@@ -251,7 +250,9 @@
         await self.persist("/v1/write", body, patience, lambda *seen: None)
 
     async def persist(self, path: str, body: Json, patience: float, note: Note) -> Json:
-        """Send `body` until it is answered, and `note` what each try brought."""
+        """Send `body` until it is answered, and call `note` with the result of each
+        try.
+        """
         until = self.clock.monotonic() + patience
         while True:
             host, started = self.host, self.clock.monotonic()
@@ -286,7 +287,7 @@
         )
 
     async def call(self, path: str, body: Json) -> Reply:
-        """Send one request to the present host and keep the token it brings."""
+        """Send one request to the current host and store the returned token."""
         body = {**body, "deadline_ms": DEADLINE_MS}
         if self.token is not None:
             body["token"] = self.token
@@ -297,7 +298,7 @@
         return reply
 
     async def exchange(self, path: str, body: bytes) -> Reply:
-        """Send one request and read the answer, or say what is known of it."""
+        """Send one request and return the answer, or the reason why there is none."""
         timeout = aiohttp.ClientTimeout(
             total=DEADLINE_MS / 1000 + ANSWER_SLACK_S, connect=CONNECT_TIMEOUT_S
         )
@@ -318,9 +319,9 @@
             return Reply({}, Verdict.MAY_HAVE_RUN, NO_ANSWER, MOVE_PAUSE_S)
 
     async def prepare_retry(self, reply: Reply, until: float) -> None:
-        """Wait as told and choose the host of the next try.
+        """Wait for the retry delay and choose the host of the next try.
 
-        :raises GaveUp: if a retry cannot help or comes too late.
+        :raises GaveUp: if a retry cannot help or would come too late.
         """
         if reply.retry_after is None:
             raise GaveUp(f"{self.name}: {reply.reason}: {reply.body.get('detail')}")
@@ -331,22 +332,21 @@
         await self.clock.sleep(reply.retry_after)
 
     def new_request_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a unique request id."""
         wall_ms = int(self.clock.wall() * 1000)
         unique = self.random.getrandbits(48)
         return f"{wall_ms:013d}-{unique:012x}"
 
     def new_mark(self) -> str:
-        """Return a text that no other read asks to be given back."""
+        """Return a unique text that a read returns, to detect mixed-up answers."""
         self.marks += 1
         return f"{self.name}/{self.marks}"
 
 
 def reply_from(message: Json) -> Reply:
-    """Read an answer or refusal off the wire.
+    """Parse an answer or refusal.
 
-    The callers' interface says to come back after a missed deadline, with or
-    without a hint when.
+    A missed deadline is retried even if it carries no retry delay.
     """
     verdict = Verdict(message["verdict"])
     if "reason" not in message:
@@ -359,6 +359,6 @@
 
 
 def echo(mark: str, rows: list[list[Any]]) -> str:
-    """Return the mark that the rows gave back; without rows there is none."""
+    """Return the mark in the rows, or `mark` if there are no rows."""
     marks = {str(row[0]) for row in rows}
     return ",".join(sorted(marks)) if marks else mark
--- a/src/reedhook_standins/calls.py
+++ b/src/reedhook_standins/calls.py
@@ -1,4 +1,4 @@
-"""The calls by which clients use one stand-in member."""
+"""The request handlers of one stand-in member."""
 
 import asyncio
 import re
@@ -23,7 +23,7 @@
 
 
 class Calls:
-    """Answer the calls of `TargetConnection`, once faults let them pass."""
+    """Handle the calls of `TargetConnection` that no injected fault blocks."""
 
     def __init__(self, member: "MemberStandin") -> None:
         self.member = member
@@ -44,18 +44,18 @@
         }
 
     async def hello(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer the greeting of a client that names itself."""
+        """Accept the greeting of a client that names itself."""
         return {"member": self.member.name}
 
     async def read(self, connection: ServiceConnection, message: Json) -> Json:
-        """Run a read, whatever the role."""
+        """Run a read; allowed in every role."""
         change = change_of(message)
         await self.member.occupy(message["timeout"])
         rows = self.state.engine.read(change)
         return self.result(rows, self.state.visible)
 
     async def write(self, connection: ServiceConnection, message: Json) -> Json:
-        """Run a write on the primary, or give the result of its earlier run."""
+        """Run a write on the primary, or return the result of its earlier run."""
         change = change_of(message)
         key = key_of(message["request_id"], digest([change.sql, change.params]))
         timeout = message["timeout"]
@@ -74,7 +74,7 @@
             self.member.writing.release()
 
     async def begin(self, connection: ServiceConnection, message: Json) -> Json:
-        """Open a transaction, unless one with the same request id committed."""
+        """Open a transaction, unless one with the same request id has committed."""
         key = key_of(message["request_id"], TRANSACTION_DIGEST)
         if connection.transaction is not None:
             raise ServiceRefusal("bad_request", "a transaction is open", 400)
@@ -130,11 +130,11 @@
         return {}
 
     async def tell_state(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer with the state."""
+        """Return the member's state."""
         return self.member.report().to_json()
 
     async def wait_state(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer with the state once its revision differs from the known one."""
+        """Return the state once its revision differs from the known one."""
         try:
             async with asyncio.timeout(message["hold"]):
                 while self.member.revision == message["revision"]:
@@ -160,7 +160,7 @@
         return self.member.terms_moved()
 
     def result(self, rows: Rows, position: Position, repeated: bool = False) -> Json:
-        """Return the result of a statement as it stands on the wire."""
+        """Encode the result of a statement for the wire."""
         return {
             "columns": rows.columns,
             "rows": rows.rows,
@@ -178,7 +178,7 @@
 
 
 def change_of(message: Json) -> Change:
-    """Read a statement from the wire."""
+    """Parse a statement from the wire."""
     sql: Any = message["sql"]
     params: Any = message["params"]
     if not isinstance(sql, str) or not isinstance(params, list):
@@ -187,7 +187,7 @@
 
 
 def key_of(request_id: str | None, content: str) -> RequestKey | None:
-    """Read a request id, which begins with its time of issue."""
+    """Parse a request id, which begins with its time of issue."""
     if request_id is None:
         return None
     match = REQUEST_ID.fullmatch(request_id)
--- a/src/reedhook_standins/control.py
+++ b/src/reedhook_standins/control.py
@@ -1,4 +1,4 @@
-"""Faults switched by hand, when the stand-ins run as a process of their own."""
+"""Control service that injects faults when the stand-ins run as their own process."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Final, TypeAlias
@@ -25,7 +25,7 @@
 
 
 class Control(Service):
-    """Carry out one fault per call and answer with the groups' state."""
+    """Inject one fault per call and return the state of the groups."""
 
     def __init__(self, platform: "Platform") -> None:
         super().__init__()
@@ -60,48 +60,48 @@
         }
 
     async def kill(self, message: Json) -> None:
-        """Let a member die."""
+        """Kill a member."""
         await self.member(message).kill()
 
     async def revive(self, message: Json) -> None:
-        """Start a dead member again."""
+        """Restart a dead member."""
         member = self.member(message)
         if not member.dead:
             raise ServiceRefusal("bad_request", f"{member.name} runs", 400)
         await member.revive()
 
     async def pause(self, message: Json) -> None:
-        """Stop a member as a suspended process stops."""
+        """Pause a member, as SIGSTOP pauses a process."""
         self.member(message).pause()
 
     async def resume(self, message: Json) -> None:
-        """Let a paused member go on."""
+        """Resume a paused member."""
         self.member(message).resume()
 
     async def silence(self, message: Json) -> None:
-        """Let the open connections of a member answer never again."""
+        """Make the open connections of a member stop answering."""
         self.member(message).silence_connections()
 
     async def leave(self, message: Json) -> None:
-        """Let a member leave and list it as leaving."""
+        """Make a member leave its group, and list it as leaving."""
         member = self.member(message)
         member.leave()
         self.platform.hostlist.leave(member.name)
 
     async def lag(self, message: Json) -> None:
-        """Set the lags of a member, in seconds."""
+        """Set the replication lags of a member, in seconds."""
         member = self.member(message)
         member.ship_lag = float(message.get("ship", 0.0))
         member.apply_lag = float(message.get("apply", 0.0))
 
     async def partition(self, message: Json) -> None:
-        """Cut the replication between some members of a group and the rest."""
+        """Cut replication between the named members of a group and the others."""
         names = [str(name) for name in message["members"]]
         for group in self.platform.groups.values():
             group.partition(*(name for name in names if name in group.members))
 
     async def heal(self, message: Json) -> None:
-        """Undo all partitions."""
+        """Remove all partitions."""
         for group in self.platform.groups.values():
             group.heal()
 
@@ -114,7 +114,7 @@
             setattr(self.platform.store, name, STORE_FAULTS[name](value))
 
     async def list_host(self, message: Json) -> None:
-        """List an entry host, or take it off when its state is null."""
+        """Add an entry host to the host list, or remove it if its state is null."""
         host = str(message["host"])
         if message["state"] is None:
             self.platform.hostlist.remove(host)
@@ -125,7 +125,7 @@
         )
 
     async def status(self, message: Json) -> None:
-        """Change nothing."""
+        """Return the state without a change."""
 
     def member(self, message: Json) -> MemberStandin:
         """Return the member that a call names."""
@@ -137,7 +137,7 @@
 
 
 def groups_text(groups: dict[str, GroupStandin]) -> str:
-    """Return one line for each member with its address."""
+    """Return one line per member, with its address."""
     return "\n".join(
         f"{member.name:20} {member.address}"
         for group in groups.values()
--- a/src/reedhook_standins/database.py
+++ b/src/reedhook_standins/database.py
@@ -1,8 +1,7 @@
-"""Database groups in memory, whose logs and sessions a check can look into.
+"""In-memory database groups whose logs and sessions a test can inspect.
 
-A read returns one row that tells which commits the log held, and with which
-session state the statement ran. Replication, promotions and rollbacks follow
-the platform's rules.
+A read returns one row with the commits in the log and the session state that the
+statement ran with. Replication, promotion and rollback follow the platform's rules.
 """
 
 import asyncio
@@ -26,13 +25,13 @@
 
 
 class DatabaseMember:
-    """Hold one member of a group: a log, a role, open connections.
+    """Model one member of a group: a log, a role and open connections.
 
     :ivar log: ids of commits in order, each ``term.index``.
-    :ivar received: the log with what is received and not applied yet.
-    :ivar deaf: whether it receives nothing.
+    :ivar received: the log including entries received but not applied yet.
+    :ivar deaf: whether it receives no replicated entries.
     :ivar down: whether it answers nothing.
-    :ivar busy: how many statements it turns away next, its queue being full.
+    :ivar busy: how many of the next statements it refuses because its queue is full.
     """
 
     def __init__(
@@ -53,7 +52,7 @@
         self.busy = 0
 
     def start_again(self) -> None:
-        """Start as another process under the same id, which holds nothing."""
+        """Restart as a new process under the same id, with an empty log."""
         group = self.group
         if self.leads:
             group.forgotten |= set(self.log)
@@ -67,7 +66,7 @@
             group.spawn(group.replicate(group.primary, self))
 
     def heal(self) -> None:
-        """Undo all faults."""
+        """Clear all faults."""
         self.down = self.deaf = False
         self.lag, self.losing, self.busy = LAG, 0.0, 0
 
@@ -78,15 +77,15 @@
 
 
 class DatabaseGroup:
-    """Hold the members of one service, and the truth about their commits.
+    """Model the members of one service, and record what happened to their commits.
 
-    :ivar lost: commits that a promotion rolled back, or will.
-    :ivar forgotten: what primaries held that started again.
+    :ivar lost: commits that a promotion rolled back, or will roll back.
+    :ivar forgotten: logs of primaries that restarted empty.
     :ivar superseded: commits at a former primary after a promotion.
-    :ivar promotions: target, holder and fencing token of each order, in order.
+    :ivar promotions: target, holder and fencing token of each promotion, in order.
     :ivar ran_as: the workspace named on the connection of a statement, by its id.
-    :ivar on_run: is told of the id, the text and the session of each statement.
-    :ivar on_commit: is told of the ids of the statements of each commit.
+    :ivar on_run: called with the id, the text and the session of each statement.
+    :ivar on_commit: called with the ids of the statements of each commit.
     """
 
     def __init__(self, service: str, zones: list[str], limit: int = 16) -> None:
@@ -136,7 +135,7 @@
         return entry
 
     async def replicate(self, source: DatabaseMember, other: DatabaseMember) -> None:
-        """Bring the log of a primary to a replica after its lag."""
+        """Copy the log of a primary to a replica after its lag."""
         await asyncio.sleep(other.lag)
         key = (source.entry.target, other.entry.target)
         while other.deaf or other.down or source.down or key in self.cuts:
@@ -147,13 +146,13 @@
                 other.term = source.term
 
     def spawn(self, work: object) -> None:
-        """Run `work` in the background."""
+        """Run a coroutine as a background task."""
         task = asyncio.ensure_future(work)  # type: ignore[call-overload]
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def promote(self, target: str) -> None:
-        """Let a member lead the next term with what it holds."""
+        """Make a member the primary of the next term, with its current log."""
         await asyncio.sleep(PROMOTION)
         member = self.members[target]
         former = self.primary
@@ -169,16 +168,16 @@
                 self.spawn(self.replicate(member, other))
 
     def cut(self, host: str, target: str) -> None:
-        """Lose what a host and a member send each other."""
+        """Drop the messages between a host and a member."""
         self.cuts.add((host, target))
 
     def unreachable(self, host: str, member: DatabaseMember) -> bool:
-        """Say whether a host and a member do not hear each other."""
+        """Return whether messages between a host and a member are dropped."""
         return member.down or (host, member.entry.target) in self.cuts
 
 
 class DatabaseSession:
-    """Run the statements of one connection to a member.
+    """Execute the statements of one connection to a member.
 
     :ivar open: the kind of the open transaction; empty for none.
     :ivar written: ids of the statements that wrote in it.
@@ -196,14 +195,14 @@
         self.on_close: Callable[[], None] = lambda: None
 
     def close(self) -> None:
-        """End with the process of the member; nothing more runs."""
+        """End the session with the member's process."""
         self.closed = True
         self.on_close()
 
     def run(self, query: TargetQuery) -> SessionTargetReply:
-        """Run one statement as the member does."""
+        """Execute one statement."""
         if query.id and self.member.busy > 0:
-            # A full queue changes nothing, also not an open transaction.
+            # A full queue has no effect on an open transaction.
             self.member.busy -= 1
             return self.reply(StatementFault.BUSY)
         if query.id:
@@ -234,18 +233,18 @@
         return SessionTargetReply(list(rows), "mac", fault, "", state, position)
 
     def do_reset(self, rest: str) -> SessionTargetReply:
-        """Forget what the session set and prepared."""
+        """Clear the session's settings and prepared statements."""
         self.values, self.prepared = {}, {}
         return self.reply()
 
     def do_set(self, rest: str) -> SessionTargetReply:
-        """Set a value of the session."""
+        """Set a session variable."""
         name, _, value = rest.partition(" ")
         self.values[name] = value
         return self.reply()
 
     def do_prepare(self, rest: str) -> SessionTargetReply:
-        """Prepare a statement under a name that is not in use."""
+        """Prepare a statement under an unused name."""
         name, kind = rest.split(" ")[:2]
         if name in self.prepared:
             return self.reply(StatementFault.MALFORMED)
@@ -253,13 +252,13 @@
         return self.reply()
 
     def do_deallocate(self, rest: str) -> SessionTargetReply:
-        """Forget a prepared statement."""
+        """Drop a prepared statement."""
         if self.prepared.pop(rest, None) is None:
             return self.reply(StatementFault.UNKNOWN_NAME)
         return self.reply()
 
     def do_begin(self, rest: str) -> SessionTargetReply:
-        """Open a transaction, to write only where the member leads."""
+        """Open a transaction; a read-write one requires the primary."""
         if not rest and not self.member.leads:
             return self.reply(StatementFault.READ_ONLY)
         self.open = "read" if rest else "write"
@@ -267,7 +266,7 @@
         return self.reply()
 
     def do_read(self, rest: str) -> SessionTargetReply:
-        """Return what the session sees: the log and its own state."""
+        """Return the visible log and the session's state."""
         seen = {
             "log": [one.to_json() for one in self.member.log],
             "values": self.values,
@@ -277,7 +276,7 @@
         return self.reply(StatementFault.NONE, json.dumps(seen))
 
     def do_write(self, rest: str) -> SessionTargetReply:
-        """Write, at once or with the commit of the open transaction."""
+        """Write, in the open transaction or as a commit of its own."""
         if not self.member.leads or self.open == "read":
             return self.reply(StatementFault.READ_ONLY)
         if self.open:
@@ -287,14 +286,14 @@
         return self.reply()
 
     def do_execute(self, rest: str) -> SessionTargetReply:
-        """Run a prepared statement."""
+        """Execute a prepared statement."""
         writes = self.prepared.get(rest.split(" ")[0])
         if writes is None:
             return self.reply(StatementFault.UNKNOWN_NAME)
         return self.do_write(rest) if writes else self.do_read(rest)
 
     def do_commit(self, rest: str) -> SessionTargetReply:
-        """Commit the open transaction, if the member still leads."""
+        """Commit the open transaction if the member is still primary."""
         if self.written and not self.member.leads:
             self.leave()
             return self.reply(StatementFault.READ_ONLY)
@@ -305,12 +304,12 @@
         return self.reply()
 
     def do_rollback(self, rest: str) -> SessionTargetReply:
-        """Leave the open transaction without a commit."""
+        """Roll back the open transaction."""
         self.leave()
         return self.reply()
 
     def do_demote(self, rest: str) -> SessionTargetReply:
-        """Lead no more if another member leads a later term."""
+        """Step down if another member is primary of a later term."""
         if int(rest) > self.member.term and self.member.leads:
             self.member.leads = False
             group = self.member.group
@@ -322,9 +321,9 @@
         self.open, self.failed, self.written = "", False, []
 
     def commit(self, ids: list[str]) -> None:
-        """Commit on the member's log; one after a promotion is lost.
+        """Append a commit to the member's log; it is lost if a promotion came first.
 
-        :param ids: of the statements that wrote.
+        :param ids: ids of the statements that wrote.
         """
         group = self.member.group
         entry = group.commit(self.member)
@@ -335,4 +334,4 @@
 
 
 def ignored(id: str, text: str, session: DatabaseSession) -> None:
-    """Take no note of a statement."""
+    """Ignore a statement."""
--- a/src/reedhook_standins/demo.py
+++ b/src/reedhook_standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a deployment's day with faults, and judge it.
+"""Run a deployment under a workload with faults, and check its guarantees.
 
 Usage:
     demo [--deployment NAME] [--seconds N] [--seed N] [--overlap] [--json]
@@ -36,10 +36,10 @@
 
 
 class Happening(Record):
-    """Carry something that happens during the day.
+    """Represent a scheduled action.
 
-    :param at: when, as a share of the day.
-    :param act: brings it about.
+    :param at: when, as a fraction of the run.
+    :param act: performs the action.
     """
 
     __slots__ = ("at", "act")
@@ -54,13 +54,13 @@
 
 
 class Programme:
-    """Bring about the faults of the day, and undo them.
+    """Inject the faults of the run, and end them.
 
-    The first group's primary dies and returns; the zone of the second group's
-    primary is cut off while that primary still believes that it leads; the
-    home of the third group's primary dies and returns.
+    The first group's primary dies and returns; the zone of the second group's primary
+    is cut off while that member still acts as primary; the home of the third group's
+    primary dies and returns.
 
-    :param times: when each fault comes and goes, as shares of the day.
+    :param times: when each fault begins and ends, as fractions of the run.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.happenings = sorted(happenings, key=lambda one: one.at)
 
     async def run(self, seconds: float) -> None:
-        """Run the day's programme, which lasts `seconds`."""
+        """Run the schedule over `seconds`."""
         clock = self.world.clock
         start = clock.monotonic()
         for happening in self.happenings:
@@ -93,12 +93,12 @@
         await clock.sleep(start + seconds - clock.monotonic())
 
     async def kill_primary(self) -> None:
-        """Let the first group's primary die."""
+        """Kill the first group's primary."""
         self.note("primary killed", self.dead_member.name, self.groups[0].name)
         await self.dead_member.kill()
 
     async def return_primary(self) -> None:
-        """Let the dead primary return, which still believes that it leads."""
+        """Restart the dead primary, which still considers itself primary."""
         await self.dead_member.revive()
 
     async def cut_zone_off(self) -> None:
@@ -109,7 +109,7 @@
         self.world.cut_zone_off(self.cut_zone)
 
     async def heal_zone(self) -> None:
-        """Undo the cut."""
+        """Reconnect the zone."""
         self.world.heal_zone(self.cut_zone)
 
     async def kill_home(self) -> None:
@@ -120,11 +120,11 @@
         await self.world.kill_host(self.dead_host)
 
     async def return_home(self) -> None:
-        """Start the killed host again."""
+        """Restart the killed host."""
         await self.world.start_host(self.dead_host)
 
     def note(self, name: str, subject: str, group: str) -> None:
-        """Record a fault that comes now."""
+        """Record a fault that begins now."""
         now = self.world.clock.monotonic()
         self.history.faults.append(Fault(name, subject, group, now))
 
@@ -132,7 +132,7 @@
 async def run_day(
     name: str, seconds: float, seed: int, times: Sequence[float] = ONE_BY_ONE
 ) -> Outcome:
-    """Run the day of a deployment and return its report.
+    """Run a deployment's workload and faults, and return the report.
 
     :param times: see `Programme`.
     """
--- a/src/reedhook_standins/deployment.py
+++ b/src/reedhook_standins/deployment.py
@@ -1,4 +1,4 @@
-"""The examples' deployments, with addresses and credentials of this machine."""
+"""The example deployments, adapted to loopback addresses and test credentials."""
 
 from collections.abc import Iterator
 from hashlib import sha256
@@ -14,7 +14,7 @@
 
 
 class Network(Record):
-    """Carry the one-way delays of a deployment, in seconds.
+    """Hold the one-way delays of a deployment, in seconds.
 
     :param zones: between availability zones.
     :param callers: between callers and entry hosts.
@@ -51,7 +51,7 @@
 
 
 class Deployment:
-    """Read one example and adapt it.
+    """Load an example and adapt it.
 
     :ivar base: the base document.
     :ivar overlays: the overlay of each site.
@@ -66,7 +66,7 @@
 
     @property
     def zones(self) -> list[str]:
-        """Return the availability zones in their order of names."""
+        """Return the availability zones, sorted by name."""
         zones = {zone for group in self.groups() for zone in group.members.values()}
         return sorted(zones)
 
@@ -94,7 +94,7 @@
         return [zone for zone in self.zones if zone not in closed]
 
     def adapt(self, addresses: dict[str, str]) -> None:
-        """Put in the members' addresses and credentials known to `credential`."""
+        """Set the members' addresses and the credentials from `credential`."""
         for service in self.base["services"].values():
             for group in service["groups"].values():
                 for member, one in group["members"].items():
@@ -104,7 +104,7 @@
             workspace["token_sha256"] = digest.hexdigest()
 
     def base_text(self) -> str:
-        """Return the base file's text."""
+        """Return the base file as text."""
         return yaml.safe_dump(self.base, sort_keys=False)
 
     def overlay_texts(self) -> dict[str, str]:
@@ -116,11 +116,11 @@
 
 
 def load(path: Path) -> dict[str, Any]:
-    """Read one document of an example."""
+    """Load one document of an example."""
     document: dict[str, Any] = yaml.safe_load(path.read_text(encoding="utf-8")) or {}
     return document
 
 
 def credential(workspace: str) -> str:
-    """Return the credential of a workspace in the stand-in world."""
+    """Return the test credential of a workspace."""
     return f"credential-of-team-{workspace}"
--- a/src/reedhook_standins/engine.py
+++ b/src/reedhook_standins/engine.py
@@ -1,4 +1,4 @@
-"""SQLite in memory as the engine of one member."""
+"""An in-memory SQLite database as the storage engine of one member."""
 
 import sqlite3
 from collections.abc import Iterable
@@ -32,7 +32,7 @@
         sqlite3.SQLITE_TRANSACTION,
     )
 )
-# Replicas run the statements again and must come to the same rows.
+# Replicas re-execute the statements, so the results must be deterministic.
 NOT_REPEATABLE: Final = frozenset(("random", "randomblob", "load_extension"))
 SCHEMA: Final = (
     "CREATE TABLE reedhook_requests (id TEXT PRIMARY KEY, issued INTEGER NOT NULL,"
@@ -45,9 +45,9 @@
 
 
 class Engine:
-    """Run statements on one SQLite database.
+    """Execute statements on one SQLite database.
 
-    :ivar wrote: whether the last statement was one that changes something.
+    :ivar wrote: whether the last statement changed something.
     """
 
     __slots__ = ("database", "guarded", "writable", "wrote", "batches")
@@ -69,16 +69,16 @@
         self.database.set_progress_handler(self.progress, STEP_BATCH)
 
     def prepare(self) -> None:
-        """Create the tables that the engine keeps for itself."""
+        """Create the internal tables."""
         for sql in SCHEMA:
             self.database.execute(sql)
 
     def copy(self) -> "Engine":
-        """Return an engine of its own with the same rows."""
+        """Return an independent engine with the same rows."""
         return Engine(self.database.serialize())
 
     def read(self, change: Change) -> Rows:
-        """Run a statement that must change nothing.
+        """Execute a read-only statement.
 
         :raises ServiceRefusal: with ``statement_failed``.
         """
@@ -104,11 +104,11 @@
         return result
 
     def apply(self, entry: LogEntry) -> None:
-        """Take over an entry of the log."""
+        """Apply a log entry."""
         self.write(entry.changes, entry.key)
 
     def run(self, change: Change, writable: bool) -> Rows:
-        """Run one statement of a caller."""
+        """Execute one statement of a caller."""
         self.guarded = True
         self.writable = writable
         self.wrote = False
@@ -127,7 +127,7 @@
     def authorize(
         self, action: int, one: str | None, two: str | None, *rest: Any
     ) -> int:
-        """Permit what the running statement may do."""
+        """Authorize an action of the running statement."""
         if not self.guarded:
             return sqlite3.SQLITE_OK
         if action in NEVER or (one or "").startswith(OWN_TABLES):
@@ -139,16 +139,15 @@
         return sqlite3.SQLITE_OK if self.writable else sqlite3.SQLITE_DENY
 
     def progress(self) -> int:
-        """Interrupt a statement that never ends."""
+        """Interrupt a statement that runs too long."""
         self.batches += 1
         return int(self.guarded and self.batches > MAX_BATCHES)
 
     def known(self, key: RequestKey) -> Rows | None:
-        """Return the first result of a request that has run, or None.
+        """Return the recorded result of a request, or None if it has not run.
 
-        :raises ServiceRefusal: with ``request_reused`` if it asked for
-            something else, with ``request_expired`` if its id is too old to
-            tell whether it has run.
+        :raises ServiceRefusal: with ``request_reused`` if the recorded request differs,
+            with ``request_expired`` if its id is too old to tell whether it has run.
         """
         found = self.database.execute(
             "SELECT digest, result FROM reedhook_requests WHERE id = ?",
@@ -165,20 +164,20 @@
         return Rows(columns, rows, rowcount)
 
     def refuse_expired(self, key: RequestKey) -> None:
-        """Refuse an id so old that its record may have been dropped."""
+        """Refuse an id whose record may have been dropped."""
         if key.issued <= self.watermark():
             detail = "the request id is older than the ids that are kept"
             raise ServiceRefusal("request_expired", detail, 410)
 
     def watermark(self) -> int:
-        """Return the issue time up to which ids are no longer kept."""
+        """Return the issue time up to which ids have been dropped."""
         (newest,) = self.database.execute(
             "SELECT issued FROM reedhook_newest"
         ).fetchone()
         return int(newest) - KEEP_IDS_MS
 
     def record(self, key: RequestKey, result: Rows) -> None:
-        """Keep the id and result of a request, and drop ids grown too old."""
+        """Record the id and result of a request, and drop expired ids."""
         text = orjson.dumps([result.columns, result.rows, result.rowcount]).decode()
         execute = self.database.execute
         execute(
@@ -190,7 +189,7 @@
 
 
 def check_rows(rows: list[Any]) -> None:
-    """Refuse rows that JSON cannot carry.
+    """Check that the rows can be encoded as JSON.
 
     :raises ValueError: for too many rows or a value that is not JSON.
     """
@@ -201,5 +200,5 @@
 
 
 def digest(parts: list[Any]) -> str:
-    """Return a digest of what a request asked for."""
+    """Return a digest of a request's content."""
     return sha256(orjson.dumps(parts)).hexdigest()
--- a/src/reedhook_standins/group.py
+++ b/src/reedhook_standins/group.py
@@ -1,4 +1,4 @@
-"""Stand-in of a database group of several members."""
+"""Stand-in of a database group with several members."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 
 
 class Reign(Record):
-    """Name the log of the primary of a term."""
+    """Associate a term with the log of its primary."""
 
     __slots__ = ("term", "log")
 
@@ -28,9 +28,9 @@
 
 
 class GroupTruth:
-    """Know what really happened in a group, for tests to compare with.
+    """Record what really happened in a group, for tests to compare with.
 
-    :ivar written: all entries that any primary ever wrote, lost ones too.
+    :ivar written: all entries that any primary wrote, including lost ones.
     """
 
     def __init__(self) -> None:
@@ -38,37 +38,39 @@
         self.reign = Reign(0, Log())
 
     def lead(self, term: int, log: Log) -> None:
-        """Take note of the primary of a term."""
+        """Record the primary of a term."""
         if term > self.reign.term:
             self.reign = Reign(term, log)
 
     @property
     def entries(self) -> list[LogEntry]:
-        """Return the surviving history: the log of the newest primary."""
+        """Return the surviving history: the log of the latest primary."""
         return self.reign.log.entries
 
     def truth_age(self, position: Position, now: float) -> float:
-        """Return the age in seconds, at clock time `now`, of what a read at
-        `position` reflects: since when it misses a surviving entry."""
+        """Return how old a read at `position` is at time `now`, in seconds.
+
+        The age counts from the first surviving entry that the read misses.
+        """
         place = bisect_right(self.entries, position, key=lambda one: one.position)
         if place == len(self.entries):
             return 0.0
         return max(0.0, now - self.entries[place].written)
 
     def holds(self, position: Position) -> bool:
-        """Say whether the entry at `position` survives."""
+        """Return whether the entry at `position` survives."""
         place = position.index - 1
         if not 0 <= place < len(self.entries):
             return False
         return self.entries[place].position == position
 
     def count(self, request_id: str) -> int:
-        """Return how many surviving entries are of a request."""
+        """Return how many surviving entries belong to a request."""
         keys = (entry.key for entry in self.entries)
         return sum(1 for key in keys if key and key.request_id == request_id)
 
     def contains(self, request_id: str) -> bool:
-        """Say whether the effect of a request survives."""
+        """Return whether the effect of a request survives."""
         return self.count(request_id) > 0
 
 
@@ -76,8 +78,8 @@
     """Run the members of a group; the first is primary of term 1.
 
     :param names: the members' ids.
-    :param connections: connections that each member accepts.
-    :param slots: statements that each member runs at a time.
+    :param connections: maximum connections of each member.
+    :param slots: concurrent statements of each member.
     :param ports: the members' TCP ports; 0 takes a free one.
     """
 
@@ -127,19 +129,19 @@
         return next(one for one in self.members.values() if one.state.log is log)
 
     def partition(self, *names: str) -> None:
-        """Cut the replication between the named members and all others."""
+        """Cut replication between the named members and all others."""
         island = max(self.islands.values(), default=0) + 1
         for name in names:
             self.islands[name] = island
         self.poke()
 
     def heal(self) -> None:
-        """Undo all partitions."""
+        """Remove all partitions."""
         self.islands.clear()
         self.poke()
 
     def reachable(self, one: str, other: str) -> bool:
-        """Say whether two members can replicate from one another."""
+        """Return whether two members can replicate from one another."""
         return self.islands.get(one, 0) == self.islands.get(other, 0)
 
     def set_lag(self, ship_lag: float, apply_lag: float = 0.0) -> None:
@@ -149,12 +151,12 @@
             member.apply_lag = apply_lag
 
     def written(self, entry: LogEntry) -> None:
-        """Take note of an entry that a primary wrote."""
+        """Record an entry that a primary wrote."""
         self.truth.written.append(entry)
         for member in self.members.values():
             member.replication.shippable.set()
 
     def poke(self) -> None:
-        """Let all members look again, as a fault or a term has changed."""
+        """Wake the replication of all members after a fault or a term changed."""
         for member in self.members.values():
             member.replication.poke()
--- a/src/reedhook_standins/history.py
+++ b/src/reedhook_standins/history.py
@@ -1,9 +1,9 @@
-"""What callers saw, and the check of it against what the groups hold.
+"""The callers' observations, checked against the final contents of the groups.
 
-Every write of the workload raises a *register*: a key whose versions only
-grow and which one caller at a time writes. A read tells the versions that it
-saw. The promises then become comparisons of versions and of times, and need
-nothing that the system says about itself.
+Every write of the workload raises a *register*: a key whose versions only grow and
+which one caller at a time writes. A read returns the versions it saw. The guarantees
+are checked by comparing versions and times, independent of what the system reports
+about itself.
 """
 
 from collections import Counter, defaultdict
@@ -21,17 +21,17 @@
 
 
 class Attempt(Record):
-    """Carry one try of a write, as its caller saw it.
+    """Represent one try of a write, as its caller saw it.
 
     :param request_id: the id that all tries of the write share.
     :param group: the database group.
     :param key: the register that it raises.
-    :param version: the version that it raises the register to.
+    :param version: the version that it sets.
     :param session: the session that it belongs to.
-    :param host: the entry host that was asked.
-    :param started: when it was sent, in seconds of the shared clock.
-    :param ended: when its answer came, in seconds of the shared clock.
-    :param verdict: what the caller was told, or had to assume.
+    :param host: the entry host that it was sent to.
+    :param started: send time, in seconds of the shared clock.
+    :param ended: answer time, in seconds of the shared clock.
+    :param verdict: the result reported to the caller, or assumed by it.
     :param reason: the reason of a refusal; None for an answer.
     :param repeated: whether the answer is that of an earlier run.
     """
@@ -83,15 +83,15 @@
 
 
 class ReadSeen(Record):
-    """Carry one read, as its caller saw it.
+    """Represent one read, as its caller saw it.
 
-    :param kind: what the workload calls it, such as ``mix view``.
-    :param mark: the text that the statement asked to be given back.
-    :param echoed: the text that the answer gave back.
+    :param kind: the workload's name of the read, such as ``mix view``.
+    :param mark: the text that the statement should return.
+    :param echoed: the text that the answer returned.
     :param versions: the version seen of each key; 0 for an absent one.
     :param reason: the reason of a refusal; None for an answer.
     :param role: the role of the member that served; None for a refusal.
-    :param age: the age that the answer told, in seconds; None if it told none.
+    :param age: the reported age in seconds; None if the answer has none.
     """
 
     __slots__ = (
@@ -147,10 +147,10 @@
 
 
 class Effect(Record):
-    """Carry one effect that a group holds at the end.
+    """Represent one effect that a group holds at the end.
 
-    :param committed: when the primary committed it, in seconds of the clock
-        that the callers share; None if that is unknown.
+    :param committed: commit time, in seconds of the callers' shared clock; None if
+        unknown.
     """
 
     __slots__ = ("request_id", "group", "key", "version", "committed")
@@ -171,10 +171,10 @@
 
 
 class Fault(Record):
-    """Carry a fault that was brought about.
+    """Represent an injected fault.
 
     :param group: the group whose primary was hit; None for a host or the store.
-    :param at: when, in seconds of the clock that the callers share.
+    :param at: when, in seconds of the callers' shared clock.
     """
 
     __slots__ = ("name", "subject", "group", "at")
@@ -187,7 +187,7 @@
 
 
 class Promise(str, Enum):
-    """Name what must always hold."""
+    """Enumerate the guarantees that are checked."""
 
     LOST = "acknowledged writes lost"
     DOUBLED = "writes doubled"
@@ -199,7 +199,7 @@
 
 
 class Violation(Record):
-    """Carry one broken promise, with what a person needs to look into it."""
+    """Describe one violated guarantee, with the details needed to investigate it."""
 
     __slots__ = ("promise", "subject", "detail")
 
@@ -212,7 +212,7 @@
 class History:
     """Collect what callers saw.
 
-    :ivar faults: the faults that were brought about meanwhile.
+    :ivar faults: the faults that were injected meanwhile.
     """
 
     __slots__ = ("attempts", "reads", "faults")
@@ -235,18 +235,18 @@
         return [read for read in self.reads if read.answered]
 
     def refusals(self) -> list[str]:
-        """Return the reasons of all tries that brought no answer."""
+        """Return the reasons of all tries without an answer."""
         of_writes = [one.reason for one in self.attempts if one.reason]
         return of_writes + [one.reason for one in self.reads if one.reason]
 
     def end(self) -> float:
-        """Return when the last answer or refusal came; 0 if none did."""
+        """Return when the last answer or refusal came; 0 if there was none."""
         writes = [one.ended for one in self.attempts]
         return max(writes + [one.ended for one in self.reads], default=0.0)
 
 
 def violations(history: History, effects: Iterable[Effect]) -> list[Violation]:
-    """Return every broken promise in `history`, given what the groups hold."""
+    """Return every violated guarantee in `history`, given the groups' effects."""
     held = list(effects)
     return [
         *lost(history, held),
@@ -260,7 +260,7 @@
 
 
 def lost(history: History, effects: list[Effect]) -> Iterator[Violation]:
-    """Find acknowledged writes that no group holds."""
+    """Yield acknowledged writes that no group holds."""
     held = {effect.request_id for effect in effects}
     for attempt in history.acknowledged():
         if attempt.request_id not in held:
@@ -269,7 +269,7 @@
 
 
 def doubled(effects: list[Effect]) -> Iterator[Violation]:
-    """Find writes that took effect more than once."""
+    """Yield writes that took effect more than once."""
     counts = Counter(effect.request_id for effect in effects)
     for request_id, count in counts.items():
         if count > 1:
@@ -277,11 +277,11 @@
 
 
 def untrue_not_run(history: History, effects: list[Effect]) -> Iterator[Violation]:
-    """Find effects that only attempts answered "not run" can explain.
+    """Yield effects whose only possible attempts were answered "not run".
 
-    An effect needs an attempt that began before it and was not told that
-    nothing ran. An answer that repeats an earlier run proves nothing of its
-    own: a host may have tried twice for one attempt of the caller.
+    An effect needs an attempt that began before it and was not answered "not run". A
+    repeated answer is no evidence: a host may have tried twice for one attempt of the
+    caller.
     """
     tries: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in history.attempts:
@@ -302,7 +302,7 @@
 
 
 def stale_fresh(history: History) -> Iterator[Violation]:
-    """Find fresh reads that miss a write acknowledged before they began."""
+    """Yield fresh reads that miss a write acknowledged before they began."""
     acknowledged = by_register(history)
     for read in history.answered():
         if read.consistency is not Consistency.FRESH:
@@ -314,10 +314,10 @@
 
 
 def session_misses(history: History) -> Iterator[Violation]:
-    """Find reads that miss what their session wrote or saw before.
+    """Yield reads that miss what their session wrote or saw before.
 
-    Only session and fresh reads carry that promise; a bounded read still
-    adds what it saw to the session.
+    Only session and fresh reads have this guarantee; versions seen by a bounded read
+    still count for the session.
     """
     marks: dict[str, dict[Register, int]] = defaultdict(lambda: defaultdict(int))
     for ended, step in steps(history):
@@ -333,9 +333,9 @@
 
 
 def steps(history: History) -> list[tuple[float, Attempt | ReadSeen]]:
-    """Return what gives a session its marks, in the order of answers.
+    """Return the attempts and reads of all sessions, ordered by answer time.
 
-    A session does one thing at a time, so the order of answers is its own.
+    A session runs one request at a time, so this is also its own order.
     """
     found: list[tuple[float, Attempt | ReadSeen]] = []
     for attempt in history.attempts:
@@ -347,15 +347,15 @@
 
 
 def raise_mark(mark: dict[Register, int], register: Register, version: int) -> None:
-    """Raise the version that a session must not miss from now on."""
+    """Raise the minimum version of a register that a session must see."""
     mark[register] = max(mark[register], version)
 
 
 def ages_too_low(history: History, effects: list[Effect]) -> Iterator[Violation]:
-    """Find reads that miss an effect older than the age they told.
+    """Yield reads that miss an effect older than the age they reported.
 
-    A read that misses what was committed at `t` is at least ``started - t``
-    old. Without the time of a commit, that of its acknowledgement stands in.
+    A read that misses a commit at `t` is at least ``started - t`` old. If the commit
+    time is unknown, the time of its acknowledgement is used.
     """
     acknowledged = {one.request_id: one.ended for one in history.acknowledged()}
     commits: dict[Register, list[tuple[float, int]]] = defaultdict(list)
@@ -376,7 +376,7 @@
 
 
 def mixed(history: History) -> Iterator[Violation]:
-    """Find answers that give back the mark of another request."""
+    """Yield answers that return the mark of another request."""
     for read in history.answered():
         if read.echoed != read.mark:
             detail = f"asked with {read.mark}, got {read.echoed}"
--- a/src/reedhook_standins/hostlist.py
+++ b/src/reedhook_standins/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of entry hosts and targets."""
+"""Stand-in of the platform's list of entry hosts and targets, with a delay."""
 
 from reedhook.clock import Clock, SystemClock
 from reedhook.process.fleet.hostlist import HostListEntry, ListedKind, ListedState
@@ -9,7 +9,7 @@
 
 
 class ListChange(Record):
-    """Carry a change of the list; `listed` is None for a removal.
+    """Represent a change of the list; `listed` is None for a removal.
 
     :param at: clock time in seconds.
     """
@@ -25,7 +25,7 @@
 class HostListStandin(Service):
     """Serve a list that shows each change `lag` seconds late.
 
-    :ivar down: whether each call ends without an answer.
+    :ivar down: whether connections close without an answer.
     """
 
     def __init__(self, clock: Clock | None = None, lag: float = 0.0) -> None:
@@ -44,7 +44,7 @@
         state: ListedState = ListedState.LIVE,
         kind: ListedKind = ListedKind.HOST,
     ) -> None:
-        """Add a host or change its line."""
+        """Add a host or replace its entry."""
         listed = HostListEntry(host, zone, address, state, kind)
         self.changes.append(ListChange(self.clock.monotonic(), host, listed))
 
@@ -56,11 +56,11 @@
         self.put(host, listed.zone, listed.address, ListedState.LEAVING, listed.kind)
 
     def remove(self, host: str) -> None:
-        """Take a host off the list."""
+        """Remove a host from the list."""
         self.changes.append(ListChange(self.clock.monotonic(), host, None))
 
     def visible(self) -> list[HostListEntry]:
-        """Return the list as it stood `lag` seconds ago."""
+        """Return the list as of `lag` seconds ago."""
         newest = self.clock.monotonic() - self.lag
         lines: dict[str, HostListEntry] = {}
         for change in self.changes:
--- a/src/reedhook_standins/keyvalue.py
+++ b/src/reedhook_standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP, small and in memory, for tests."""
+"""In-memory stand-in of the platform's HTTP key-value store."""
 
 import asyncio
 import base64
@@ -12,9 +12,9 @@
 
 
 class KeyValueStandIn:
-    """Answer the calls of the store on a port of its own.
+    """Serve the store's calls on a port of its own.
 
-    :ivar status: answered to each call in place of doing it, if not 0.
+    :ivar status: HTTP status returned to every call instead of running it, if not 0.
     :ivar silent: whether calls get no answer.
     """
 
@@ -55,7 +55,7 @@
 
     @web.middleware
     async def fail(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        """Bring about the faults that are set."""
+        """Apply the injected faults to a request."""
         if self.silent:
             await asyncio.sleep(30.0)
         if self.status:
@@ -81,17 +81,17 @@
         return self.revision
 
     def forget(self) -> None:
-        """Drop the history."""
+        """Drop the change history."""
         self.history.clear()
         self.first = self.revision
 
     def end_leases(self) -> None:
-        """Let all leases lapse; what was written under them goes."""
+        """Expire all leases and delete the keys written under them."""
         for lease in list(self.leases):
             self.lapse(lease)
 
     def lapse(self, lease: int) -> None:
-        """Let one lease end."""
+        """Expire one lease."""
         self.leases.discard(lease)
         for key in [k for k, one in self.items.items() if one["lease"] == lease]:
             self.write(key, None)
@@ -104,7 +104,7 @@
         return answer({**item, "at": self.revision})
 
     async def range(self, request: web.Request) -> web.Response:
-        """Return items in pages of two, so that pages are met in tests."""
+        """Return items in pages of two, so that tests cover paging."""
         prefix, after = request.query["prefix"], request.query.get("after", "")
         keys = sorted(
             key for key in self.items if key.startswith(prefix) and key > after
@@ -136,7 +136,7 @@
                 continue
 
     async def change(self, request: web.Request) -> web.Response:
-        """Write under conditions, all or nothing."""
+        """Apply conditional writes atomically."""
         body = orjson.loads(await request.read())
         for row in body["expect"]:
             known = self.items.get(row["key"], {"revision": 0})
@@ -169,7 +169,7 @@
 
 
 def answer(message: dict[str, Any], status: int = 200) -> web.Response:
-    """Return a message as JSON."""
+    """Return a message as a JSON response."""
     return web.Response(
         body=orjson.dumps(message), status=status, content_type="application/json"
     )
--- a/src/reedhook_standins/listening.py
+++ b/src/reedhook_standins/listening.py
@@ -1,4 +1,4 @@
-"""A stand-in that listens on a free port of the loopback."""
+"""Base class of stand-ins that listen on a free loopback port."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -7,7 +7,7 @@
 class Listening(ABC):
     """Accept connections.
 
-    :ivar address: ``IP:port``, once started.
+    :ivar address: ``IP:port``, set by `start`.
     """
 
     def __init__(self) -> None:
--- a/src/reedhook_standins/log.py
+++ b/src/reedhook_standins/log.py
@@ -1,4 +1,4 @@
-"""The log of a group: entries with positions, and what they carry."""
+"""The replicated log of a group, and the records in its entries."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class Change(Record):
-    """Carry one statement with its parameters."""
+    """Represent one statement with its parameters."""
 
     __slots__ = ("sql", "params")
 
@@ -18,7 +18,7 @@
 
 
 class Rows(Record):
-    """Carry what a statement returned."""
+    """Represent the result of a statement."""
 
     __slots__ = ("columns", "rows", "rowcount")
 
@@ -29,10 +29,10 @@
 
 
 class RequestKey(Record):
-    """Carry the id of a request and a digest of what it asked for.
+    """Identify a request by its id and a digest of its content.
 
-    :param issued: when the id was made, in milliseconds since the epoch, as
-        the id itself says.
+    :param issued: when the id was created, in milliseconds since the epoch, as encoded
+        in the id.
     """
 
     __slots__ = ("request_id", "issued", "digest")
@@ -44,10 +44,10 @@
 
 
 class LogEntry(Record):
-    """Carry one entry; the opening entry of a term has no changes.
+    """Represent one log entry; the opening entry of a term has no changes.
 
-    :param key: the request whose effect it is, if it has an id.
-    :param result: what the request was answered.
+    :param key: the request that caused it, if it has an id.
+    :param result: the result returned to the request.
     :param written: when its primary wrote it, clock time in seconds.
     """
 
@@ -72,7 +72,7 @@
 
 
 class Log:
-    """Keep the entries that one member holds durably."""
+    """Store the durable entries of one member."""
 
     __slots__ = ("entries",)
 
@@ -94,10 +94,10 @@
         self.entries.append(entry)
 
     def shared(self, other: "Log") -> int:
-        """Return how many entries both logs begin with.
+        """Return the length of the common prefix of both logs.
 
-        Entries of one position are the same entry, and so are all before it,
-        as only one member writes in a term.
+        Entries of one position are the same entry, and so are all before it, as only
+        one member writes in a term.
         """
         count = min(len(self.entries), len(other.entries))
         while count and self.position_at(count) != other.position_at(count):
--- a/src/reedhook_standins/member.py
+++ b/src/reedhook_standins/member.py
@@ -1,4 +1,4 @@
-"""Stand-in of one member of a database group, on a TCP port of its own."""
+"""Stand-in of one database group member, on a TCP port of its own."""
 
 import asyncio
 from collections import Counter
@@ -26,7 +26,7 @@
 
 
 class Cut(IntEnum):
-    """Name what becomes of messages between a client and a member."""
+    """Enumerate what happens to messages between a client and a member."""
 
     NONE = 0
     REFUSE = 1
@@ -36,7 +36,7 @@
 class MemberStandin(Service):
     """Serve statements on the rows of one member.
 
-    Faults are attributes that test code sets at any time, and the methods
+    Tests inject faults through attributes, at any time, and through the methods
     `pause`, `resume`, `kill`, `revive`, `leave` and `silence_connections`.
 
     :ivar ship_lag: seconds until a replica holds an entry.
@@ -44,15 +44,15 @@
     :ivar statement_time: seconds that a statement occupies a slot.
     :ivar setup_time: seconds that opening a connection takes.
     :ivar idle_limit: seconds after which an idle transaction is rolled back.
-    :ivar linger: seconds for which a connection still counts as open when its
-        client closed it while it was silent or cut.
-    :ivar cut: what becomes of messages of all clients.
-    :ivar cuts: what becomes of messages of single clients, by name.
+    :ivar linger: seconds for which a connection still counts as open when its client
+        closed it while it was silent or cut.
+    :ivar cut: what happens to messages of all clients.
+    :ivar cuts: what happens to messages of single clients, by name.
     :ivar received: requests received, by name.
-    :ivar late_work: new work received more than `LEAVE_GRACE` seconds after
-        `leave`; it is refused.
+    :ivar late_work: new work received, and refused, more than `LEAVE_GRACE` seconds
+        after `leave`.
     :ivar open_connections: connections open now.
-    :ivar peak_connections: the most that were ever open at once.
+    :ivar peak_connections: maximum of connections open at once.
     """
 
     def __init__(
@@ -97,11 +97,11 @@
 
     @property
     def runs(self) -> bool:
-        """Say whether the member is neither dead nor paused."""
+        """Return whether the member is neither dead nor paused."""
         return self.running.is_set()
 
     async def revive(self) -> None:
-        """Start, with what is held from earlier runs."""
+        """Start with the durable state of earlier runs."""
         self.dead = False
         self.starts += 1
         self.running.set()
@@ -111,7 +111,7 @@
         self.group.poke()
 
     async def kill(self) -> None:
-        """Die at once; what is held stays, open transactions are lost."""
+        """Stop at once; durable state stays, open transactions are lost."""
         self.dead = True
         self.running.clear()
         self.hang_up()
@@ -121,21 +121,21 @@
         self.tasks = []
 
     def pause(self) -> None:
-        """Stop as a suspended process does; connections stay open."""
+        """Pause as SIGSTOP does; connections stay open."""
         self.running.clear()
 
     def resume(self) -> None:
-        """Go on after `pause`."""
+        """Continue after `pause`."""
         if not self.dead:
             self.running.set()
             self.group.poke()
 
     def leave(self) -> None:
-        """Take no new work from `LEAVE_GRACE` seconds on."""
+        """Refuse new work from `LEAVE_GRACE` seconds on."""
         self.left = self.clock.monotonic()
 
     def silence_connections(self) -> None:
-        """Let the connections open now answer never again; new ones work."""
+        """Make the connections open now stop answering; new ones work."""
         for connection in self.connections.values():
             connection.silent = True
 
@@ -158,13 +158,13 @@
         self.release(connection)
 
     def release(self, connection: ServiceConnection) -> None:
-        """Forget a connection and roll back what was open on it."""
+        """Forget a connection and roll back its transaction."""
         self.open_connections -= 1
         self.end_transaction(connection)
         self.bump()
 
     def bump(self) -> None:
-        """Count a change of the state and wake those who wait for one."""
+        """Increment the state revision and wake its waiters."""
         self.revision += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -208,7 +208,7 @@
             await self.running.wait()
 
     def cut_of(self, connection: ServiceConnection) -> Cut:
-        """Return the worse of the cuts that hold for a connection."""
+        """Return the more severe of the cuts that apply to a connection."""
         return max(self.cut, self.cuts.get(connection.client, Cut.NONE))
 
     async def greet(self, connection: ServiceConnection, message: Json) -> None:
@@ -224,7 +224,7 @@
         await self.pass_faults(connection)
 
     def refuse_late(self, name: str) -> None:
-        """Refuse new work that comes too long after the member began to leave."""
+        """Refuse new work more than `LEAVE_GRACE` seconds after `leave`."""
         if self.left is None or name not in NEW_WORK:
             return
         if self.clock.monotonic() - self.left > LEAVE_GRACE:
@@ -232,7 +232,7 @@
             raise ServiceRefusal("leaving", f"{self.name} is leaving")
 
     def report(self) -> MemberState:
-        """Return what the member says of itself."""
+        """Return the state that the member reports."""
         return MemberState(
             member=self.name,
             role=self.state.role,
@@ -245,7 +245,7 @@
         )
 
     async def lock(self, timeout: float) -> None:
-        """Wait for the only write transaction, in bounded time."""
+        """Acquire the single write lock, in bounded time."""
         try:
             async with asyncio.timeout(timeout):
                 await self.writing.acquire()
@@ -253,7 +253,7 @@
             raise busy() from None
 
     async def occupy(self, timeout: float) -> None:
-        """Occupy a slot for the time of a statement; nothing runs before."""
+        """Hold a slot for the duration of a statement; nothing runs before."""
         start = self.starts
         try:
             async with asyncio.timeout(timeout):
@@ -295,5 +295,5 @@
 
 
 def busy() -> ServiceRefusal:
-    """Return the refusal of a statement that waited its whole time."""
+    """Return the refusal of a statement that timed out in the queue."""
     return ServiceRefusal("busy", "no slot or lock came free in time", 429)
--- a/src/reedhook_standins/outcome.py
+++ b/src/reedhook_standins/outcome.py
@@ -1,4 +1,4 @@
-"""The report of a day: what was promised, what was measured."""
+"""The report of a run: checked guarantees and measurements."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -17,12 +17,12 @@
 
 
 class Gap(Record):
-    """Carry how long one group took no writes after a fault.
+    """Represent how long one group took no writes after a fault.
 
-    :param to_first_write: from the fault to the first acknowledgement of a
-        write that was sent after it, in seconds; None if none came.
-    :param longest: the longest time without an acknowledgement that the
-        fault lies in or precedes, in seconds.
+    :param to_first_write: seconds from the fault to the first acknowledgement of a
+        write that was sent after it; None if none came.
+    :param longest: the longest time in seconds without an acknowledgement that includes
+        or follows the fault.
     """
 
     __slots__ = ("fault", "to_first_write", "longest")
@@ -35,7 +35,7 @@
         self.longest = longest
 
     def to_json(self) -> Json:
-        """Return the gap for programs."""
+        """Return the gap as JSON."""
         return {
             "fault": self.fault.name,
             "subject": self.fault.subject,
@@ -46,10 +46,10 @@
 
 
 class Outcome(Record):
-    """Carry the report of a day.
+    """Represent the report of a run.
 
-    :param broken: the promises that did not hold.
-    :param missing: what should have happened and did not.
+    :param broken: the violated guarantees.
+    :param missing: expected events that did not happen.
     :param reads: answered reads by consistency and role.
     """
 
@@ -95,11 +95,11 @@
 
     @property
     def good(self) -> bool:
-        """Return whether the promises held and the main things happened."""
+        """Return whether the guarantees held and the expected events happened."""
         return not self.broken and not self.missing
 
     def replica_share(self, consistency: Consistency | None = None) -> float | None:
-        """Return the share of answered reads that replicas served."""
+        """Return the fraction of answered reads that replicas served."""
         counted = {
             role: sum(
                 count
@@ -112,7 +112,7 @@
         return counted["replica"] / total if total else None
 
     def to_json(self) -> Json:
-        """Return the report for programs."""
+        """Return the report as JSON."""
         counts = Counter(violation.promise for violation in self.broken)
         return {
             "deployment": self.deployment,
@@ -144,7 +144,7 @@
     effects: Iterable[Effect],
     gave_up: list[str],
 ) -> Outcome:
-    """Return the report of `history`, given what the groups hold at its end."""
+    """Return the report of `history`, given the effects in the groups at its end."""
     held = list(effects)
     gaps = [gap for fault in history.faults if (gap := gap_after(history, fault))]
     reads = Counter(
@@ -200,7 +200,7 @@
 
 
 def what_is_missing(outcome: Outcome) -> Iterator[str]:
-    """Say what should have happened in a day and did not."""
+    """Yield the expected events that did not happen."""
     if not outcome.acknowledged:
         yield "no write was acknowledged"
     if not outcome.replica_share():
@@ -215,7 +215,7 @@
 
 
 def text(outcome: Outcome) -> str:
-    """Return the report for a person."""
+    """Format the report as text."""
     counts = Counter(violation.promise for violation in outcome.broken)
     lines = [
         f"{outcome.deployment}, {outcome.seconds:.1f} s",
@@ -262,15 +262,15 @@
 
 
 def broken_line(violation: Violation) -> str:
-    """Return the line of one broken promise."""
+    """Return the line of one violated guarantee."""
     return f"BROKEN: {violation.promise.value}: {violation.subject}: {violation.detail}"
 
 
 def percent(share: float | None) -> str:
-    """Return a share for a person."""
+    """Format a fraction as a percentage."""
     return "-" if share is None else f"{share:.1%}"
 
 
 def rounded(value: float | None) -> float | None:
-    """Return a figure with the digits that it deserves."""
+    """Round a figure to the digits of the report."""
     return None if value is None else round(value, 4)
--- a/src/reedhook_standins/partition.py
+++ b/src/reedhook_standins/partition.py
@@ -1,4 +1,4 @@
-"""A network partition between zones, as the hosts' adapters feel it."""
+"""A network partition between zones, injected into the hosts' adapters."""
 
 from typing import Final
 
@@ -14,9 +14,9 @@
 
 
 class Partition:
-    """Know which zones are cut off from one another and from the platform.
+    """Record which zones are cut off from one another and from the platform.
 
-    :ivar cut_off: the zones that are cut off, each by itself.
+    :ivar cut_off: the isolated zones, each separated from all others.
     """
 
     __slots__ = ("cut_off", "clock")
@@ -31,7 +31,7 @@
 
 
 class PartitionedPeers(PeerClient):
-    """Lose calls across the partition, and answers that were under way.
+    """Drop calls across the partition, and the answers in flight.
 
     :param zone: the zone of the calling host.
     """
@@ -60,7 +60,7 @@
 
 
 class PartitionedStore(HttpStore):
-    """Lose calls of a zone that is cut off from the platform."""
+    """Drop calls of a zone that is cut off from the platform."""
 
     def __init__(self, address: str, zone: str, partition: Partition) -> None:
         super().__init__(address)
@@ -79,7 +79,7 @@
 
 
 class PartitionedHostList(HttpHostList):
-    """Lose calls of a zone that is cut off from the platform."""
+    """Drop calls of a zone that is cut off from the platform."""
 
     def __init__(self, address: str, zone: str, partition: Partition) -> None:
         super().__init__(address)
--- a/src/reedhook_standins/platform.py
+++ b/src/reedhook_standins/platform.py
@@ -1,4 +1,4 @@
-"""The platform's part of a deployment: store, host list, database groups.
+"""The platform of a deployment: store, host list and database groups.
 
 Run by hand as ``python -m reedhook_standins.platform``, it serves until it is
 interrupted. The members listen at the addresses in the deployment's base file;
@@ -33,7 +33,7 @@
 
 
 class Platform:
-    """Run the stand-ins of a deployment in the present process.
+    """Run the stand-ins of a deployment in the current process.
 
     :param list_lag: seconds by which the host list lags.
     """
@@ -92,7 +92,7 @@
 
 
 async def serve(platform: Platform, port_base: int) -> None:
-    """Serve at fixed ports until the process is told to end."""
+    """Serve at fixed ports until interrupted."""
     control = Control(platform)
     control.port = port_base
     platform.store.port = port_base + 1
@@ -115,7 +115,7 @@
 
 
 def base_ports(deployment: Deployment) -> dict[str, int]:
-    """Return the port of each member, as the base file gives it."""
+    """Return the port of each member in the base file."""
     return {
         member: int(one["address"].rpartition(":")[2])
         for service in deployment.base["services"].values()
@@ -125,7 +125,7 @@
 
 
 def main() -> None:
-    """Run the stand-ins of a deployment by hand."""
+    """Run the stand-ins of a deployment from the command line."""
     options = docopt(__doc__)
     name = options["--deployment"]
     if name not in NETWORKS:
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -1,4 +1,4 @@
-"""What callers were told, compared with what the targets of a group did."""
+"""Check the answers given to callers against what the targets of a group did."""
 
 import json
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 
 
 class Acknowledged(Record):
-    """Remember a commit that a caller was told of.
+    """Represent an acknowledged commit.
 
-    :param at: when the caller was told, by the clock of the check.
+    :param at: when the caller got the answer, by the clock of the check.
     """
 
     __slots__ = ("position", "at", "session")
@@ -25,7 +25,7 @@
 
 
 class Viewer(Record):
-    """Say who reads, and what its session has set and prepared.
+    """Describe a reader and the settings and statements of its session.
 
     :param max_age: seconds; None if the route states none.
     """
@@ -49,7 +49,7 @@
         self.prepared = prepared
 
     def must_see(self, one: Acknowledged, asked: float) -> float:
-        """Return until when commits must be in the log of a read.
+        """Return the time up to which commits must be visible to a read.
 
         :param asked: when the read, or its transaction, was sent.
         """
@@ -61,7 +61,7 @@
 
 
 class Sent(Record):
-    """Remember a statement that a caller sent.
+    """Represent a statement that a caller sent.
 
     :param transaction: names its transaction; empty for none.
     """
@@ -82,10 +82,10 @@
 
 
 class Promises:
-    """Judge what was read, acknowledged, promised and run.
+    """Check reads, acknowledgements, "not run" answers and executed statements.
 
     :param now: returns the time by the clock of the check, in seconds.
-    :ivar violations: what was promised and not kept, in words.
+    :ivar violations: descriptions of the violated guarantees.
     """
 
     def __init__(self, group: DatabaseGroup, now: Callable[[], float]) -> None:
@@ -99,24 +99,24 @@
         self.without_trace: set[str] = set()
 
     def watch(self) -> None:
-        """Look at each statement that a target runs, and at each commit."""
+        """Observe each statement that a target runs, and each commit."""
         self.group.on_run = self.ran
         self.group.on_commit = self.has_committed
 
     def broken(self, text: str) -> None:
-        """Take note of a broken promise."""
+        """Record a violation."""
         self.violations.append(f"{self.now():.3f} {text}")
 
-    # What callers are told
+    # Answers to callers
 
     def acknowledge(self, name: str, position: Position, session: str) -> None:
-        """Remember a commit that a caller was just told of."""
+        """Record a commit that a caller was just told of."""
         if position in self.group.superseded:
             self.broken(f"{name} was told of {position}, committed too late")
         self.acknowledged.append(Acknowledged(position, self.now(), session))
 
     def read(self, viewer: Viewer, row: str, asked: float) -> None:
-        """Compare what a read saw with what it must not miss."""
+        """Check that a read saw every commit it must see."""
         seen = json.loads(row)
         log = {Position.from_json(one) for one in seen["log"]}
         if seen["values"] != viewer.settings or seen["prepared"] != viewer.prepared:
@@ -131,16 +131,16 @@
                 )
 
     def promise(self, name: str, ids: list[str]) -> None:
-        """Take note that a caller was told that nothing of these is kept."""
+        """Record the answer that none of these statements had an effect."""
         self.without_trace.update(ids)
         for id in ids:
             if id in self.committed:
                 self.broken(f"{name}: {id} was committed and said not to be kept")
 
-    # What targets do
+    # Events at targets
 
     def ran(self, id: str, text: str, session: DatabaseSession) -> None:
-        """Compare a statement that runs with the one that was sent."""
+        """Check a running statement against the one that was sent."""
         sent = self.sent.get(id)
         if sent is None or sent.text != text:
             self.broken(f"{id} runs as {text!r}, which nobody sent")
@@ -154,7 +154,7 @@
             self.broken(f"{id} runs with {session.values} {session.prepared}")
 
     def has_committed(self, ids: list[str]) -> None:
-        """Take note that statements took effect."""
+        """Record that statements took effect."""
         for id in ids:
             if id in self.committed:
                 self.broken(f"{id} took effect twice")
--- a/src/reedhook_standins/replicated.py
+++ b/src/reedhook_standins/replicated.py
@@ -1,4 +1,4 @@
-"""What a member keeps: its log, its rows, and the terms it promised."""
+"""The durable state of a member: its log, its rows and the terms it promised."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,13 +12,13 @@
 
 
 class ReplicatedState:
-    """Keep the log of one member by the rules of terms.
+    """Maintain the log of one member by the rules of terms.
 
     :param changed: called after each change of the state.
     :param written: called with each entry that the member writes as primary.
     :ivar promised: the highest term promised, to `owner`.
     :ivar leader: the member that it follows, or itself.
-    :ivar arrivals: when each entry was held, clock time in seconds.
+    :ivar arrivals: when each entry was received, clock time in seconds.
     :ivar applied: how many entries the rows reflect.
     """
 
@@ -44,7 +44,7 @@
 
     @property
     def role(self) -> Role:
-        """Return the part that the member plays now."""
+        """Return the member's current role."""
         if self.promised > self.leader_term:
             return Role.FENCED
         return Role.PRIMARY if self.leader == self.member else Role.REPLICA
@@ -100,13 +100,13 @@
         return entry
 
     def take(self, entry: LogEntry) -> None:
-        """Hold an entry of the primary; reads see it once it is applied."""
+        """Store an entry from the primary; reads see it once it is applied."""
         self.log.append(entry)
         self.arrivals.append(self.clock.monotonic())
         self.changed()
 
     def apply_next(self) -> None:
-        """Apply the next entry held."""
+        """Apply the next stored entry."""
         self.engine.apply(self.log.entries[self.applied])
         self.applied += 1
         self.changed()
@@ -126,7 +126,7 @@
         self.changed()
 
     def raise_term(self, term: int, owner: str) -> None:
-        """Promise a term, if it is higher or was promised to the same owner."""
+        """Promise a term that is higher, or was promised to the same owner."""
         if term < self.promised or (term == self.promised and owner != self.owner):
             raise term_refused(f"term {self.promised} is promised to {self.owner}")
         if term > self.promised:
@@ -166,5 +166,5 @@
 
 
 def term_refused(detail: str) -> ServiceRefusal:
-    """Return the refusal of a call that the terms forbid."""
+    """Return the refusal of a call that the term rules forbid."""
     return ServiceRefusal("term_refused", detail)
--- a/src/reedhook_standins/replication.py
+++ b/src/reedhook_standins/replication.py
@@ -1,4 +1,4 @@
-"""Asynchronous replication: a member pulls the entries of its primary."""
+"""Asynchronous replication: a member pulls entries from its primary."""
 
 import asyncio
 from typing import TYPE_CHECKING, Final
@@ -8,13 +8,13 @@
 if TYPE_CHECKING:
     from .member import MemberStandin
 
-# A lag that changes during a wait is noticed after this time, in seconds.
+# Seconds after which a wait notices a changed lag.
 SLICE: Final = 0.02
 
 
 class Replication:
-    """Hold entries `ship_lag` seconds after they were written, and apply them
-    `apply_lag` seconds after they were held.
+    """Receive entries `ship_lag` seconds after the write, and apply them `apply_lag`
+    seconds later.
 
     :ivar shippable: set when there may be something to pull.
     :ivar applicable: set when there may be something to apply.
@@ -28,12 +28,12 @@
         self.applicable = asyncio.Event()
 
     def poke(self) -> None:
-        """Look again, as a fault or a term has changed."""
+        """Wake both loops after a fault or a term changed."""
         self.shippable.set()
         self.applicable.set()
 
     async def ship(self) -> None:
-        """Pull entries for as long as the member runs."""
+        """Pull entries while the member runs."""
         while True:
             self.shippable.clear()
             entry = self.next_entry()
@@ -44,7 +44,7 @@
                 self.applicable.set()
 
     async def apply(self) -> None:
-        """Apply held entries for as long as the member runs."""
+        """Apply received entries while the member runs."""
         while True:
             self.applicable.clear()
             place = self.state.applied
@@ -54,7 +54,7 @@
                 self.state.apply_next()
 
     async def due(self, moment: float) -> bool:
-        """Return True at once if `moment` has come, else False after a sleep."""
+        """Return True if `moment` has passed, else False after a short sleep."""
         delay = moment - self.clock.monotonic()
         if delay <= 0:
             return True
@@ -75,7 +75,7 @@
         return entries[place] if place < len(entries) else None
 
     def source(self) -> "MemberStandin | None":
-        """Return the primary of the leader term, if entries may come from it."""
+        """Return the primary of the member's term if it is reachable, else None."""
         state = self.state
         if not self.member.runs or state.promised > state.leader_term:
             return None
--- a/src/reedhook_standins/service.py
+++ b/src/reedhook_standins/service.py
@@ -1,4 +1,4 @@
-"""HTTP with JSON for all stand-ins, with a view of each TCP connection."""
+"""JSON over HTTP for all stand-ins, with access to each TCP connection."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -15,7 +15,7 @@
 
 
 class ServiceRefusal(Exception):
-    """Refuse a request with a code; nothing was run.
+    """Refuse a request with a code; nothing was executed.
 
     :param status: the HTTP status.
     """
@@ -32,12 +32,12 @@
 
 
 class ServiceConnection:
-    """Know one open TCP connection.
+    """Track one open TCP connection.
 
-    :ivar admitted: whether it counts as one of the permitted connections.
+    :ivar admitted: whether it counts towards the connection limit.
     :ivar greeted: whether it is set up.
-    :ivar silent: whether it answers never again.
-    :ivar transaction: the transaction that is open on it.
+    :ivar silent: whether it stopped answering for good.
+    :ivar transaction: the open transaction of the connection.
     :ivar closed: set once the connection has ended.
     """
 
@@ -67,12 +67,12 @@
                 await self.closed.wait()
 
     def abort(self) -> None:
-        """Close without sending what is still buffered."""
+        """Close without sending buffered data."""
         self.transport.abort()
 
 
 class ConnectionServer(web.Server):
-    """Tell a service about each connection that opens or ends."""
+    """Notify a service of each connection that opens or ends."""
 
     def __init__(self, service: "Service") -> None:
         super().__init__(service.handle, access_log=None, keepalive_timeout=KEEP_OPEN)
@@ -81,7 +81,7 @@
     def connection_made(
         self, handler: RequestHandler, transport: asyncio.Transport
     ) -> None:
-        """Take note that a connection was opened."""
+        """Track a new connection."""
         super().connection_made(handler, transport)
         connection = ServiceConnection(transport)
         self.service.connections[handler] = connection
@@ -90,7 +90,7 @@
     def connection_lost(
         self, handler: RequestHandler, exc: BaseException | None = None
     ) -> None:
-        """Take note that a connection has ended."""
+        """Untrack an ended connection."""
         super().connection_lost(handler, exc)
         connection = self.service.connections.pop(handler, None)
         if connection is None:
@@ -113,7 +113,7 @@
         return f"{LOOPBACK}:{self.port}"
 
     async def listen(self) -> None:
-        """Listen on `port`; 0 takes a free one, which a later call takes again."""
+        """Listen on `port`; 0 takes a free one, which a later call reuses."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             ConnectionServer(self), LOOPBACK, self.port
@@ -154,17 +154,17 @@
         """Answer the request `name`.
 
         :raises ServiceRefusal: if it is refused.
-        :raises AnswerLost: if the connection shall close without an answer.
+        :raises AnswerLost: if the connection must close without an answer.
         """
 
     def opened(self, connection: ServiceConnection) -> None:
-        """Take note of a new connection."""
+        """Handle a new connection."""
 
     def ended(self, connection: ServiceConnection) -> None:
-        """Take note of a connection that ended."""
+        """Handle the end of a connection."""
 
 
 def refused(code: str, detail: str, status: int) -> web.Response:
-    """Return the answer that carries a refusal."""
+    """Return the HTTP response of a refusal."""
     body = encode({"code": code, "detail": detail})
     return web.Response(status=status, body=body, content_type="application/json")
--- a/src/reedhook_standins/soak/__init__.py
+++ b/src/reedhook_standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real hosts as processes, with faults brought about from outside."""
+"""Soak test: real host processes under injected faults."""
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, who check what they are told."""
+"""Callers of the soak test, which check every answer."""
 
 import asyncio
 from random import Random
@@ -13,7 +13,7 @@
 from ..promises import Promises, Sent, Viewer
 
 PATIENCE: Final = 3.0
-"""Seconds for an answer; a host's own bound of a statement is 0.8."""
+"""Seconds for an answer; must exceed a host's own statement limit of 0.8."""
 
 LONGEST_LINE: Final = 1 << 22
 """Bytes of one line of an answer: a read returns the whole log of its target."""
@@ -21,18 +21,18 @@
 WITHOUT_TRACE: Final = frozenset(
     {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOADED"}
 )
-"""Errors that promise that nothing is kept."""
+"""Errors that guarantee that the statement had no effect."""
 
 ROUTES: Final = {
     "tickets": (RouteConsistency.PRIMARY, None),
     "views": (RouteConsistency.BOUNDED, 1.5),
     "reports": (RouteConsistency.OWN_WRITES, 2.5),
 }
-"""Kind and greatest age in seconds of each database."""
+"""Consistency and maximum age in seconds of each database."""
 
 
 class Answer(Record):
-    """Carry the answer to one statement.
+    """Represent the answer to one statement.
 
     :param error: empty for a success.
     """
@@ -55,11 +55,11 @@
 
 
 class SessionEnded(Exception):
-    """Say that the session has ended, or gives no answer."""
+    """Report that the session has ended or does not answer."""
 
 
 class WireCaller:
-    """Hold one session, and check each answer.
+    """Run one session, and check each answer.
 
     :ivar done: statements that succeeded.
     """
@@ -110,7 +110,7 @@
         return data.decode("latin-1").rstrip("\r\n")
 
     def close(self) -> None:
-        """End the session; a transaction that is open is rolled back."""
+        """End the session; an open transaction is rolled back."""
         if self.writer is not None:
             self.writer.close()
 
@@ -152,7 +152,7 @@
                 return Answer(rows, signature, error, state, read_position(position))
 
     def judge(self, id: str, text: str, answer: Answer, asked: float) -> None:
-        """Compare an answer with what was promised."""
+        """Check an answer against the guarantees."""
         word = text.split(" ")[0]
         writes = self.writes_by(word, text)
         if answer.error:
@@ -172,13 +172,13 @@
             self.judge_read(id, answer, self.begun_at if self.transaction else asked)
 
     def writes_by(self, word: str, text: str) -> bool:
-        """Say whether a statement writes."""
+        """Return whether a statement writes."""
         if word == "EXECUTE":
             return self.prepared.get(text.split(" ")[1], False)
         return word == "WRITE"
 
     def judge_read(self, id: str, answer: Answer, asked: float) -> None:
-        """Check what a read returned."""
+        """Check the result of a read."""
         if not answer.rows or not answer.signature.startswith("mac"):
             self.promises.broken(f"{id} succeeded without rows or signature")
             return
@@ -213,7 +213,7 @@
                 raise SessionEnded("an operation ended outside of idle")
 
     async def set(self, name: str, value: str) -> None:
-        """Set a value of the session."""
+        """Set a session variable."""
         answer = await self.ask(f"SET {name} {value}")
         if answer.error:
             raise SessionEnded(answer.error)
--- a/src/reedhook_standins/soak/faults.py
+++ b/src/reedhook_standins/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn at random and brought about from outside."""
+"""Random faults of the soak test, injected from outside the host processes."""
 
 import asyncio
 import signal
@@ -11,11 +11,11 @@
 from .surroundings import Surroundings
 
 LONGEST_PAUSE: Final = 14.0
-"""Seconds; longer than any permission to use a primary lasts."""
+"""Seconds; longer than any grant to use a primary lasts."""
 
 
 class Field:
-    """Hold what faults act on."""
+    """Hold the hosts and systems that faults act on."""
 
     def __init__(
         self, hosts: list[HostProcess], around: Surroundings, random: Random
@@ -25,21 +25,21 @@
         self.random = random
 
     def some_hosts(self) -> list[HostProcess]:
-        """Return a few of the hosts, mostly one."""
+        """Return a random selection of hosts, mostly one."""
         count = 1 if self.random.random() < 0.7 else self.random.randint(1, 3)
         return self.random.sample(self.hosts, min(count, len(self.hosts)))
 
 
 class Fault(ABC):
-    """Bring one kind of trouble about, and end it."""
+    """Inject one kind of fault, and end it."""
 
     @abstractmethod
     async def strike(self, field: Field) -> str:
-        """Bring it about, let it last and end it; return what it was."""
+        """Inject the fault, wait and end it; return its description."""
 
 
 class Killed(Fault):
-    """A process is killed and starts again."""
+    """Kill a process and restart it."""
 
     async def strike(self, field: Field) -> str:
         hosts = field.some_hosts()
@@ -52,7 +52,7 @@
 
 
 class Restarted(Fault):
-    """A process is told to end, and starts again; others in series."""
+    """Terminate a process gracefully and restart it, or several in turn."""
 
     async def strike(self, field: Field) -> str:
         hosts = field.some_hosts()
@@ -64,7 +64,7 @@
 
 
 class Paused(Fault):
-    """A process stands still for a while."""
+    """Pause a process for a while."""
 
     async def strike(self, field: Field) -> str:
         hosts = field.some_hosts()
@@ -78,7 +78,7 @@
 
 
 class Reloaded(Fault):
-    """A process reads its settings anew; the configuration changes, too."""
+    """Reload a process's settings; the configuration changes, too."""
 
     async def strike(self, field: Field) -> str:
         hosts = field.some_hosts()
@@ -89,7 +89,7 @@
 
 
 class LinkFault(Fault):
-    """A host is cut off from something, both ways or one, or slow to reach."""
+    """Cut or delay the links of a host, in one direction or both."""
 
     async def strike(self, field: Field) -> str:
         host = field.random.choice(field.hosts)
@@ -110,7 +110,7 @@
         return f"{how} between {host.name} and {kind}"
 
     def links(self, field: Field, host: HostProcess, kind: str) -> list[Link]:
-        """Return the links of a host to what is named."""
+        """Return the links of a host to the named kind of peer."""
         if kind == "store":
             return [host.store.link]
         if kind == "promotions":
@@ -122,7 +122,7 @@
 
 
 class StoreFault(Fault):
-    """The store is silent, busy, or forgets its history."""
+    """Make the store silent or busy, or drop its history."""
 
     async def strike(self, field: Field) -> str:
         store = field.around.store
@@ -141,7 +141,7 @@
 
 
 class TargetFault(Fault):
-    """A target is dark, lags, receives nothing, leaves, or is full."""
+    """Make a target stop, lag, receive nothing, leave, or have a full queue."""
 
     async def strike(self, field: Field) -> str:
         group = field.around.group
@@ -166,7 +166,7 @@
 
 
 class StartedAgain(Fault):
-    """A target starts again under its id and holds nothing, or is scribbled over."""
+    """Restart a target with an empty log, or corrupt its store entry."""
 
     async def strike(self, field: Field) -> str:
         group = field.around.group
@@ -176,7 +176,7 @@
             field.around.scribble(target)
             return f"target {target} scribbled over"
         member.start_again()
-        # Only one of three may lose everything at a time: what is left holds all.
+        # At most one of three members may lose its log at a time.
         await asyncio.sleep(field.random.uniform(3.0, 8.0))
         return f"target {target} started again"
 
@@ -194,7 +194,7 @@
 ]
 
 WITH_LIVES: Final[list[type[Fault]]] = [*FAULTS, StartedAgain]
-"""Drawn by new seeds; those that are kept as cases draw from the list above."""
+"""Faults of new seeds; seeds kept as test cases draw from `FAULTS`."""
 
 
 def names(hosts: list[HostProcess]) -> str:
--- a/src/reedhook_standins/soak/hosts.py
+++ b/src/reedhook_standins/soak/hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of a soak, each a process of the real program."""
+"""The hosts of the soak test, each a process of the real program."""
 
 import asyncio
 import os
@@ -14,28 +14,28 @@
 
 NETWORK: Final = "127.0.0."
 FIRST_NUMBER: Final = 10
-"""Each host has an address of its own, so that no proxy takes one of its ports."""
+"""Each host has its own loopback address, so that no proxy takes one of its ports."""
 
 GRACE: Final = 6.0
-"""Seconds from the signal to stop until a host is killed."""
+"""Seconds from SIGTERM until a host is killed."""
 
 PORTS: Final = 4
 """Ports of a host: callers, readiness, other hosts, metrics."""
 
 TAIL: Final = 2000
-"""Bytes of a log that are shown for a host that ended by itself."""
+"""Bytes of the log shown for a host that exited unexpectedly."""
 
 
 class HostProcess:
     """Start, disturb and end one host.
 
-    Faults overlap: several may start and end one host at the same time, so each
-    method takes the process that it found and leaves a later one alone.
+    Faults overlap: several may start and end one host at the same time, so each method
+    acts on the process that it found and leaves a later one alone.
 
     :param store: ``IP:port`` of the store.
-    :param promotions: ``IP:port`` of the promotion call.
+    :param promotions: ``IP:port`` of the promotion endpoint.
     :ivar process: the last process that was started.
-    :ivar told: the process that was told to end last; its end is no surprise.
+    :ivar told: the process that was last told to end; its exit is expected.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
 
     @property
     def running(self) -> bool:
-        """Say whether the process runs."""
+        """Return whether the process runs."""
         return self.process is not None and self.process.returncode is None
 
     async def prepare(self) -> None:
@@ -78,12 +78,12 @@
 
     @property
     def settings_file(self) -> Path:
-        """Return the path of the settings."""
+        """Return the path of the settings file."""
         return self.folder / f"{self.name}.settings"
 
     @property
     def log_file(self) -> Path:
-        """Return the path of what the process writes."""
+        """Return the path of the process's output."""
         return self.folder / f"{self.name}.log"
 
     def settings(self) -> str:
@@ -102,7 +102,7 @@
         return "".join(f"{name}={value}\n" for name, value in fields.items())
 
     async def start(self) -> None:
-        """Start the process, in a new life if it ran before."""
+        """Start the process, as a new incarnation if it ran before."""
         if self.told is not None:
             await self.told.wait()
         async with self.starting:
@@ -110,11 +110,10 @@
                 self.process = await self.launch()
 
     async def launch(self) -> asyncio.subprocess.Process:
-        """Return a new process of the program."""
+        """Start a new process of the program."""
         environment = {**os.environ, "REEDHOOK_SETTINGS": str(self.settings_file)}
-        # Before its first line, which an interpreter reaches after 20 ms and later on
-        # a busy machine, a program can handle nothing; what its starter ignores, it
-        # inherits.
+        # A new process cannot handle signals before its first line runs, but inherits
+        # the signals that its parent ignores.
         with self.log_file.open("ab") as log:
             return await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -133,12 +132,12 @@
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if process := await self.ending():
             await killed(process)
 
     async def end(self) -> None:
-        """End the process gracefully, and by force once the time is over."""
+        """Terminate the process gracefully, or kill it after a time limit."""
         process = await self.ending()
         if process is None:
             return
@@ -147,25 +146,25 @@
             async with asyncio.timeout(GRACE):
                 await process.wait()
         except TimeoutError:
-            # It did not end in time, as a paused one cannot; force is what is left.
+            # A paused process cannot end in time.
             await killed(process)
 
     async def ending(self) -> asyncio.subprocess.Process | None:
-        """Return the process, noted as one that is told to end."""
+        """Return the process, recorded as one that is told to end."""
         async with self.starting:
             self.told = self.process
         return self.process
 
     def pause(self) -> None:
-        """Let the process stand still."""
+        """Pause the process."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process."""
         self.send(signal.SIGCONT)
 
     def ended_by_itself(self) -> str:
-        """Return what the process wrote last if it ended unasked, or nothing."""
+        """Return the end of the log if the process exited unexpectedly, or nothing."""
         if self.process is None or self.running or self.process is self.told:
             return ""
         said = self.log_file.read_bytes()[-TAIL:].decode(errors="replace")
@@ -173,14 +172,14 @@
 
 
 async def killed(process: asyncio.subprocess.Process) -> None:
-    """End a process at once, if it still runs."""
+    """Kill a process, if it still runs."""
     if process.returncode is None:
         process.kill()
     await process.wait()
 
 
 def free_ports(ip: str, count: int) -> list[int]:
-    """Return ports that nobody uses now."""
+    """Return unused ports."""
     sockets = [socket.socket() for _ in range(count)]
     for one in sockets:
         one.bind((ip, 0))
--- a/src/reedhook_standins/soak/proxy.py
+++ b/src/reedhook_standins/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Proxies on the loopback that delay, swallow and break connections."""
+"""Loopback proxies that delay, drop and break connections."""
 
 import asyncio
 from typing import Final, cast
@@ -9,18 +9,18 @@
 from ..listening import Listening
 
 WHO: Final = 2
-"""Place of the host's name in the first line of a connection to a target."""
+"""Index of the host's name in the first line of a connection to a target."""
 
 CHUNK: Final = 65536
-"""Bytes that are passed on at a time."""
+"""Bytes forwarded at a time."""
 
 
 class Link:
-    """Say what becomes of the bytes between two parties.
+    """Describe the faults between two parties.
 
-    :ivar delay: seconds by which each piece is late.
-    :ivar up: whether bytes arrive on the way from who connected.
-    :ivar down: whether bytes arrive on the way back.
+    :ivar delay: seconds by which each chunk is delayed.
+    :ivar up: whether bytes pass from the connecting side.
+    :ivar down: whether bytes pass back to it.
     """
 
     __slots__ = ("delay", "up", "down")
@@ -29,14 +29,14 @@
         self.heal()
 
     def heal(self) -> None:
-        """Pass everything on at once."""
+        """Clear all faults."""
         self.delay = 0.0
         self.up = True
         self.down = True
 
 
 class Proxy(Listening):
-    """Pass connections on to one address.
+    """Forward connections to one address.
 
     :param target: ``IP:port``.
     :param link: used by all connections; see `link_of`.
@@ -80,7 +80,7 @@
             down = self.pump(far_reader, writer, link, False, b"")
             await asyncio.gather(up, down)
         except OSError:
-            # One side is gone; the other is told below.
+            # One side has closed; the other is closed below.
             pass
         finally:
             for one in ends:
@@ -95,7 +95,7 @@
         up: bool,
         data: bytes,
     ) -> None:
-        """Pass the bytes of one direction on."""
+        """Forward the bytes of one direction."""
         data = data or await reader.read(CHUNK)
         while data:
             if link.delay:
@@ -108,7 +108,7 @@
 
 
 class MemberProxy(Proxy):
-    """Pass connections on to a target, with a link for each host."""
+    """Forward connections to a target, with a link for each host."""
 
     def __init__(self, target: str, links: dict[str, Link]) -> None:
         super().__init__(target, Link())
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak.
+"""Run seeds of the soak test.
 
 Usage:
   soak [--seeds N] [--first SEED] [--hosts N] [--seconds S] [--folder DIR]
@@ -30,19 +30,20 @@
 
 ZONES: Final = ("z0", "z1", "z2")
 SETTLE: Final = 30.0
-"""Seconds in which all databases are to be served, before faults and after;
-generous, since a busy machine starts processes slowly."""
+"""Seconds in which all databases must be served, before and after the faults; long
+enough for process starts on a busy machine.
+"""
 
 CALLERS_A_HOST: Final = 2
 MOST_AT_ONCE: Final = 3
-"""Faults that overlap."""
+"""Maximum of concurrent faults."""
 
 POLL: Final = 0.1
 FIRST_SEEDS: Final = 1_000_000
 
 
 class Soak:
-    """Run hosts under faults, and judge what callers and targets saw."""
+    """Run hosts under faults, and check what callers and targets saw."""
 
     def __init__(
         self,
@@ -67,7 +68,7 @@
         self.struck: list[str] = []
 
     async def run(self) -> list[str]:
-        """Run the seed; return what was promised and not kept."""
+        """Run the seed; return the violated guarantees."""
         loop = asyncio.get_running_loop()
         self.promises = Promises(self.around.group, loop.time)
         self.promises.watch()
@@ -85,7 +86,7 @@
         return self.promises.violations
 
     async def play(self) -> None:
-        """Start all hosts, let faults come, and look for recovery."""
+        """Start all hosts, inject faults, and check recovery."""
         for index, name in enumerate(self.names):
             host = HostProcess(
                 index,
@@ -109,7 +110,7 @@
         await asyncio.gather(*calling)
 
     async def disturb(self) -> None:
-        """Bring faults about for a while, in series and overlapping."""
+        """Inject faults for a while, sequentially and overlapping."""
         field = Field(self.hosts, self.around, self.random)
         deadline = asyncio.get_running_loop().time() + self.seconds
         running: set[asyncio.Task[str]] = set()
@@ -124,26 +125,26 @@
             self.struck.append(one)
 
     def collect(self, running: set[asyncio.Task[str]]) -> set[asyncio.Task[str]]:
-        """Return the faults that are over, and note what they were."""
+        """Return the faults still running, and record the finished ones."""
         over = {one for one in running if one.done()}
         self.struck += [one.result() for one in over]
         return over
 
     def check_processes(self) -> None:
-        """Report processes that ended by themselves, each once."""
+        """Report processes that exited unexpectedly, each once."""
         for host in self.hosts:
             if said := host.ended_by_itself():
                 host.told = host.process
                 self.promises.broken(said)
 
     def check_tokens(self) -> None:
-        """Report promotions whose fencing tokens went back."""
+        """Report promotions whose fencing tokens decreased."""
         tokens = [token for _, _, token in self.around.group.promotions]
         if tokens != sorted(tokens):
             self.promises.broken(f"fencing tokens went back: {tokens}")
 
     def heal(self) -> None:
-        """End all faults that may be left."""
+        """End all remaining faults."""
         self.around.heal()
         for host in self.hosts:
             for proxy in host.proxies:
@@ -167,7 +168,7 @@
             await caller.open(host.front.address)
             await caller.operate()
         except SessionEnded:
-            # Sessions break under faults; what was acknowledged is judged.
+            # Sessions break under faults; acknowledged statements are still checked.
             pass
         finally:
             caller.close()
@@ -188,7 +189,7 @@
             self.promises.broken(f"{when}: not served within {SETTLE} s: {left}")
 
     async def served(self, host: HostProcess, database: str) -> bool:
-        """Say whether a write and a read succeed at a host."""
+        """Return whether a write and a read succeed at a host."""
         self.callers += 1
         caller = WireCaller(f"c{self.callers}", database, self.promises, self.random)
         try:
@@ -225,7 +226,7 @@
 
 
 def report(soak: Soak, violations: list[str]) -> None:
-    """Print what became of a seed."""
+    """Print the result of a seed."""
     group = soak.around.group
     print(
         f"seed {soak.seed}: {soak.callers} sessions, {soak.done} statements done, "
--- a/src/reedhook_standins/soak/surroundings.py
+++ b/src/reedhook_standins/soak/surroundings.py
@@ -1,4 +1,4 @@
-"""What the hosts of a soak meet: a store, a database group, promotion calls."""
+"""The systems around the hosts of the soak test: store, group, promotion endpoint."""
 
 import asyncio
 from typing import Final
@@ -16,16 +16,16 @@
 
 SERVICE: Final = "db"
 REPORT_EVERY: Final = 0.3
-"""Seconds between two looks at what targets announce of themselves."""
+"""Seconds between two checks for changed target announcements."""
 
 SILENT_FOR: Final = 3.0
-"""Seconds after which a target that is dark is announced no more."""
+"""Seconds after which a stopped target is no longer announced."""
 
 KINDS: Final = {kind: word for word, kind in documents.ROUTE_KINDS.items()}
 
 
 class Surroundings:
-    """Run the platform and the targets in this process.
+    """Run the platform and the targets in the current process.
 
     :ivar links: between hosts and targets, by host and target.
     """
@@ -48,7 +48,7 @@
         self.reporting: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start all systems."""
         await self.store.start()
         for target, member in self.group.members.items():
             server = self.servers[target] = WireDatabase(member)
@@ -61,7 +61,7 @@
         self.reporting = asyncio.get_running_loop().create_task(self.report())
 
     async def start_promotions(self) -> None:
-        """Listen for orders to promote."""
+        """Listen for promotion requests."""
         app = web.Application()
         app.router.add_post("/promotion", self.promote)
         self.runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -71,7 +71,7 @@
         self.promotions = f"{host}:{port}"
 
     async def promote(self, request: web.Request) -> web.Response:
-        """Promote a target, and remember who ordered it with which token."""
+        """Promote a target, and record the holder and its fencing token."""
         body = orjson.loads(await request.read())
         holder = request.headers["Duty-Holder"]
         token = int(request.headers["Fencing-Token"])
@@ -112,7 +112,7 @@
             await asyncio.sleep(REPORT_EVERY)
 
     def announce(self, member: DatabaseMember) -> None:
-        """Write what a target announces, if that is news."""
+        """Write a target's announcement if it has changed."""
         target = member.entry.target
         now = asyncio.get_running_loop().time()
         if not member.down:
@@ -137,7 +137,7 @@
                 self.store.write(f"servers/{target}", value)
 
     def scribble(self, target: str) -> None:
-        """Write what nobody can read over the entry of a target, for a moment."""
+        """Overwrite a target's store entry with invalid data for a moment."""
         self.announced[target] = None
         self.store.write(f"servers/{target}", b'{"state": 7}')
 
@@ -147,7 +147,7 @@
             proxy.reset(self.links[host, target])
 
     def heal(self) -> None:
-        """Undo all faults."""
+        """Clear all faults."""
         for link in self.links.values():
             link.heal()
         self.store.silent = False
@@ -157,7 +157,7 @@
             member.heal()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all systems."""
         if self.reporting is not None:
             self.reporting.cancel()
         for proxy in self.proxies.values():
--- a/src/reedhook_standins/store.py
+++ b/src/reedhook_standins/store.py
@@ -17,7 +17,7 @@
 
 
 class StoredValue(Record):
-    """Carry one revision of a key; a value of None stands for a deletion."""
+    """Represent one revision of a key; a value of None is a deletion."""
 
     __slots__ = ("value", "revision", "lease")
 
@@ -28,7 +28,7 @@
 
 
 class Lease:
-    """Carry a lease; it lapses at `expires`, clock time in seconds."""
+    """Represent a lease; it expires at `expires`, clock time in seconds."""
 
     __slots__ = ("ttl", "expires")
 
@@ -38,16 +38,15 @@
 
 
 class StoreStandin(Service):
-    """Keep keys with revisions, compare-and-swap, watches and leases.
+    """Serve keys with revisions, compare-and-swap, watches and leases.
 
-    Faults are attributes that test code sets at any time.
+    Tests inject faults through attributes, at any time.
 
     :ivar calls: calls by kind; a waiting watch counts as one.
     :ivar slow: seconds that each call takes.
-    :ivar lose_answers: how many of the next changes take effect and are not
-        answered.
+    :ivar lose_answers: how many of the next changes take effect without an answer.
     :ivar lose_chance: probability that a change is not answered.
-    :ivar stale_reads: how many revisions behind a get answers.
+    :ivar stale_reads: how many revisions a get lags behind.
     """
 
     def __init__(
@@ -71,7 +70,7 @@
 
     @property
     def down(self) -> bool:
-        """Say whether each call ends without an answer and without effect."""
+        """Return whether calls end without an answer and without effect."""
         return self.is_down
 
     @down.setter
@@ -118,7 +117,7 @@
         return history[place]
 
     def newest(self, key: str) -> StoredValue | None:
-        """Return the true value of `key`, or None if it is absent."""
+        """Return the current value of `key`, or None if it is absent."""
         history = self.keys.get(key)
         if not history or history[-1].value is None:
             return None
@@ -142,7 +141,7 @@
             self.watching.discard(connection)
 
     def change(self, name: str, message: Json) -> Json:
-        """Carry out a call that changes something."""
+        """Execute a call that changes something."""
         if name == "put":
             return self.put(message)
         if name == "delete":
@@ -198,7 +197,7 @@
         return {"lease": self.revision, "ttl": ttl}
 
     def keep_alive(self, number: int) -> Json:
-        """Renew a lease that has not lapsed."""
+        """Renew an active lease."""
         lease = self.leases.get(number)
         if lease is None:
             raise ServiceRefusal("no_lease", "the lease has lapsed", 410)
@@ -206,13 +205,13 @@
         return {"lease": number, "ttl": lease.ttl}
 
     async def sweep(self, number: int, lease: Lease) -> None:
-        """Let one lease lapse when its time has come."""
+        """Expire one lease when its time has come."""
         while number in self.leases:
             await self.clock.sleep(max(0.001, lease.expires - self.clock.monotonic()))
             self.lapse()
 
     def lapse(self) -> None:
-        """Delete the keys of lapsed leases."""
+        """Delete the keys of expired leases."""
         now = self.clock.monotonic()
         lapsed = [name for name, one in self.leases.items() if one.expires <= now]
         for number in lapsed:
@@ -223,7 +222,7 @@
                     self.append(key, None, None)
 
     def loses_answer(self) -> bool:
-        """Say whether the answer to this change is lost."""
+        """Return whether the answer to this change is lost."""
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return True
@@ -231,7 +230,7 @@
 
 
 def entry_json(key: str, entry: StoredValue | None) -> Json:
-    """Return an entry as it stands on the wire; an absent one is null."""
+    """Encode an entry for the wire; an absent one is null."""
     if entry is None or entry.value is None:
         return {"entry": None}
     value = b64encode(entry.value).decode()
--- a/src/reedhook_standins/transaction.py
+++ b/src/reedhook_standins/transaction.py
@@ -1,13 +1,13 @@
-"""An interactive transaction, pinned to one TCP connection."""
+"""An interactive transaction, bound to one TCP connection."""
 
 from .engine import Engine
 from .log import Change, RequestKey, Rows
 
 
 class Transaction:
-    """Run steps on a copy of the rows, which no one else sees before commit.
+    """Execute steps on a copy of the rows, invisible to others before commit.
 
-    :param term: the leader term in which it began.
+    :param term: the term in which it began.
     :param active: when its last statement ended, clock time in seconds.
     """
 
@@ -23,7 +23,7 @@
         self.active = active
 
     def step(self, change: Change) -> Rows:
-        """Run a statement; one that fails leaves the transaction open."""
+        """Execute a statement; a failed one leaves the transaction open."""
         rows = self.engine.run(change, writable=True)
         if self.engine.wrote:
             self.changes.append(change)
--- a/src/reedhook_standins/truth.py
+++ b/src/reedhook_standins/truth.py
@@ -1,4 +1,4 @@
-"""What the groups hold at the end, whatever the system says about it."""
+"""The final contents of the groups, read directly from the stand-ins."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterator
@@ -9,9 +9,9 @@
 
 
 def effects(group: GroupStandin, day: type[Day]) -> Iterator[Effect]:
-    """Return the effects that the present primary of `group` holds.
+    """Yield the effects that the current primary of `group` holds.
 
-    The rows tell what is there; the log only adds when it was committed.
+    The rows define the effects; the log only adds the commit times.
     """
     times = commit_times(group)
     for table in day.tables:
--- a/src/reedhook_standins/wiredatabase.py
+++ b/src/reedhook_standins/wiredatabase.py
@@ -1,4 +1,4 @@
-"""Members of a `DatabaseGroup` behind the platform's wire, on real sockets."""
+"""The members of a `DatabaseGroup`, served over the platform's wire protocol."""
 
 import asyncio
 from typing import Final
@@ -23,7 +23,7 @@
 """Seconds that a read, a write or a commit takes."""
 
 POLL: Final = 0.05
-"""Seconds between two looks at whether a target that is dark is back."""
+"""Seconds between two checks whether a stopped target is back."""
 
 AT_WORK: Final = ("READ", "WRITE", "EXECUTE", "COMMIT")
 PLAIN_FIELDS: Final = 3
@@ -55,7 +55,7 @@
                     else:
                         started = self.start_session(line, session, writer)
         except (OSError, LineError):
-            # The host is gone; its open transaction is, too.
+            # The host disconnected; its open transaction is rolled back.
             pass
         finally:
             self.member.connections.discard(session)
@@ -94,7 +94,7 @@
         return self.worded(reply)
 
     def status(self) -> bytes:
-        """Return the answer to the question for the state."""
+        """Return the answer to a status request."""
         member = self.member
         position = write_position(member.position)
         role = "primary" if member.leads else "replica"
@@ -106,7 +106,7 @@
         )
 
     def worded(self, reply: SessionTargetReply) -> bytes:
-        """Return the lines of an answer."""
+        """Encode an answer as lines."""
         if reply.fault is StatementFault.NONE:
             lines = b"".join(encode_line("ROW", row) for row in reply.rows)
             lines += encode_line("COMPLETE", reply.signature)
--- a/src/reedhook_standins/wiremember.py
+++ b/src/reedhook_standins/wiremember.py
@@ -1,4 +1,4 @@
-"""A target that speaks the platform's wire, small, for tests of the adapter."""
+"""A minimal target of the platform's wire protocol, for tests of the adapter."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 class WireMemberStandIn(Listening):
-    """Answer each line by a table, and keep what was asked.
+    """Answer each line from a table, and record the lines received.
 
-    :param answers: bytes sent for a text; others are answered as read.
+    :param answers: bytes sent for a text; others get the answer of a read.
     :ivar asked: lines received, over all connections.
     :ivar silent: whether lines get no answer.
     """
@@ -35,7 +35,7 @@
         writer.close()
 
     def answer(self, text: str) -> bytes:
-        """Return what a line is answered with."""
+        """Return the answer to a line."""
         if text.startswith("START"):
             return self.start_answer
         _, _, query = text.split(" ", 2)
--- a/src/reedhook_standins/workload.py
+++ b/src/reedhook_standins/workload.py
@@ -1,4 +1,4 @@
-"""The day of a deployment: who writes and reads what, how often, how fresh."""
+"""The workloads of the example deployments: writers, readers, rates, consistency."""
 
 import asyncio
 import random
@@ -36,8 +36,8 @@
     def create(self) -> str:
         """Return the statement that creates the table.
 
-        The request id is deliberately not unique: a write that runs twice
-        has to show.
+        The request id is deliberately not unique, so that a write that runs twice is
+        detected.
         """
         extra = ", ".join(f"{column} NOT NULL" for column in self.columns)
         return (
@@ -85,10 +85,10 @@
     """Run the callers of one deployment until told to stop.
 
     :param groups: the names of the database groups.
-    :param make_caller: makes a caller of a name and its workspace's name.
+    :param make_caller: creates a caller from its name and its workspace's name.
     :cvar tables: the tables of the deployment.
     :cvar writers: the workspace that creates them.
-    :ivar gave_up: what callers said when they gave up.
+    :ivar gave_up: messages of the callers that gave up.
     """
 
     tables: ClassVar[tuple[Table, ...]]
@@ -108,10 +108,10 @@
 
     @abstractmethod
     def roles(self, group: str) -> list[Coroutine[Any, Any, None]]:
-        """Return what the callers of `group` do."""
+        """Return the coroutines of the callers of `group`."""
 
     async def prepare(self) -> None:
-        """Create the tables of all groups through the system."""
+        """Create the tables of all groups through the proxy."""
         for group in self.groups:
             caller = self.make_caller(f"{group}/operator", self.writers)
             for table in self.tables:
@@ -119,18 +119,18 @@
                 await caller.define(group, table.index, PATIENCE_S)
 
     async def run(self) -> None:
-        """Run all callers until `stop`; each ends what it has begun."""
+        """Run all callers until `stop`; each completes its current request."""
         async with asyncio.TaskGroup() as tasks:
             for group in self.groups:
                 for role in self.roles(group):
                     tasks.create_task(role)
 
     def stop(self) -> None:
-        """Let each caller end after its present request."""
+        """Make each caller end after its current request."""
         self.stopping.set()
 
     async def repeat(self, mean: float, step: Callable[[int], Awaitable[None]]) -> None:
-        """Run `step` with 1, 2, 3 and so on, about every `mean` seconds."""
+        """Call `step` with 1, 2, 3 and so on, about every `mean` seconds."""
         turn = 0
         await self.pause(self.random.uniform(0, mean))
         while not self.stopping.is_set():
@@ -142,7 +142,7 @@
             await self.pause(self.random.uniform(0.5, 1.5) * mean)
 
     async def pause(self, seconds: float) -> None:
-        """Wait for `seconds`, or until the day ends."""
+        """Wait for `seconds`, or until the run ends."""
         try:
             async with asyncio.timeout(seconds):
                 await self.stopping.wait()
@@ -174,7 +174,7 @@
         keys: list[str],
         max_age: float,
     ) -> None:
-        """Read all registers of a table, if not older than `max_age` seconds."""
+        """Read all registers of a table with a maximum age in seconds."""
         order = ReadOrder(
             kind, group, table.overview, [], keys, Consistency.MAX_AGE, max_age
         )
@@ -182,7 +182,7 @@
 
 
 class PlantDay(Day):
-    """Gate tickets, mix views and settlement reports of the biogas plant."""
+    """Generate gate tickets, mix views and settlement reports of the biogas plant."""
 
     tickets: Final = Table("tickets", "gate", "serial", ["farmer TEXT", "kilos REAL"])
     mixes: Final = Table("mixes", "digester", "step", ["feed TEXT", "share REAL"])
@@ -211,7 +211,7 @@
         ]
 
     async def gate(self, group: str, gate: str) -> None:
-        """Record each delivery once, then look it up through another host."""
+        """Record each delivery once, then read it through another host."""
         caller = self.make_caller(gate, "gate")
 
         async def deliver(serial: int) -> None:
@@ -229,7 +229,7 @@
         await self.repeat(self.ticket_every, deliver)
 
     async def operator(self, group: str, digester: str) -> None:
-        """Dose the digester step by step."""
+        """Write the digester's dose step by step."""
         caller = self.make_caller(f"{group}/operator-on-duty", "mix")
 
         async def dose(step: int) -> None:
@@ -243,7 +243,7 @@
         await self.repeat(self.dose_every, dose)
 
     async def agronomist(self, group: str, name: str, digester: str) -> None:
-        """View the mix: fresh before dosing, through any host; else a moment old."""
+        """Read the mix: fresh before dosing, through any host; otherwise bounded."""
         caller = self.make_caller(name, "mix")
 
         async def view(turn: int) -> None:
@@ -272,7 +272,7 @@
         await self.repeat(self.view_every, view)
 
     async def clerk(self, group: str, gates: list[str]) -> None:
-        """Report settlements, which may be a little old."""
+        """Read settlements with bounded staleness."""
         caller = self.make_caller(f"{group}/clerk", "settlement")
 
         async def report(turn: int) -> None:
@@ -284,7 +284,7 @@
 
 
 class DanubeDay(Day):
-    """Assignments, queue positions and schedules of the tug dispatchers."""
+    """Generate assignments, queue positions and schedules of the tug dispatchers."""
 
     assignments: Final = Table(
         "assignments", "desk", "serial", ["tug TEXT", "convoy TEXT"]
@@ -313,7 +313,7 @@
         ]
 
     async def desk(self, group: str, desk: str) -> None:
-        """Assign each convoy one tug, then check it through another host."""
+        """Assign each convoy one tug, then read it through another host."""
         caller = self.make_caller(desk, "desk")
 
         async def assign(serial: int) -> None:
@@ -334,7 +334,7 @@
         await self.repeat(self.assign_every, assign)
 
     async def skipper(self, group: str, name: str, desks: list[str]) -> None:
-        """Check the queue from the wheelhouse; it never runs backwards."""
+        """Read the queue repeatedly in one session; it must never go backwards."""
         caller = self.make_caller(name, "skipper")
 
         async def check(turn: int) -> None:
@@ -352,7 +352,7 @@
         await self.repeat(self.check_every, check)
 
     async def harbour_master(self, group: str, name: str, desks: list[str]) -> None:
-        """Pull the schedules, and now and then ask for the newest assignment."""
+        """Read the schedules, and occasionally the latest assignment."""
         caller = self.make_caller(name, "harbour")
 
         async def pull(turn: int) -> None:
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -51,13 +51,13 @@
 
 
 class WorldNotReady(Exception):
-    """Say that the deployment did not come up in time."""
+    """Report that the deployment did not come up in time."""
 
 
 class World:
-    """Run a deployment's stand-ins and hosts, and bring about faults.
+    """Run a deployment's stand-ins and hosts, and inject faults.
 
-    :param hosts: how many entry hosts there are, spread over the zones.
+    :param hosts: number of entry hosts, spread over the zones.
     :ivar settings: the settings of all hosts, running or not.
     :ivar running: the running hosts by name.
     """
@@ -91,7 +91,7 @@
         await self.close()
 
     async def start(self) -> None:
-        """Start the stand-ins and all hosts, and put the configuration in force.
+        """Start the stand-ins and all hosts, and apply the configuration.
 
         :raises WorldNotReady: if it is not in force everywhere in time.
         """
@@ -133,7 +133,7 @@
         }
 
     async def apply_configuration(self) -> None:
-        """Let an operator apply the deployment's base file and overlays."""
+        """Apply the deployment's base file and overlays as an operator."""
         documents = ConfigurationDocuments(
             self.deployment.base_text(), self.deployment.overlay_texts()
         )
@@ -141,7 +141,7 @@
         await editor.apply(documents, 0, OPERATOR, "first version", "first-version")
 
     async def wait_until(self, holds: Callable[[], bool], complaint: str) -> None:
-        """Wait until something holds.
+        """Wait until a condition holds.
 
         :raises WorldNotReady: if it does not in time.
         """
@@ -183,7 +183,7 @@
         raise WorldNotReady(f"{member} has no home")
 
     async def start_host(self, name: str) -> None:
-        """Start a host, anew if it ran before."""
+        """Start or restart a host."""
         chooser = random.Random(self.random.random())
         settings = self.settings[name]
         tls = None if settings.tls is None else TlsContexts(settings.tls)
@@ -194,7 +194,7 @@
     def make_host(
         self, settings: Settings, chooser: random.Random, tls: TlsContexts | None
     ) -> Host:
-        """Return a host that feels the partition."""
+        """Return a host that is subject to the partition."""
         timeline = Timeline(settings.host, self.clock)
         me = HostRef(settings.host, settings.zone, settings.peer_listen)
         context = None if tls is None else tls.client
@@ -217,7 +217,7 @@
         del self.running[name]
 
     async def kill_host(self, name: str) -> None:
-        """Let a host die: its connections end at once, nothing is handed over."""
+        """Kill a host: its connections end at once, without a handover."""
         process = self.running.pop(name)
         for server in (process.caller_server, process.admin_server):
             await cut(server.runner)
@@ -226,13 +226,13 @@
         await process.host.close()
 
     def cut_target_off(self, member: str) -> None:
-        """Cut a target off from its group and from all hosts; it runs on."""
+        """Cut a target off from its group and from all hosts; it keeps running."""
         target = self.platform.members()[member]
         target.group.partition(member)
         target.cut = Cut.HANG
 
     def heal_target(self, member: str) -> None:
-        """Undo the cut of a target."""
+        """Reconnect a target."""
         target = self.platform.members()[member]
         target.cut = Cut.NONE
         target.group.heal()
@@ -240,18 +240,18 @@
     def cut_zone_off(self, zone: str) -> None:
         """Cut a zone's hosts and targets off from all others and the platform.
 
-        All of them run on, and reach each other.
+        All of them keep running, and reach each other.
         """
         self.partition.cut_off.add(zone)
         self.feel_partition()
 
     def heal_zone(self, zone: str) -> None:
-        """Undo the cut of a zone."""
+        """Reconnect a zone."""
         self.partition.cut_off.discard(zone)
         self.feel_partition()
 
     def feel_partition(self) -> None:
-        """Let the targets lose what the partition loses."""
+        """Apply the partition to the targets."""
         zones = self.target_zones()
         for name, target in self.platform.members().items():
             target.cuts = {
@@ -273,7 +273,7 @@
         }
 
     def caller_of(self, history: History) -> MakeCaller:
-        """Return what makes callers that record to `history`."""
+        """Return a factory of callers that record to `history`."""
         assert self.http is not None
         http = self.http
 
@@ -292,7 +292,7 @@
         return make
 
     def addresses(self, workspace: str) -> list[str]:
-        """Return where the callers of a workspace reach the hosts that serve it."""
+        """Return the addresses of the hosts that serve the callers of a workspace."""
         zones = self.deployment.zones_of(workspace)
         return [one.listen for one in self.settings.values() if one.zone in zones]
 
@@ -307,7 +307,7 @@
 ) -> Settings:
     """Return the settings of a host of the stand-in world.
 
-    :param listeners: where callers, peers and operators reach it.
+    :param listeners: addresses for callers, peers and operators.
     """
     listen, peer_listen, admin_listen = listeners
     return Settings(
@@ -327,10 +327,9 @@
 
 
 async def cut(runner: web.ServerRunner | web.AppRunner | None) -> None:
-    """Stop a server without answering what is in progress.
+    """Stop a server without answering requests in progress.
 
-    The handlers run on, as nobody could tell from outside, until the host that
-    they work for is closed under them.
+    The handlers keep running until the host that they belong to is closed.
     """
     if runner is None or runner.server is None:
         return
@@ -342,7 +341,7 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return `count` addresses on loopback that nobody listens on now."""
+    """Return `count` unused loopback addresses."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for one in sockets:
