--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of reedhook, kept outside the tests."""
+"""Benchmarks of reedhook, separate from the tests."""
--- a/bench/bare.py
+++ b/bench/bare.py
@@ -1,4 +1,4 @@
-"""Bare aiohttp servers and clients to compare the system with."""
+"""Bare aiohttp servers and clients as a baseline of the system."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -36,7 +36,7 @@
 
 
 async def serve_pass_through(target: str) -> str:
-    """Pass each request on to `target` over one kept connection."""
+    """Forward each request to `target` over one persistent connection."""
     link = Link(target)
 
     async def pass_on(request: web.BaseRequest) -> web.Response:
@@ -47,7 +47,7 @@
 
 
 class Link:
-    """Send requests to one address over one kept connection."""
+    """Send requests to one address over one persistent connection."""
 
     def __init__(self, address: str, headers: dict[str, str] | None = None) -> None:
         self.address = address
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,11 +1,11 @@
-"""Measure the configuration: cost of an edition, slopes over hosts.
+"""Measure the configuration: cost of an edit, growth with the number of hosts.
 
     python -m bench.configuration [--hosts=3,9,30,90] [--edits=10]
 
-Prints JSON. The cost of an edition is processor time on this machine. The
-slopes come from hosts in one process over the fake network and store of the
-tests, in virtual time: calls, messages and bytes are counted, times to be in
-force follow from the delays (0.5 ms one way, 2 ms a store call) and from the
+Prints JSON. The cost of an edit is processor time on this machine. The growth
+is measured with hosts in one process over the fake network and store of the
+tests, in virtual time: calls, messages and bytes are counted; propagation times
+follow from the delays (0.5 ms one way, 2 ms a store call) and from the
 intervals in the code, not from this machine's speed.
 """
 
@@ -55,7 +55,7 @@
 
 
 def large_documents(members: int) -> ConfigurationDocuments:
-    """Return documents with so many members in groups of 3, over all sites."""
+    """Return documents with `members` members in groups of 3, over all sites."""
     lines = ["services:"]
     for service in range(SERVICES):
         lines += [f"  service-{service}:", "    slots: 2", "    connections: 15"]
@@ -69,14 +69,14 @@
 
 
 def member_line(group: int, member: int) -> str:
-    """Return the line of one member."""
+    """Return the document line of one member."""
     address = f"10.{group // 250}.{group % 250}.{member}:17101"
     zone = f"zone-{(group + member) % SITES}"
     return f'          target-{group}-{member}: {{zone: {zone}, address: "{address}"}}'
 
 
 def edition_cost(members: int) -> dict[str, Any]:
-    """Return what one edition of so many members costs."""
+    """Return the cost of one snapshot with `members` members."""
     edition = large_documents(members)
     first = build_snapshot(edition, None, "one", "bench", "", 0.0)
     text = edition.base.replace("10.0.9.1:17101", "10.9.9.9:17101")
@@ -106,12 +106,12 @@
 
 
 def fresh_parts(edition: ConfigurationSnapshot) -> int:
-    """Return how many parts an edition adds."""
+    """Return how many parts a snapshot adds."""
     return sum(part.version == edition.version for part in edition.manifest.parts)
 
 
 def packed_size(edition: ConfigurationSnapshot, after: int) -> int:
-    """Return the packed size of the parts that came after a version."""
+    """Return the packed size of the parts added after a version."""
     fresh = {part.digest for part in edition.manifest.parts if part.version > after}
     return sum(len(edition.packed[digest]) for digest in fresh)
 
@@ -127,7 +127,7 @@
 
 
 def longest_block_ms(edition: ConfigurationDocuments) -> float:
-    """Return the longest pause of an event loop beside a check in a thread."""
+    """Return the longest pause of the event loop during a check in a thread."""
 
     async def watch() -> float:
         check_task = asyncio.create_task(
@@ -145,12 +145,12 @@
 
 
 def fleet_cost(number: int, edits: int) -> dict[str, Any]:
-    """Return what edits cost a fleet of so many hosts in three zones."""
+    """Return the cost of edits in a fleet of `number` hosts in three zones."""
     return run_virtual(measure_fleet(number, edits))
 
 
 async def measure_fleet(number: int, edits: int) -> dict[str, Any]:
-    """Apply edits one after another and count."""
+    """Apply edits one after another and count calls and bytes."""
     async with Fleet(per_zone=number // 3) as fleet:
         await fleet.hosts[0].apply(1, "first", 0)
         await asyncio.sleep(SPACING_S)
@@ -175,7 +175,7 @@
 
 
 class Counts:
-    """Count store calls, peer calls and bytes over a stretch of time."""
+    """Count store calls, peer calls and bytes during an interval."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -184,14 +184,14 @@
         self.sent = -sum(fleet.network.sent_bytes.values())
 
     def stop(self) -> None:
-        """End the stretch."""
+        """End the interval."""
         self.calls += self.fleet.calls()
         self.pulls += self.fleet.network.calls["config"]
         self.sent += sum(self.fleet.network.sent_bytes.values())
 
 
 async def time_edit(fleet: Fleet, edit: int) -> list[float]:
-    """Apply one edit; return for each host when it came into force."""
+    """Apply one edit; return when it came into force at each host."""
     begin = asyncio.get_running_loop().time()
     host = fleet.hosts[edit % len(fleet.hosts)]
     waits = [asyncio.create_task(wait_for_change(one)) for one in fleet.hosts]
@@ -217,7 +217,7 @@
 
 
 def per_host(total: int, edits: int, hosts: int) -> float:
-    """Return a total for each edit and host."""
+    """Return a total per edit and host."""
     return round(total / edits / hosts, 1)
 
 
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,7 +1,7 @@
-"""Both deployments' days: replica share and failover gap beside baselines.
+"""Replica share and failover gap of both deployments, compared with baselines.
 
-The baselines are a proxy that sends all reads to the primary, and one that
-promotes a replica once the primary has been silent for a fixed 5 s.
+The baselines are a proxy that sends all reads to the primary, and one that promotes a
+replica once the primary has been silent for a fixed 5 s.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 def main() -> dict[str, Any]:
-    """Run both days and the baseline; return the figures."""
+    """Run both deployments and the baseline; return the figures."""
     return {name: measure(name) for name in ("plant", "danube")}
 
 
@@ -90,7 +90,7 @@
 async def promote_after_silence(
     clock: Clock, connections: dict[str, TargetConnection], lost: str
 ) -> None:
-    """Ask the primary until it was silent for the fixed time, then promote."""
+    """Poll the primary until it was silent for the fixed time, then promote."""
     silent_since = clock.monotonic()
     while clock.monotonic() - silent_since < DETECTION_S:
         await clock.sleep(PROBE_S)
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,4 +1,4 @@
-"""Measure the gap in which no write is accepted, split by step.
+"""Measure the failover gap, in which no write is accepted, split by step.
 
     python -m bench.failover [--runs=N] [--hours=H]
 
@@ -6,8 +6,8 @@
 time with the plant's 1.5 ms between zones, so the figures follow from the
 decisions and their timers, not from this machine's speed. A home notices a
 target that hangs after 150 ms, an assumption of the fake. The second part
-lets a living group run through lost messages and stalls and counts changes of
-primary, which would all be false.
+lets a healthy group run through lost messages and stalls and counts changes of
+primary, all of which would be false positives.
 """
 
 import asyncio
@@ -50,7 +50,7 @@
 
 
 class Gap:
-    """Carry one gap and its parts, in seconds.
+    """Represent one gap and its parts, in seconds.
 
     :param suspicion: from the fault to the decision to act.
     :param agreement: until a majority had promised the new term.
@@ -108,7 +108,7 @@
 
 
 async def change(fault: Fault, seed: int) -> Gap:
-    """Bring about one change of primary at a random moment."""
+    """Cause one change of primary at a random moment."""
     cluster = Cluster(seed, ZONE_DELAY)
     await cluster.start()
     await cluster.write("m1", "before")
@@ -122,7 +122,7 @@
 
 
 async def hang_target(cluster: Cluster) -> None:
-    """Let the primary's target answer nothing any more."""
+    """Make the primary's target stop answering."""
     cluster.kill_target("m1")
 
 
@@ -181,7 +181,7 @@
 
 
 async def idle() -> Json:
-    """Return what an idle group costs the hosts of its three members together."""
+    """Return the total cost of an idle group for the hosts of its three members."""
     cluster = Cluster(0, ZONE_DELAY)
     await cluster.start()
     calls = sum(cluster.network.calls.values())
@@ -234,7 +234,7 @@
 
 
 async def stall_often(cluster: Cluster, end: float) -> int:
-    """Stall a host, a target or a zone's links now and then; return how often."""
+    """Stall a random host, target or zone at intervals; return how often."""
     source = random.Random(1)
     stalls = 0
     while cluster.now() < end:
@@ -245,7 +245,7 @@
 
 
 async def stall(cluster: Cluster, source: random.Random) -> None:
-    """Stall one thing and let it go on."""
+    """Stall one component and resume it."""
     member = source.choice(NAMES)
     what = source.choice((stall_host, stall_target, stall_links))
     with contextlib.ExitStack() as undo:
@@ -261,14 +261,14 @@
 
 
 def stall_target(cluster: Cluster, member: str, undo: contextlib.ExitStack) -> None:
-    """Let the target answer late."""
+    """Delay the answers of the target."""
     stalled = cluster.truth.members[member].stalled
     stalled.clear()
     undo.callback(stalled.set)
 
 
 def stall_links(cluster: Cluster, member: str, undo: contextlib.ExitStack) -> None:
-    """Lose all messages to and from the zone of `member`."""
+    """Drop all messages to and from the zone of `member`."""
     cluster.cut_zone(member)
     undo.callback(cluster.heal)
 
--- a/bench/gap.py
+++ b/bench/gap.py
@@ -1,4 +1,4 @@
-"""How long callers wait after a primary is lost, over many faults.
+"""Measure how long callers wait after a primary is lost, over many faults.
 
 Usage:
     gap [--deployment NAME] [--kind KIND] [--faults N] [--trace N]
@@ -50,22 +50,22 @@
 
 
 class Kind(ABC):
-    """Bring about one kind of fault at a group's primary, and undo it."""
+    """Inject one kind of fault at a group's primary, and end it."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     @abstractmethod
     async def strike(self, member: str) -> None:
-        """Hit the primary `member`."""
+        """Inject the fault at the primary `member`."""
 
     @abstractmethod
     async def heal(self, member: str) -> None:
-        """Undo the fault."""
+        """End the fault."""
 
 
 class Kill(Kind):
-    """Let the target die; its connections break at once."""
+    """Kill the target; its connections break at once."""
 
     async def strike(self, member: str) -> None:
         await self.world.platform.members()[member].kill()
@@ -98,7 +98,7 @@
 
 
 class Loss(Record):
-    """Carry one lost primary.
+    """Represent one lost primary.
 
     :param at: when it was lost, monotonic seconds.
     :param wall_ms: the same by the wall clock.
@@ -120,7 +120,7 @@
 class Trial:
     """Run writers on all groups of a world while primaries are lost.
 
-    :ivar losses: what was lost, in order.
+    :ivar losses: the lost primaries, in order.
     """
 
     def __init__(self, world: World, kind: Kind, history: History) -> None:
@@ -134,7 +134,7 @@
         self.day: Day = DAYS[world.deployment.name](groups, make, world.random)
 
     async def run(self, faults: int) -> None:
-        """Bring about `faults` faults."""
+        """Inject `faults` faults."""
         await self.day.prepare()
         async with asyncio.TaskGroup() as tasks:
             for group in self.day.groups:
@@ -146,7 +146,7 @@
             self.stopped = True
 
     async def write(self, group: str, name: str) -> None:
-        """Raise one register again and again."""
+        """Raise one register repeatedly."""
         caller = self.day.make_caller(name, self.day.writers)
         table: Table = self.day.tables[0]
         version = 0
@@ -203,7 +203,7 @@
 
 
 def figures(trial: Trial) -> Json:
-    """Return the distributions of all losses."""
+    """Return the distributions over all losses."""
     events = trial.events()
     acks = trial.history.acknowledged()
     gaps = [gap(acks, loss) for loss in trial.losses]
@@ -239,8 +239,8 @@
 def caller_waits(acks: Iterable[Attempt], loss: Loss) -> list[float]:
     """Return milliseconds from a loss to each caller's next acknowledgement.
 
-    What was acknowledged by the lost primary itself does not count: the
-    answer must be of a write that was sent after the loss, or is a retry.
+    Acknowledgements by the lost primary itself are excluded: the answer must be of a
+    write that was sent after the loss, or of a retry.
     """
     first: dict[str, float] = {}
     for one in acks:
@@ -268,7 +268,7 @@
 
 
 def spread(values: Iterable[float]) -> dict[str, float] | None:
-    """Return median, 99th percentile and greatest of `values`."""
+    """Return median, 99th percentile and maximum of `values`."""
     ordered = sorted(values)
     if not ordered:
         return None
@@ -280,12 +280,12 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the value that `share` of the ordered values do not exceed."""
+    """Return the given percentile of ordered values."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 def trace(trial: Trial, loss: Loss) -> None:
-    """Print what callers and hosts saw of a loss."""
+    """Print the attempts and events around a loss."""
     cut = trial.cut_hosts(loss)
     lines: list[tuple[float, str]] = []
     for one in trial.history.attempts:
@@ -307,7 +307,7 @@
 
 
 def main(argv: list[str] | None = None) -> dict[str, Any]:
-    """Run as told by the command line; return the figures."""
+    """Run with command-line options; return the figures."""
     options = docopt.docopt(__doc__, argv)
     name, kind = options["--deployment"], options["--kind"]
     faults, traced = int(options["--faults"]), int(options["--trace"])
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -1,9 +1,8 @@
-"""What a host adds to a statement: time in round trips, processor time.
+"""Measure the cost that a host adds to a statement: latency and processor time.
 
-The same read goes straight to the target, through a bare pass-through, through
-the target's home and through a host that forwards to the home, in short blocks
-that take turns, so that the machine's moods hit all alike. Each role has a
-process of its own.
+The same read goes directly to the target, through a bare pass-through, through the
+target's home and through a host that forwards to the home. Short blocks alternate, so
+that load on the machine affects all paths alike. Each role has its own process.
 """
 
 import asyncio
@@ -49,17 +48,17 @@
 
 
 class NotAnswered(Exception):
-    """Say that a statement of the benchmark was refused."""
+    """Report that a statement of the benchmark was refused."""
 
 
 class Course(Record):
-    """Carry one way of a statement and what it cost.
+    """Represent one path of a statement and its cost.
 
     :param pid: the process whose processor time counts.
     :param latencies: seconds from sending to the answer.
     :param processor: processor time of the process, in seconds.
     :param wall: time that its blocks took, in seconds.
-    :param idle: processor time a second that the process spends anyway.
+    :param idle: processor time per second without statements.
     """
 
     __slots__ = ("name", "send", "pid", "latencies", "processor", "wall", "idle")
@@ -84,7 +83,7 @@
         return (self.processor - self.idle * self.wall) / len(self.latencies)
 
     async def measure_idle(self) -> None:
-        """Measure what the process spends without statements."""
+        """Measure the processor time without statements."""
         began = processor_time(self.pid)
         await asyncio.sleep(IDLE_S)
         self.idle = (processor_time(self.pid) - began) / IDLE_S
@@ -102,7 +101,7 @@
         self.processor += processor_time(self.pid) - began
 
     def figures(self) -> Json:
-        """Return what was measured on this way."""
+        """Return the figures of this path."""
         return {
             "median_us": round(self.median * MICROSECONDS, 1),
             "processor_us": round(self.cost * MICROSECONDS, 1),
@@ -135,7 +134,7 @@
 
 
 def figures(courses: dict[str, Course]) -> Json:
-    """Return the figures of all ways, and how they compare."""
+    """Return the figures of all paths, and their comparison."""
     trip = courses["round trip"].median
     straight = courses["straight"].median
     bare = courses["pass-through"].cost
@@ -152,7 +151,7 @@
 
 
 def refuse_other(answer: Json) -> None:
-    """Refuse to count anything but an answer with rows, or an echo.
+    """Check that an answer has rows or is an echo.
 
     :raises NotAnswered: for a refusal.
     """
@@ -170,7 +169,7 @@
 async def bare_courses(
     stack: AsyncExitStack, start: Callable[..., RoleProcess], platform: RoleProcess
 ) -> list[Course]:
-    """Return the ways that do not lead through the system."""
+    """Return the paths that bypass the system."""
     echo = start("echo", serve_echo)
     bare = start("pass-through", serve_pass_through, platform.facts["target"])
     body = wire.encode(target_read())
@@ -187,7 +186,7 @@
 async def system_courses(
     stack: AsyncExitStack, start: Callable[..., RoleProcess], platform: Json
 ) -> list[Course]:
-    """Return the ways through the home of the targets and another host."""
+    """Return the paths through the home of the targets and another host."""
     peers = free_addresses(2)
     home = start("home", serve_host, platform, ZONE, peers)
     other = start("forwarding", serve_host, platform, OTHER_ZONE, peers)
@@ -209,7 +208,7 @@
 
 
 async def serve_host(platform: Json, zone: str, peers: list[str]) -> str:
-    """Start a host in `zone`; return where callers reach it."""
+    """Start a host in `zone`; return its address for callers."""
     listen, admin = free_addresses(2)
     peer = peers[ZONES.index(zone)]
     settings = host_settings(
@@ -254,7 +253,7 @@
 
 
 def one_zone_plant() -> Deployment:
-    """Return the plant with its first group alone, all of it in one zone."""
+    """Return the plant reduced to its first group, all in one zone."""
     deployment = Deployment("plant")
     for service in deployment.base["services"].values():
         name, group = next(iter(service["groups"].items()))
@@ -268,14 +267,14 @@
 
 
 async def target_link(stack: AsyncExitStack, address: str) -> Link:
-    """Open a connection to a target, straight or through a pass-through."""
+    """Open a connection to a target, directly or through a pass-through."""
     link = await open_link(stack, address)
     await link.ask("/hello", {"client": "bench"})
     return link
 
 
 def target_read() -> Json:
-    """Return the read as a target takes it."""
+    """Return the read in the format of a target."""
     return {"sql": PlantDay.mixes.newest, "params": read_params(), "timeout": TIMEOUT_S}
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,7 +1,7 @@
-"""Measure what membership costs a host: bytes and processor time.
+"""Measure the cost of membership per host: bytes and processor time.
 
 Up to 30 hosts run in one process and talk over real connections on loopback;
-more hosts run in further processes. What is measured is the first process.
+more hosts run in further processes. Only the first process is measured.
 The bytes are those of TCP payload, as the kernel counts them for a process.
 
 Run: python -m bench.membership [SIZE ...]
@@ -39,12 +39,12 @@
 STEP: Final = 0.005
 CREDENTIAL: Final = "a credential of thirty-two bytes"
 IO_COUNTERS: Final = Path("/proc/self/io")
-# The hosts of a further process, which nothing else refers to.
+# Keeps the hosts of a further process alive.
 KEPT: Final[list["BenchHost"]] = []
 
 
 class Usage:
-    """Read what the process has used so far."""
+    """Read the resource usage of the process."""
 
     __slots__ = ("cpu", "sent", "received", "at")
 
@@ -58,7 +58,7 @@
         self.at = asyncio.get_running_loop().time()
 
     def per_host(self, since: "Usage", hosts: int) -> dict[str, float]:
-        """Return rates of one host in the time since `since`."""
+        """Return rates per host since `since`."""
         share = (self.at - since.at) * hosts
         return {
             "sent_bytes_s": round((self.sent - since.sent) / share),
@@ -68,7 +68,7 @@
 
 
 class BenchHost:
-    """Run membership of one host on a free port."""
+    """Run the membership of one host on a free port."""
 
     def __init__(self, number: int) -> None:
         self.zone = ZONES[number % len(ZONES)]
@@ -93,11 +93,11 @@
         self.task = asyncio.create_task(self.heartbeats.run())
 
     def live(self) -> int:
-        """Return how many hosts are live for this one."""
+        """Return how many hosts are live in this host's view."""
         return len(self.membership.table.refs())
 
     async def stop(self) -> None:
-        """End without a word."""
+        """Stop without notice."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         await self.peers.close()
@@ -105,7 +105,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> float:
-    """Wait for `condition`; return how long it took in seconds."""
+    """Wait for `condition`; return the duration in seconds."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while not condition():
@@ -132,7 +132,7 @@
 
 
 async def measure(size: int) -> dict[str, Any]:
-    """Measure `size` hosts at rest and after the death of one."""
+    """Measure `size` hosts when idle and after the death of one."""
     hosts = await start_hosts(0, min(size, SHARD), [])
     seeds = [one.server.address for one in hosts[:3]]
     with ExitStack() as shards:
@@ -144,7 +144,7 @@
 
 
 async def measure_hosts(hosts: list[BenchHost], size: int) -> dict[str, Any]:
-    """Measure the hosts of this process, which know `size` in all."""
+    """Measure the hosts of this process in a cluster of `size` hosts."""
     joined = await until(lambda: all(one.live() == size for one in hosts))
     await asyncio.sleep(SETTLE)
     before = Usage()
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
 """Measure what a home answers in time at 1, 2 and 3 times its capacity.
 
-Virtual time: one target with exponential service times, callers that arrive
-at random whatever the load, and repeat what was refused or given up. The
-baseline is an unbounded queue in order of arrival, without deadlines.
+Virtual time: one target with exponential service times, and an open-loop load whose
+callers retry refused and timed-out statements. The baseline is an unbounded FIFO queue
+without deadlines.
 """
 
 import asyncio
@@ -32,9 +32,9 @@
 
 
 class Work:
-    """Describe one kind of work.
+    """Describe one kind of statement.
 
-    :param share: its share of the arrivals.
+    :param share: its fraction of the arrivals.
     :param service: mean service time in seconds.
     :param deadline: seconds after which its caller gives up.
     """
@@ -70,13 +70,13 @@
 
     @abstractmethod
     async def run(self, statement: Statement) -> None:
-        """Run `statement`; raise `Refusal` if it was not answered in time."""
+        """Run `statement`; raise `RefusalError` if it was not answered in time."""
 
     async def start(self) -> None:
-        """Make ready."""
+        """Prepare the server."""
 
     async def close(self) -> None:
-        """Release everything."""
+        """Release all resources."""
 
 
 class HomeServer(Server):
@@ -123,14 +123,14 @@
             raise not_run(RefusalReason.DEADLINE, "The caller gave up.", 0) from None
 
     async def serve(self, statement: Statement) -> None:
-        """Run the statement when its turn comes."""
+        """Run the statement once it reaches the head of the queue."""
         async with self.free:
             assert self.target.service_of is not None
             await asyncio.sleep(self.target.service_of(statement.sql))
 
 
 class Phase:
-    """Count what came of the work of one phase."""
+    """Count the results of one phase."""
 
     def __init__(self) -> None:
         self.offered: Counter[str] = Counter()
@@ -183,7 +183,7 @@
         return self.report(ended)
 
     async def send_for(self, phase: str, times: float, seconds: float) -> None:
-        """Let statements arrive at random at `times` the capacity."""
+        """Generate random arrivals at `times` the capacity."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         rate = times * self.capacity()
@@ -197,7 +197,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def send(self, phase: Phase, work: Work) -> None:
-        """Send one statement, again if it was refused, up to `TRIES` times."""
+        """Send one statement, with retries if it was refused, up to `TRIES` times."""
         loop = asyncio.get_running_loop()
         phase.offered[work.name] += 1
         began = loop.time()
@@ -229,7 +229,7 @@
             return
 
     def capacity(self) -> float:
-        """Return the statements a second that keep all slots busy."""
+        """Return the statements per second that keep all slots busy."""
         return SLOTS / sum(work.share * work.service for work in self.works)
 
     def report(self, surge_ended: float) -> dict[str, Any]:
@@ -246,10 +246,11 @@
         }
 
     def recovery(self, since: float) -> float | None:
-        """Return the seconds from the end of the surge until goodput is back.
+        """Return the seconds from the end of the surge until goodput has recovered.
 
-        Back means that from then on, of the statements that arrive in each
-        second, at least the share `RECOVERED` is answered. None if never.
+        Goodput has recovered when, from then on, at least the fraction `RECOVERED` of
+        the statements that arrive in each second is answered. None if it never
+        recovers.
         """
         bad = [
             second
@@ -263,7 +264,7 @@
 
 
 def share_of_peak(phases: dict[str, dict[str, Any]], name: str) -> float:
-    """Return a figure at 3 times capacity as a share of its highest."""
+    """Return a figure at 3 times capacity as a fraction of its maximum."""
     peak: float = max(one[name] for one in phases.values())
     share: float = phases["3x"][name] / peak
     return round(share, 3)
@@ -291,7 +292,7 @@
 
 
 def main() -> None:
-    """Print the figures of both mixes beside the baseline as JSON."""
+    """Print the figures of both mixes and the baseline as JSON."""
     report = {
         mix: {
             "home": run_virtual(try_server(mix, baseline=False)),
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -20,7 +20,7 @@
 
 
 def draw(figures: Figures, path: Path) -> None:
-    """Draw what `figures` hold, one panel each, to the PNG file `path`."""
+    """Draw `figures`, one panel each, to the PNG file `path`."""
     panels = [
         (panel, figures[name])
         for name, panel in PANELS
@@ -38,7 +38,7 @@
 
 
 def replica_share(axis: Any, measured: Figures) -> None:
-    """Draw the share of reads at replicas beside the baseline."""
+    """Draw the fraction of reads at replicas and the baseline."""
     names = list(measured)
     pairs(
         axis,
@@ -51,7 +51,7 @@
 
 
 def failover_gap(axis: Any, measured: Figures) -> None:
-    """Draw the median failover gap beside the baseline, in seconds."""
+    """Draw the median failover gap and the baseline, in seconds."""
     names = list(measured)
     pairs(
         axis,
@@ -64,7 +64,7 @@
 
 
 def hop_cost(axis: Any, measured: Figures) -> None:
-    """Draw processor time a statement beside the bare pass-through."""
+    """Draw processor time per statement and the bare pass-through."""
     names = ["pass-through", "home", "forwarding"]
     values = [measured["courses"][name]["processor_us"] for name in names]
     axis.bar(names, values)
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,4 +1,4 @@
-"""Time until an accepted edit is in force at all hosts, over real loopback.
+"""Measure the time until an accepted edit is in force at all hosts, on loopback.
 
 python -m bench.propagation
 """
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,4 +1,4 @@
-"""Processes of a benchmark, and what the kernel says they cost.
+"""Processes of a benchmark, and their processor time as measured by the kernel.
 
 Only benchmarks start processes; the product never does.
 """
@@ -23,15 +23,15 @@
 
 
 class RoleFailed(Exception):
-    """Say that a process of the benchmark did not start."""
+    """Report that a process of the benchmark did not start."""
 
 
 class RoleProcess(AbstractContextManager["RoleProcess"]):
-    """Run one role in a process of its own until the block ends.
+    """Run one role in its own process until the block ends.
 
-    :param serve: coroutine function that starts the role, returns what the
-        driver has to know, such as an address, and leaves tasks running.
-    :ivar facts: what `serve` returned.
+    :param serve: coroutine function that starts the role, returns what the driver
+        needs, such as an address, and leaves tasks running.
+    :ivar facts: the result of `serve`.
     """
 
     def __init__(self, name: str, serve: Serve, *arguments: Any) -> None:
@@ -75,8 +75,8 @@
 def processor_time(pid: int) -> float:
     """Return the processor time of a process so far, in seconds.
 
-    The kernel's scheduler counts nanoseconds; the usual process statistics
-    count ticks of 10 ms, which is too coarse for a short block.
+    The kernel's scheduler counts nanoseconds; the process statistics count ticks of 10
+    ms, which is too coarse for a short block.
     """
     tasks = Path("/proc", str(pid), "task")
     ran = [int(read_text(task / "schedstat").split()[0]) for task in tasks.iterdir()]
@@ -84,12 +84,12 @@
 
 
 def read_text(path: Path) -> str:
-    """Return a small file's text."""
+    """Return the text of a small file."""
     return path.read_text(encoding="ascii")
 
 
 def run_role(pipe: Connection, serve: Serve, arguments: tuple[Any, ...]) -> None:
-    """Run a role in the present process until it is terminated."""
+    """Run a role in the current process until it is terminated."""
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,9 +1,9 @@
-"""The share of reads that replicas serve, against an oracle, in virtual time.
+"""Measure the fraction of reads that replicas serve, against an oracle.
 
-The oracle knows every position at each moment and sends a read to a replica
-whenever one meets its demand as it arrives. The baseline sends all reads to
-the primary. Homes are a model: each knows its own member exactly and the
-others as they were a while ago, and the lag of each replica keeps changing.
+Runs in virtual time. The oracle knows every position at each moment and sends
+a read to a replica whenever one meets its demand on arrival. The baseline sends
+all reads to the primary. Homes are a model: each knows its own member exactly
+and the others with a delay, and the lag of each replica keeps changing.
 
     python -m bench.routing > routing.json
 """
@@ -37,13 +37,13 @@
 
 
 class Mix(Record):
-    """Describe what the callers of a deployment do.
+    """Describe the workload of a deployment.
 
-    :param sessions: callers of one group, each with a session of its own.
+    :param sessions: callers of one group, each with its own session.
     :param pause: mean time between two statements of a session, in seconds.
-    :param writes: share of writes among all statements.
-    :param reads: share of each demand among the reads: an age in seconds,
-        or None for a session read.
+    :param writes: fraction of writes among all statements.
+    :param reads: fraction of each demand among the reads: an age in seconds, or None
+        for a session read.
     """
 
     __slots__ = ("name", "sessions", "pause", "writes", "reads")
@@ -68,7 +68,7 @@
 
 
 class Tally(Record):
-    """Count what became of the reads."""
+    """Count the reads by result."""
 
     __slots__ = ("reads", "replica", "oracle", "both", "writes", "failed", "times")
 
@@ -121,10 +121,10 @@
         return self.figures(executed[self.model.primary], executed.total())
 
     async def drift(self) -> None:
-        """Let the lag of each replica wander.
+        """Vary the lag of each replica randomly.
 
-        It grows by `LAG_SLOPE` seconds a second at most: a replica that
-        applies nothing falls behind by one.
+        It grows by at most `LAG_SLOPE` seconds per second: a replica that applies
+        nothing falls behind by one.
         """
         lags = self.model.lags
         targets = dict(lags)
@@ -139,7 +139,7 @@
             await asyncio.sleep(LAG_STEP_S)
 
     async def session(self) -> None:
-        """Send one session's statements through whichever host comes up."""
+        """Send one session's statements through random hosts."""
         covers: Position | None = None
         while True:
             await asyncio.sleep(self.random.uniform(0.0, 2.0 * self.mix.pause))
@@ -166,7 +166,7 @@
         return statement
 
     async def send(self, statement: Statement) -> Position:
-        """Send one statement, count it, and return what its answer reflects."""
+        """Send one statement, count it, and return the position of its answer."""
         measured = self.measuring
         ideal = self.oracle(statement)
         began = self.model.now()
@@ -180,7 +180,7 @@
         return served.result.position
 
     def oracle(self, statement: Statement) -> bool:
-        """Say whether some replica meets the demand of a read right now."""
+        """Return whether some replica meets the demand of a read right now."""
         for member, lag in self.model.lags.items():
             if member == self.model.primary:
                 continue
@@ -199,7 +199,7 @@
         self.tally.both += ideal and replica
 
     def figures(self, at_primary: int, executed: int) -> dict[str, Any]:
-        """Return what was measured."""
+        """Return the figures."""
         tally = self.tally
         statements = tally.reads + tally.writes
         ranks = statistics.quantiles(tally.times, n=100)
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,7 +1,7 @@
 """Run all benchmarks, print their figures as JSON and draw them.
 
-Each benchmark runs in a process of its own, one after another, so that none
-disturbs another's figures.
+The benchmarks run sequentially in separate processes, so that they do not disturb each
+other.
 """
 
 import importlib.util
@@ -29,15 +29,15 @@
 TIMEOUT_S: Final = 600
 PLOT: Final = Path("build/bench.png")
 REPORT: Final = Path("build/bench.json")
-# The whole hour of lossy traffic takes longer than all others together.
+# The default hour of lossy traffic would dominate the run time.
 ARGUMENTS: Final = {"failover": ("--runs=50", "--hours=0.1")}
 ERROR_LINES: Final = 5
 
 
 def main() -> int:
-    """Run the benchmarks that exist, or those named; return 1 if one failed.
+    """Run the named benchmarks, by default all; return 1 if one failed.
 
-    The figures so far are kept beside the plot, as a run takes minutes.
+    Intermediate figures are saved beside the plot, as a run takes minutes.
     """
     names = sys.argv[1:] or [name for name in BENCHMARKS if exists(name)]
     figures: dict[str, Any] = {}
@@ -53,12 +53,12 @@
 
 
 def exists(name: str) -> bool:
-    """Return whether the benchmark is part of this tree."""
+    """Return whether the benchmark exists."""
     return importlib.util.find_spec(f"bench.{name}") is not None
 
 
 def run(name: str) -> dict[str, Any]:
-    """Run one benchmark and return its figures, or what went wrong."""
+    """Run one benchmark and return its figures, or its error."""
     print(f"running {name}", file=sys.stderr)
     command = [sys.executable, "-m", f"bench.{name}", *ARGUMENTS.get(name, ())]
     try:
@@ -74,7 +74,7 @@
 
 
 def read_figures(text: str) -> dict[str, Any]:
-    """Read the JSON object that a benchmark printed."""
+    """Parse the JSON object that a benchmark printed."""
     try:
         figures = json.loads(text)
     except json.JSONDecodeError as error:
@@ -85,7 +85,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Say what the figures were measured on."""
+    """Describe the machine of the run."""
     return {
         "date": date.today().isoformat(),
         "python": platform.python_version(),
--- a/bench/share.py
+++ b/bench/share.py
@@ -1,4 +1,4 @@
-"""Share of reads that replicas serve, beside an oracle's, by replica lag.
+"""Measure the fraction of reads that replicas serve, against an oracle, by lag.
 
 Usage:
     share [--deployment NAME] [--seconds N] [--lag MS]...
@@ -9,10 +9,10 @@
     --lag MS           lag of all replicas' reads in ms; by default 5, 50, 500
                        and 5000
 
-Real hosts and stand-ins on loopback, the deployment's day without faults. The
-oracle knows every member's position while a request is under way, and sends it
-to a replica whenever one meets the demand when it is sent or when its answer
-is in. The baseline sends all reads to the primary.
+Real hosts and stand-ins on loopback, the deployment's workload without faults.
+The oracle knows every member's position during a request, and sends it to a
+replica whenever one meets the demand when it is sent or when its answer
+arrives. The baseline sends all reads to the primary.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 class Tally:
-    """Count reads by consistency, by who served and by what was possible.
+    """Count reads by consistency, serving role and whether a replica was eligible.
 
     :ivar counts: by consistency, role that served and whether a replica could.
     """
@@ -106,7 +106,7 @@
 
 
 class ObservedCaller(Caller):
-    """Ask the oracle before and after each read."""
+    """Query the oracle before and after each read."""
 
     __slots__ = ("tally", "covers")
 
@@ -114,7 +114,7 @@
     covers: dict[str, Position]
 
     async def call(self, path: str, body: Json) -> Reply:
-        """Send one request, and count it with what the oracle says of it."""
+        """Send one request, and count it with the oracle's result."""
         covers = self.covers.get(body["group"], ORIGIN)
         could = path == READ_PATH and self.tally.possible(body, covers)
         reply = await super().call(path, body)
@@ -130,7 +130,7 @@
 
 
 async def measure(name: str, lag: float, seconds: float) -> Json:
-    """Return the shares of one deployment's day at one lag, in seconds."""
+    """Return the shares of one deployment's workload at one lag, in seconds."""
     rng = random.Random(SEED)
     async with World(Deployment(name), SystemClock(), rng) as world:
         tally = Tally(world)
@@ -168,7 +168,7 @@
 
 
 def main(argv: list[str] | None = None) -> dict[str, Any]:
-    """Run as told by the command line; return the figures."""
+    """Run with command-line options; return the figures."""
     options = docopt.docopt(__doc__, argv)
     name, seconds = options["--deployment"], float(options["--seconds"])
     return {
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -1,4 +1,4 @@
-"""Hosts that answer operators, without anything behind them."""
+"""Fake hosts that serve the operators' API, without targets or a real network."""
 
 import asyncio
 import hashlib
@@ -38,9 +38,9 @@
 
 
 class FakeSource(AdminSource):
-    """Tell of a host that a test describes.
+    """Return the state of a host as described by the test.
 
-    :ivar draining: whether it was told to drain.
+    :ivar draining: whether a drain was requested.
     """
 
     def __init__(self, me: HostRef, network: "FakeNetwork") -> None:
@@ -103,11 +103,11 @@
 
 
 class FakeNetwork(PeerClient):
-    """Carry calls between fake hosts as JSON.
+    """Pass calls between fake hosts as JSON.
 
     :ivar cut: hosts that answer nothing.
-    :ivar malformed: hosts whose answers make no sense.
-    :ivar most: the highest number of calls in progress at once.
+    :ivar malformed: hosts that return malformed answers.
+    :ivar most: the maximum number of concurrent calls.
     """
 
     def __init__(self, hosts: int = 3) -> None:
@@ -126,7 +126,7 @@
             FleetQueries(source, self).register(routes)
 
     def fleet(self) -> FleetQueries:
-        """Return the questions of the first host."""
+        """Return the fleet queries of the first host."""
         return FleetQueries(self.sources["vittoria-1"], self)
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -1,4 +1,4 @@
-"""Hosts of three zones around one `FakeGroup`, in virtual time."""
+"""Hosts in three zones around one `FakeGroup`, in virtual time."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 class SharedDirectory(HostDirectory):
-    """Rank the hosts of each zone in a fixed order; a test takes hosts out."""
+    """Rank the hosts of each zone in a fixed order; tests can remove hosts."""
 
     def __init__(self, cluster: "Cluster", ref: HostRef) -> None:
         self.cluster = cluster
@@ -55,7 +55,7 @@
 
 
 class ClusterHost:
-    """Run the group's part of one host."""
+    """Run the components of one host that concern the group."""
 
     def __init__(self, cluster: "Cluster", ref: HostRef) -> None:
         self.cluster = cluster
@@ -155,7 +155,7 @@
                 self.hosts[name] = ClusterHost(self, ref)
 
     def home(self, member: str) -> ClusterHost:
-        """Return the host that is home of `member` now."""
+        """Return the host that is currently home of `member`."""
         for host in self.hosts.values():
             if member in host.local and host.ref.host not in self.gone:
                 return host
@@ -208,7 +208,7 @@
             await self.take_over(host)
 
     async def take_over(self, host: str) -> None:
-        """Take `host` off the directory and let its standby become home."""
+        """Remove `host` from the directory and make its standby the home."""
         self.gone.add(host)
         standby = self.hosts[f"{host[:-1]}b"]
         for member in self.hosts[host].local:
@@ -247,14 +247,14 @@
         statement.max_age = max_age
         return await self.home(member).executor.execute(member, statement)
 
-    # What happened
+    # Observations
 
     def leader(self) -> str:
         """Return the member promoted at the highest term."""
         return self.truth.leaders[max(self.truth.leaders)]
 
     def events(self, kind: EventKind) -> list[Event]:
-        """Return the events of a kind on all hosts, in order of their stamps."""
+        """Return the events of a kind on all hosts, ordered by timestamp."""
         found = [
             event
             for host in self.hosts.values()
@@ -264,14 +264,14 @@
         return sorted(found, key=lambda one: (one.stamp.wall_ms, one.stamp.count))
 
     def counted(self) -> Counter[str]:
-        """Return the counters of all hosts together."""
+        """Return the sums of the hosts' counters."""
         counters = (host.metrics.counters for host in self.hosts.values())
         return sum(counters, Counter())
 
     async def until_writable(self, limit: float = 5.0) -> float:
         """Try a write every few milliseconds until one is acknowledged.
 
-        :returns: seconds until then.
+        :returns: seconds until the acknowledgement.
         """
         begun = self.now()
         done = asyncio.Event()
@@ -285,7 +285,7 @@
         return self.now() - begun
 
     async def try_write(self, value: str, done: asyncio.Event) -> None:
-        """Write at the member promoted last, wherever its home is."""
+        """Write at the home of the member that was promoted last."""
         with contextlib.suppress(RefusalError):
             await self.write(self.leader(), value, 0.3)
             done.set()
@@ -296,7 +296,7 @@
 
 @asynccontextmanager
 async def cluster_of() -> AsyncIterator[Cluster]:
-    """Run a cluster in good order; stop it if its test came to the end."""
+    """Run a cluster; stop it if the test succeeded."""
     cluster = Cluster()
     await cluster.start()
     yield cluster
@@ -304,5 +304,5 @@
 
 
 def values(served: HomeResponse) -> list[str]:
-    """Return the values that a read showed."""
+    """Return the values that a read returned."""
     return [row[0] for row in served.result.rows]
--- a/tests/command_fakes.py
+++ b/tests/command_fakes.py
@@ -1,4 +1,4 @@
-"""The tool in one process with what answers it."""
+"""The command-line tool in one process with the fake API that it calls."""
 
 import io
 from collections.abc import AsyncIterator, Mapping
@@ -23,7 +23,7 @@
 
 
 class Outcome:
-    """Carry what a run of the tool gave."""
+    """Hold the exit code and the output of a run of the tool."""
 
     def __init__(self, code: int, out: str, err: str) -> None:
         self.code = code
@@ -34,7 +34,7 @@
 class Tool:
     """Run the tool against one fake deployment.
 
-    :param address: where operators are answered.
+    :param address: the address of the operators' API.
     """
 
     def __init__(self, address: str, network: FakeNetwork, store: FakeStore) -> None:
@@ -64,7 +64,7 @@
 
 
 def folder(path: Path, queue: int) -> Path:
-    """Fill a folder with documents."""
+    """Write configuration documents into a folder."""
     (path / "overlays").mkdir(parents=True, exist_ok=True)
     (path / "base.yaml").write_text(f"{BASE}limits: {{queue: {queue}}}\n")
     for site in SITES:
@@ -73,7 +73,7 @@
 
 
 class FakeCallers:
-    """Answer statements and keep their bodies."""
+    """Answer statements and record their bodies."""
 
     def __init__(self) -> None:
         self.bodies: list[tuple[str, Any]] = []
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts that keep a configuration, over a faulty network and a faulty store."""
+"""Hosts that replicate a configuration over a faulty network and a faulty store."""
 
 import asyncio
 import random
@@ -42,13 +42,13 @@
 
 
 def documents(queue: int, base: str = BASE) -> ConfigurationDocuments:
-    """Return documents whose catalogs show `queue`."""
+    """Return documents whose catalogs contain the limit `queue`."""
     overlays = dict.fromkeys(ZONES, "")
     return ConfigurationDocuments(f"{base}limits: {{queue: {queue}}}\n", overlays)
 
 
 class UnevenWorker(Worker):
-    """Take a random time for each function, so that ends come out of order."""
+    """Delay each function randomly, so that completions are out of order."""
 
     def __init__(self, chooser: random.Random) -> None:
         self.random = chooser
@@ -62,10 +62,10 @@
 
 
 class FleetHost:
-    """Run one host; `restart` forgets all that it knew.
+    """Run one host; `restart` drops its state.
 
-    :ivar versions: the versions that came into force in this life.
-    :ivar fell: whether a version ever went down within a life.
+    :ivar versions: the versions that came into force in this incarnation.
+    :ivar fell: whether a version ever decreased within an incarnation.
     """
 
     def __init__(self, fleet: "Fleet", ref: HostRef, rank: int) -> None:
@@ -80,7 +80,7 @@
         self.build()
 
     def build(self) -> None:
-        """Make the parts of a host that knows nothing."""
+        """Create the components of a host without state."""
         clock = self.fleet.network.clock(self.ref.host)
         worker = self.worker = UnevenWorker(self.random)
         routes = PeerRoutes()
@@ -106,7 +106,7 @@
         self.versions: list[int] = []
 
     def note(self, catalog: Catalog) -> None:
-        """Take note of what came into force."""
+        """Record a configuration that came into force."""
         self.fell |= bool(self.versions) and catalog.version <= self.versions[-1]
         self.versions.append(catalog.version)
 
@@ -116,20 +116,20 @@
         return self.random.sample(others, min(count, len(others)))
 
     async def hear(self, body: Json) -> Json:
-        """Take a heartbeat."""
+        """Handle a heartbeat."""
         self.keeper.record_peer_version(
             body["version"], HostRef.from_json(body["from"])
         )
         return {}
 
     async def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         await self.keeper.start()
         await self.relay.start()
         self.heart = asyncio.create_task(self.beat())
 
     async def beat(self) -> None:
-        """Send the version to one peer now and then."""
+        """Send the version to a random peer at intervals."""
         while True:
             await asyncio.sleep(HEARTBEAT * self.random.uniform(0.5, 1.5))
             body = {"version": self.keeper.version, "from": self.ref.to_json()}
@@ -140,7 +140,7 @@
                     continue
 
     async def close(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         if self.heart is not None:
             self.heart.cancel()
         await self.relay.close()
@@ -148,7 +148,7 @@
         await self.peers.close()
 
     async def restart(self) -> None:
-        """Begin a new life at the same address."""
+        """Start a new incarnation at the same address."""
         await self.close()
         self.build()
         await self.start()
@@ -200,7 +200,7 @@
             host.store.down = True
 
     def end_faults(self) -> None:
-        """Undo all faults."""
+        """Clear all faults."""
         self.network.heal()
         self.store.down = False
         for host in self.hosts:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,8 +17,9 @@
 
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-"""Tests that fail for a real fault that is not mended yet, one a line: test, cause,
-issue, command and seed, what was seen, with ``|`` between them."""
+"""Tests that fail for a known fault, one per line: test, cause, issue, command and
+seed, and observation, separated by ``|``.
+"""
 
 
 def known_red() -> dict[str, str]:
@@ -30,7 +31,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run tests that are known to fail without failing for them."""
+    """Mark known failures as non-strict expected failures."""
     known = known_red()
     for item in items:
         if item.nodeid in known:
@@ -38,6 +39,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail."""
+    """Print the known failures."""
     for line in known_red().values():
         terminalreporter.write_line(f"known red: {line}")
--- a/tests/connector_storm.py
+++ b/tests/connector_storm.py
@@ -1,6 +1,6 @@
-"""Open connections under timeouts that strike at any moment.
+"""Open connections with timeouts that expire at random moments.
 
-Run as a process of its own, since the fault that it looks for aborts it.
+Runs in its own process, since the fault under test aborts the process.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 async def storm() -> list[str]:
-    """Return what went wrong in callbacks of the loop."""
+    """Return the exceptions raised in callbacks of the event loop."""
     faults: list[str] = []
 
     def note(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -37,12 +37,12 @@
 
 
 async def respond(request: web.BaseRequest) -> web.Response:
-    """Answer anything."""
+    """Answer every request."""
     return web.Response()
 
 
 async def call(url: str, seed: int) -> None:
-    """Call again and again, each time on a new connection."""
+    """Call repeatedly, each time on a new connection."""
     rng = random.Random(seed)
     async with ClientSession(
         connector=SingleStepConnector(force_close=True)
--- a/tests/daemon_fakes.py
+++ b/tests/daemon_fakes.py
@@ -1,4 +1,4 @@
-"""A host with nothing behind its servers."""
+"""A fake host behind real servers."""
 
 import asyncio
 
@@ -11,17 +11,17 @@
 
 
 class QuickClock(SystemClock):
-    """Sleep for a tenth of the time."""
+    """Sleep for a tenth of the requested time."""
 
     async def sleep(self, seconds: float) -> None:
         await asyncio.sleep(seconds / 10)
 
 
 class FakeHost(Lifecycle):
-    """Note what happens to it.
+    """Record the lifecycle calls.
 
-    :ivar steps: what was called, in order.
-    :ivar drained: lets the drain end.
+    :ivar steps: the calls, in order.
+    :ivar drained: set by the test to let the drain end.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
 
 
 class Counted:
-    """Answer slowly and count what was begun and ended."""
+    """Answer slowly and count started and completed requests."""
 
     def __init__(self) -> None:
         self.begun = 0
--- a/tests/fakes_clock.py
+++ b/tests/fakes_clock.py
@@ -16,11 +16,11 @@
 
 
 class VirtualTimeStuck(Exception):
-    """Say that all tasks wait for something that no timer will bring."""
+    """Report that all tasks wait and no timer is set."""
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Advance virtual time in place of waiting for it.
+    """Advance virtual time instead of waiting.
 
     :ivar now: virtual time in seconds.
     """
@@ -55,7 +55,7 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, T]) -> T:
-    """Run `main` in virtual time, which begins at 0 and costs no waiting."""
+    """Run `main` in virtual time, which starts at 0."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
 
@@ -71,9 +71,9 @@
 
 
 class LoopClock(Clock):
-    """Read the time of the running loop; each host has a clock of its own.
+    """Read the time of the running loop; each host has its own clock.
 
-    :param skew: how far the wall clock is off, in seconds.
+    :param skew: offset of the wall clock, in seconds.
     """
 
     def __init__(self, skew: float = 0.0) -> None:
@@ -92,15 +92,15 @@
         await self.running.wait()
 
     def pause(self) -> None:
-        """Hold all sleepers, as a stopped process does, until `resume`."""
+        """Block all sleepers, as in a paused process, until `resume`."""
         self.running.clear()
 
     def resume(self) -> None:
-        """Let the sleepers go on; they see how much time went by."""
+        """Wake the sleepers; the clock includes the time of the pause."""
         self.running.set()
 
 
 async def settle(rounds: int = 20) -> None:
-    """Let ready tasks run without letting time pass."""
+    """Run ready tasks without advancing time."""
     for _ in range(rounds):
         await asyncio.sleep(0)
--- a/tests/fakes_group.py
+++ b/tests/fakes_group.py
@@ -1,6 +1,7 @@
-"""A database group in memory with terms, logs, promises, lag and cuts.
+"""An in-memory database group with terms, logs, promises, lag and partitions.
 
-The members keep the truth: what ran, who led when, and what each log holds.
+The members record the truth: what was executed, who was primary in each term, and the
+contents of each log.
 """
 
 import asyncio
@@ -27,7 +28,7 @@
 
 
 class Entry:
-    """Carry one entry of a log."""
+    """Represent one log entry."""
 
     __slots__ = ("position", "value", "request_id")
 
@@ -38,11 +39,11 @@
 
 
 class FakeMember:
-    """Play one member.
+    """Simulate one member.
 
-    :ivar lag: seconds between holding an entry and applying it.
+    :ivar lag: seconds between receiving an entry and applying it.
     :ivar down: answers nothing and replicates nothing.
-    :ivar stalled: answers only after it is set again.
+    :ivar stalled: while unset, answers are held back.
     """
 
     def __init__(self, group: "FakeGroup", name: str) -> None:
@@ -99,7 +100,7 @@
         return entry
 
     def write(self, value: str, request_id: str | None) -> tuple[Position, bool]:
-        """Append a write unless its request id has run; return whether it had."""
+        """Append a write unless its request id has run; return whether it had run."""
         if self.role is not Role.PRIMARY:
             raise TargetRefusedError("not_primary", "not the primary")
         if request_id is not None:
@@ -145,7 +146,7 @@
         self.touch()
 
     def pull(self, leader: "FakeMember") -> None:
-        """Take over the leader's log at the same term; drop what it lacks."""
+        """Copy the leader's log of the same term; drop entries that it lacks."""
         if self.promised != leader.leader_term or self.leader_term != self.promised:
             return
         same = self.shared_with(leader)
@@ -158,9 +159,9 @@
         self.apply_later()
 
     def shared_with(self, leader: "FakeMember") -> int:
-        """Return how many entries both logs begin with.
+        """Return the length of the common prefix of both logs.
 
-        Logs that have an entry in common are the same up to it.
+        Logs that share an entry are identical up to it.
         """
         last = len(self.log)
         if 0 < last <= len(leader.log):
@@ -186,11 +187,11 @@
 
 
 class FakeGroup:
-    """Replicate between members; cuts and delays are set by the test.
+    """Replicate between members; tests set cuts and delays.
 
     :ivar cuts: pairs of members (puller, leader) that cannot replicate.
-    :ivar executed: request id or value with its position, for each run.
-    :ivar leaders: who was promoted at each term.
+    :ivar executed: request id or value with its position, for each execution.
+    :ivar leaders: the member promoted in each term.
     """
 
     def __init__(self, names: list[str], delay: float = 0.0015) -> None:
@@ -202,7 +203,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def found(self, primary: str) -> None:
-        """Set the group up with `primary` leading in term 1."""
+        """Initialize the group with `primary` as leader of term 1."""
         for member in self.members.values():
             member.promised = 1
             member.owner = "founder"
@@ -229,7 +230,7 @@
                     self.cuts.add((one, two))
 
     async def replicate(self, member: FakeMember) -> None:
-        """Pull from the leader that the member follows, woken by its changes."""
+        """Pull from the member's leader whenever either of them changes."""
         while True:
             leader = self.members.get(member.primary or "")
             if leader is None or leader is member:
@@ -263,10 +264,10 @@
 
 
 class FakeHome(Home):
-    """Talk to a `FakeMember` as the home of a real target does.
+    """Access a `FakeMember` as the home of a real target does.
 
-    :ivar lost: the host can no longer reach the target.
-    :ivar opens: how many transactions are open.
+    :ivar lost: whether the host cannot reach the target.
+    :ivar opens: number of open transactions.
     """
 
     def __init__(self, group: Group, member: Member, target: FakeMember) -> None:
@@ -301,7 +302,7 @@
         return self.lost or self.target.down
 
     async def watch(self) -> None:
-        """Follow the state; notice silence after `lost_after` seconds."""
+        """Poll the state; report the target as silent after `lost_after` seconds."""
         while True:
             asked = self.now()
             if self.silent:
@@ -320,7 +321,7 @@
         self.news = asyncio.Event()
 
     async def reach(self, timeout: float) -> None:
-        """Cross to the target, or find it silent."""
+        """Send a message to the target, or raise if it does not answer."""
         try:
             async with asyncio.timeout(timeout):
                 await asyncio.sleep(TRANSPORT)
@@ -409,7 +410,7 @@
 
 
 class FakeConnection(TargetConnection):
-    """Open a connection of a standby to a `FakeMember`; for control only."""
+    """Open a standby's connection to a `FakeMember`; control calls only."""
 
     def __init__(self, home: FakeHome) -> None:
         self.home = home
@@ -458,7 +459,7 @@
 
 
 class FakeTarget(Target):
-    """Open connections to one member, as long as the host reaches it."""
+    """Open connections to one member while the host reaches it."""
 
     def __init__(self, home: FakeHome) -> None:
         self.home = home
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -18,10 +18,10 @@
 
 
 class FakeHome(Home):
-    """Note what is done with a home.
+    """Record the calls of a home.
 
-    :ivar idle: unset while work is in progress; `close` waits for its end.
-    :ivar open: the transactions that it holds.
+    :ivar idle: unset while a statement runs; `close` waits until it is set.
+    :ivar open: ids of the open transactions.
     """
 
     def __init__(self, group: Group, member: Member, share: int) -> None:
@@ -83,9 +83,9 @@
 
 
 class HomesOfHosts:
-    """Run `Homes` on each of several fake hosts.
+    """Run `LocalHomes` on each of several fake hosts.
 
-    :ivar made: every home that was ever made, with its host.
+    :ivar made: every home that was created, with its host.
     """
 
     def __init__(self, hosts: FakeHosts, catalog: Catalog) -> None:
@@ -98,7 +98,7 @@
             self.start(host)
 
     def start(self, host: str) -> LocalHomes:
-        """Run the homes of a host."""
+        """Start the homes of a host."""
         fake = self.hosts[host]
 
         def make_home(group: Group, member: Member, share: int) -> Home:
@@ -122,13 +122,13 @@
         return homes
 
     def crash(self, host: str) -> None:
-        """End a host without a word."""
+        """Stop a host without notice."""
         self.tasks[host].cancel()
         self.of[host].held.clear()
         self.hosts[host].crash()
 
     def holders(self, member: str) -> list[str]:
-        """Return the hosts that hold a home of `member` now."""
+        """Return the hosts that currently hold a home of `member`."""
         return [host for host, homes in self.of.items() if homes.get(member)]
 
     def settled(self) -> bool:
@@ -146,7 +146,7 @@
         return loop.time() - started
 
     async def stop(self) -> None:
-        """Stop everything and fail on what went wrong."""
+        """Stop everything and raise the failures of the tasks."""
         for task in self.tasks.values():
             task.cancel()
         results = await asyncio.gather(*self.tasks.values(), return_exceptions=True)
--- a/tests/fakes_hosts.py
+++ b/tests/fakes_hosts.py
@@ -1,4 +1,4 @@
-"""Several hosts with membership and heartbeats on a fake network."""
+"""Hosts with membership and heartbeats on a fake network."""
 
 import asyncio
 import random
@@ -15,10 +15,10 @@
 
 
 class FakeHost:
-    """Run membership of one host.
+    """Run the membership of one host.
 
     :ivar stopped: whether the host crashed.
-    :ivar task: the running heartbeats; cancel it to stop the host.
+    :ivar task: the heartbeat task; cancel it to stop the host.
     """
 
     def __init__(
@@ -42,16 +42,16 @@
         self.task = asyncio.create_task(self.heartbeats.run())
 
     def state(self, host: str) -> MembershipState | None:
-        """Return the state in which this host has `host`."""
+        """Return the state of `host` in this host's view."""
         record = self.table.get(host)
         return None if record is None else record.state
 
     def live(self) -> set[str]:
-        """Return the ids of the hosts that are live for this one."""
+        """Return the ids of the hosts that are live in this host's view."""
         return {ref.host for ref in self.table.refs()}
 
     def crash(self) -> None:
-        """End the process without a word."""
+        """Stop the process without notice."""
         self.stopped = True
         self.task.cancel()
         if self.network.at.get(self.ref.address) is self.peers:
@@ -61,7 +61,7 @@
 class FakeHosts:
     """Run hosts ``<zone>-<n>`` in several zones.
 
-    :param zones: how many hosts each zone has.
+    :param zones: the number of hosts in each zone.
     """
 
     def __init__(self, zones: dict[str, int], network: FakeNetwork | None = None):
@@ -73,7 +73,7 @@
                 self.start(f"{zone}-{number}", zone)
 
     def start(self, host: str, zone: str, address: str = "") -> FakeHost:
-        """Start a host, at a fresh address unless one is given."""
+        """Start a host, at a new address unless one is given."""
         address = address or f"10.0.0.1:{len(self.seeds) + 1}"
         ref = HostRef(host, zone, address)
         fake = FakeHost(self.network, ref, self.seeds[:3], len(self.seeds))
@@ -89,16 +89,16 @@
         return [host for host, fake in self.hosts.items() if fake.ref.zone == zone]
 
     def agree(self) -> bool:
-        """Return whether all running hosts have the same live hosts."""
+        """Return whether all running hosts have the same set of live hosts."""
         views = {frozenset(one.live()) for one in self.running()}
         return views == {frozenset(one.ref.host for one in self.running())}
 
     def running(self) -> list[FakeHost]:
-        """Return the hosts that run."""
+        """Return the running hosts."""
         return [one for one in self.hosts.values() if not one.stopped]
 
     async def until_agreed(self, limit: float = 30.0) -> float:
-        """Wait until all views agree; return how long it took in seconds."""
+        """Wait until all views agree; return the duration in seconds."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         while not self.agree():
@@ -109,7 +109,7 @@
         return loop.time() - started
 
     async def stop(self) -> None:
-        """Stop all hosts and fail on what went wrong in their tasks."""
+        """Stop all hosts and raise the failures of their tasks."""
         tasks = [one.task for one in self.hosts.values()]
         for task in tasks:
             task.cancel()
--- a/tests/fakes_keyspace.py
+++ b/tests/fakes_keyspace.py
@@ -1,4 +1,4 @@
-"""A store in memory for many hosts of one test, with faults for each of them.
+"""An in-memory store shared by the hosts of a test, with faults for each host.
 
 store = FakeStore()
 keyspace = store.client("h1")
@@ -24,7 +24,7 @@
 
 
 class FakeStore:
-    """Hold the keys; everybody sees them at once.
+    """Store the keys; all hosts see changes at once.
 
     :ivar history: all changes; `forget` drops them.
     :ivar calls: answered and unanswered calls by method.
@@ -47,7 +47,7 @@
         self.calls: list[str] = []
 
     def client(self, host: str) -> "FakeKeyspace":
-        """Return the keyspace of one host."""
+        """Return the keyspace client of one host."""
         return FakeKeyspace(self, host)
 
     def write(self, key: str, value: bytes | None, lease: int = 0) -> int:
@@ -66,9 +66,9 @@
         return self.revision
 
     def put(self, key: str, value: bytes, expected: int | None, lease: int) -> int:
-        """Write under a condition.
+        """Write conditionally.
 
-        :raises Conflict: if it does not hold.
+        :raises RevisionConflictError: if the key is at another revision.
         """
         known = self.items.get(key)
         revision = 0 if known is None else known.revision
@@ -79,12 +79,12 @@
         return self.write(key, value, lease)
 
     def forget(self) -> None:
-        """Drop the history."""
+        """Drop the change history."""
         self.history.clear()
         self.forgotten = self.revision
 
     def deafen(self) -> None:
-        """End all questions for changes that are held now without a word."""
+        """Leave the pending long polls for changes without an answer."""
         self.watches += 1
 
     def end_lease(self, lease: int) -> None:
@@ -109,14 +109,14 @@
 
 
 class FakeKeyspace(KeyValueStore):
-    """Reach a `FakeStore` as one host does."""
+    """Access a `FakeStore` as one host does."""
 
     def __init__(self, store: FakeStore, host: str) -> None:
         self.store = store
         self.host = host
 
     async def reach(self, method: str, timeout: float) -> None:
-        """Take the way there; raises as the faults of the host say."""
+        """Simulate the request; raises according to the faults of the host."""
         self.store.calls.append(method)
         if self.host in self.store.silent:
             await asyncio.sleep(timeout)
--- a/tests/fakes_members.py
+++ b/tests/fakes_members.py
@@ -1,4 +1,4 @@
-"""Members of a `DatabaseGroup` as hosts in one process reach them."""
+"""Members of a `DatabaseGroup` as hosts in the same process access them."""
 
 import asyncio
 import random
@@ -26,14 +26,14 @@
 TRIP = 0.0015
 
 QUEUE = 8
-"""Statements that may wait for a slot of a member; it turns others away."""
+"""Statements that may wait for a slot of a member; further ones are refused."""
 
 
 class Slots:
-    """Let a member run so many statements at a time, and so many wait.
+    """Limit the running and the waiting statements of a member.
 
-    :param work: seconds that a statement takes in the mean.
-    :ivar turned_away: statements that found the queue full.
+    :param work: mean seconds per statement.
+    :ivar turned_away: statements refused because the queue was full.
     """
 
     def __init__(self, count: int, work: float, seed: int) -> None:
@@ -44,7 +44,7 @@
         self.turned_away = 0
 
     async def run(self) -> bool:
-        """Take as long as a statement does; return False if it is turned away."""
+        """Hold a slot for one statement; return False if the queue is full."""
         if self.waiting >= QUEUE:
             self.turned_away += 1
             return False
@@ -61,7 +61,7 @@
 
 
 class FakeConnection(SessionTargetConnection):
-    """One session at a member."""
+    """Represent one session at a member."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
             self.busy = False
 
     async def answer(self, queries: list[TargetQuery]) -> list[SessionTargetReply]:
-        """Run the queries one by one."""
+        """Run the queries sequentially."""
         await self.trip()
         replies = []
         for query in queries:
@@ -121,7 +121,7 @@
         return replies
 
     async def trip(self) -> None:
-        """Take one way, or wait for ever on a link that is cut."""
+        """Wait for the one-way delay, or forever if the link is cut."""
         await asyncio.sleep(TRIP)
         if self.closed or self.member.group.unreachable(self.host, self.member):
             await asyncio.Event().wait()
@@ -141,7 +141,7 @@
 class FakeDriver(SessionTargetDriver):
     """Open connections for one host.
 
-    :param slots: of members that run a bounded number of statements at a time.
+    :param slots: slots of members with bounded concurrency.
     """
 
     def __init__(
@@ -170,7 +170,7 @@
         return connection
 
     def find(self, entry: TargetAnnouncement) -> DatabaseMember | None:
-        """Return the member of an entry."""
+        """Return the announced member."""
         for group in self.groups:
             if entry.target in group.members:
                 return group.members[entry.target]
@@ -178,7 +178,7 @@
 
 
 class FakePromoter(Promoter):
-    """Order promotions of `DatabaseGroup` members."""
+    """Promote members of `DatabaseGroup`."""
 
     def __init__(self, groups: list[DatabaseGroup]) -> None:
         self.groups = {group.service: group for group in groups}
@@ -200,7 +200,7 @@
 
 
 class FakePhrases(StatementDialect):
-    """Word statements as the members above read them."""
+    """Format statements in the syntax of `DatabaseSession`."""
 
     def begin(self, read_only: bool) -> str:
         return "BEGIN READ" if read_only else "BEGIN"
--- a/tests/fakes_peers.py
+++ b/tests/fakes_peers.py
@@ -1,14 +1,14 @@
-"""An in-memory network between many hosts of one test, with faults.
+"""An in-memory network between the hosts of a test, with faults.
 
     network = FakeNetwork()
     peers = network.join(HostRef("h1", "vittoria", "127.0.0.1:1"), routes)
-    network.cut("h1", "h2")      # messages from h1 to h2 vanish
+    network.cut("h1", "h2")      # messages from h1 to h2 are lost
     network.isolate({"h1"}, {"h2", "h3"})
-    network.pause("h2")          # h2 neither answers nor sees answers
+    network.pause("h2")          # h2 neither sends nor receives answers
     network.crash("h3")          # connections to h3 are refused
 
 Messages pass through the codec, so that only JSON gets across. An exception
-of a handler that is not a `Refusal` is kept in `network.failures`.
+of a handler that is not a `RefusalError` is kept in `network.failures`.
 """
 
 import asyncio
@@ -24,14 +24,13 @@
 
 
 class FakeNetwork:
-    """Carry calls between the hosts that joined.
+    """Pass calls between the hosts that joined.
 
     :param delay: one-way delay in seconds between any two hosts.
     :ivar delays: one-way delay of single pairs, by sender and receiver.
-    :ivar loss: share of messages lost, each way.
+    :ivar loss: fraction of messages lost, in each direction.
     :ivar calls: calls that reached a handler, by path.
-    :ivar sent_bytes: bytes of bodies sent by each host, both as caller and
-        with its answers.
+    :ivar sent_bytes: bytes of request and answer bodies sent by each host.
     """
 
     def __init__(self, delay: float = 0.0005, seed: int = 0) -> None:
@@ -48,7 +47,7 @@
         self.failures: list[Exception] = []
 
     def join(self, me: HostRef, routes: PeerRoutes) -> "FakePeers":
-        """Attach a host; one that was at this address before is replaced."""
+        """Attach a host; it replaces an earlier one at the same address."""
         peers = FakePeers(self, me, routes)
         self.at[me.address] = peers
         return peers
@@ -66,7 +65,7 @@
         }
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Lose what `sender` sends to `receiver`, silently."""
+        """Drop messages from `sender` to `receiver`."""
         self.cuts.add((sender, receiver))
 
     def mend(self, sender: str, receiver: str) -> None:
@@ -74,7 +73,7 @@
         self.cuts.discard((sender, receiver))
 
     def isolate(self, side: Iterable[str], other: Iterable[str]) -> None:
-        """Cut all hosts of `side` from those of `other`, both ways."""
+        """Cut all hosts of `side` from those of `other`, in both directions."""
         others = list(other)
         for one in side:
             for two in others:
@@ -82,23 +81,23 @@
                 self.cut(two, one)
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all cuts."""
         self.cuts.clear()
 
     def pause(self, host: str) -> None:
-        """Stop `host`: calls to it hang, and its answers wait."""
+        """Pause `host`: calls to it hang, and its answers wait."""
         self.paused.setdefault(host, asyncio.Event())
         self.clock(host).pause()
 
     def resume(self, host: str) -> None:
-        """Let a paused host go on."""
+        """Resume a paused host."""
         self.clock(host).resume()
         event = self.paused.pop(host, None)
         if event is not None:
             event.set()
 
     async def carry(self, sender: str, receiver: str, body: bytes) -> None:
-        """Take one message across, or wait for ever if it is lost."""
+        """Deliver one message, or wait forever if it is lost."""
         self.sent_bytes[sender] += len(body)
         await asyncio.sleep(self.delays.get((sender, receiver), self.delay))
         lost = self.loss > 0.0 and self.random.random() < self.loss
@@ -139,7 +138,7 @@
         return received
 
     async def exchange(self, there: "FakePeers", path: str, body: bytes) -> bytes:
-        """Carry the call and its answer; the handler outlives a caller's timeout."""
+        """Deliver the call and its answer; the handler outlives a caller's timeout."""
         here, other = self.me.host, there.me.host
         await self.network.awake(here)
         await self.network.carry(here, other, body)
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -1,7 +1,7 @@
 """A model of one database group and its homes, for tests of routing.
 
-The model keeps the truth: which effects ran, how often, and what each member
-sees at each moment. Time is that of the running loop.
+The model records the truth: which effects ran, how often, and what each member sees at
+each moment. It uses the time of the running loop.
 """
 
 import asyncio
@@ -71,7 +71,7 @@
 
 
 class FakeDirectory(HostDirectory):
-    """Rank hosts as the test says; by default those of the zone go first."""
+    """Rank hosts in the test's order; by default those of the zone come first."""
 
     def __init__(self, me: HostRef, hosts: list[HostRef]) -> None:
         self.own = me
@@ -94,16 +94,16 @@
 class FakeGroup(StatementExecutor):
     """Execute statements against the model.
 
-    :ivar lags: how long each replica is behind, in seconds.
-    :ivar log: the positions of all entries, and `times` when each was written.
-    :ivar view_delay: age in seconds of what a home knows of other members.
-    :ivar proof_interval: seconds between the samples that prove an age; 0 if
-        each age is proved exactly.
+    :ivar lags: replication lag of each replica, in seconds.
+    :ivar log: the positions of all entries; `times` holds when each was written.
+    :ivar view_delay: age in seconds of a home's information about other members.
+    :ivar proof_interval: seconds between the samples that prove an age; 0 if each age
+        is proved exactly.
     :ivar ran: how often the effect of each request ran.
     :ivar executed: statements that reached a member, by member.
-    :ivar proves: whether homes check what a read demands, as they must.
-    :ivar frozen: whether nobody leads, so that each write is refused.
-    :ivar errors: what the next statements of a kind raise before they run.
+    :ivar proves: whether homes check the demand of a read, as real ones do.
+    :ivar frozen: whether there is no primary, so that each write is refused.
+    :ivar errors: exceptions raised before the next statements of a kind run.
     """
 
     def __init__(self, group: Group, lag: float = 0.005) -> None:
@@ -143,7 +143,7 @@
         return self.log[at - 1] if at > 0 else Position(1, 0)
 
     def append(self, key: str) -> Position:
-        """Write an entry at the primary."""
+        """Append an entry at the primary."""
         position = Position(self.term, self.head().index + 1)
         self.log.append(position)
         self.times.append(self.now())
@@ -151,13 +151,13 @@
         return position
 
     def promote(self, member: str) -> None:
-        """Make `member` the primary of a new term, with all that was acknowledged."""
+        """Make `member` the primary of a new term, with all acknowledged entries."""
         self.term += 1
         self.primary = member
         self.append(f"term {self.term}")
 
     def view(self, member: str | None = None) -> GroupView:
-        """Return what the home of `member` knows, or one that knows all."""
+        """Return the view of the home of `member`, or a complete one if None."""
         view = GroupView(self.group.name, self.term, self.primary)
         for one in self.group.members:
             delay = 0.0 if member in (None, one.member_id) else self.view_delay
@@ -165,7 +165,7 @@
         return view
 
     def member_view(self, name: str, delay: float) -> MemberView:
-        """Return what was known of a member `delay` seconds ago."""
+        """Return the information about a member `delay` seconds ago."""
         applied = self.applied(name, delay)
         return MemberView(
             name,
@@ -178,14 +178,14 @@
         )
 
     def age(self, member: str) -> float:
-        """Return the age of a replica that is proved now, in seconds."""
+        """Return the currently proved age of a replica, in seconds."""
         lag = self.lags[member]
         if self.proof_interval == 0.0:
             return lag
         return lag + (self.now() - lag) % self.proof_interval
 
     async def proved_age(self, member: str, bound: float) -> float:
-        """Return a proved age within `bound`, waiting a little for the proof."""
+        """Return a proved age within `bound`, after a short wait for the proof."""
         until = self.now() + PROOF_WAIT
         while self.age(member) > bound:
             behind = self.age(member) - self.lags[member]
@@ -228,7 +228,7 @@
         return self.applied(member), self.age(member)
 
     async def cover(self, member: str, covers: Position | None) -> None:
-        """Wait a little until `member` covers a position."""
+        """Wait briefly until `member` covers a position."""
         if covers is None or not self.proves or self.applied(member) >= covers:
             return
         await asyncio.sleep(COVER_WAIT)
@@ -249,13 +249,13 @@
         return position
 
     def refuse(self, kind: StatementKind, error: Exception) -> None:
-        """Let a coming statement of `kind` raise `error`, with no effect."""
+        """Make the next statement of `kind` raise `error`, with no effect."""
         self.errors[kind].append(error)
 
     def routes(
         self, clock_now: Callable[[], float], member: str | None = None
     ) -> PeerRoutes:
-        """Return the peer paths that the home of `member` serves."""
+        """Return the peer routes that the home of `member` serves."""
         routes = PeerRoutes()
 
         async def serve_statement(body: Json) -> Json:
@@ -286,7 +286,7 @@
 
 
 class EntryHost:
-    """Hold what a host needs to route statements to a model of a group.
+    """Assemble the components that route statements to a model of a group.
 
     :param local: executes at targets whose home is this host.
     """
@@ -320,9 +320,9 @@
 
 
 class World:
-    """Hold a model of a group with its three homes and entry hosts beside them.
+    """Hold a model of a group with its three homes and separate entry hosts.
 
-    Host ``e1`` stands in the zone ``z1`` and so on; none of them is a home.
+    Host ``e1`` is in zone ``z1`` and so on; none of them is a home.
     """
 
     def __init__(self, lag: float = 0.005, entries: int = 2, seed: int = 1) -> None:
@@ -348,12 +348,12 @@
         return await self.entries[entry].router.run(self.model.group, statement)
 
     async def warm(self) -> None:
-        """Let each entry host learn of the group."""
+        """Make each entry host fetch the view of the group."""
         for entry in self.entries:
             await entry.views.refresh(self.model.group)
 
     async def close(self) -> None:
-        """Stop what runs in the background."""
+        """Stop the background tasks."""
         for entry in self.entries:
             await entry.views.close()
 
--- a/tests/fakes_store.py
+++ b/tests/fakes_store.py
@@ -1,13 +1,13 @@
-"""An in-memory store with the faults of the platform's own.
+"""An in-memory store with the faults of the platform's store.
 
     store = FakeStore()
     store.down = True                  # no call is answered
-    store.lose_answers = 2             # the next two writes take effect unheard
-    store.lose_requests = 1            # the next write has no effect, unheard
+    store.lose_answers = 2             # the next two writes lose their answers
+    store.lose_requests = 1            # the next write is lost before it runs
     store.stale = lambda key: 1        # reads lag one revision behind
-    store.mute_watches = True          # watches armed from now on hear nothing
+    store.mute_watches = True          # new watches get no answer
 
-Calls are counted by operation and kind of key, a waiting watch as one.
+Calls are counted by operation and kind of key; a waiting watch counts as one.
 """
 
 import asyncio
@@ -30,8 +30,8 @@
     """Keep every revision of every key.
 
     :param delay: time that a call takes, in seconds.
-    :param shared: the platform's store, of which this is one host's access
-        with faults of its own.
+    :param shared: the platform's store; this object is one host's access to it, with
+        its own faults.
     """
 
     def __init__(self, delay: float = DELAY, shared: "FakeStore | None" = None) -> None:
@@ -49,14 +49,14 @@
             self.changed = asyncio.Condition()
 
     def keys(self, prefix: str = "") -> list[str]:
-        """Return the keys that stand now."""
+        """Return the existing keys."""
         past = self.platform.past
         return [
             key for key in past if key.startswith(prefix) and past[key][-1:] != [None]
         ]
 
     def revision(self, key: str) -> int:
-        """Return the newest revision; a key that was deleted starts anew at 0."""
+        """Return the latest revision; a deleted key restarts at 0."""
         past = self.platform.past[key]
         return len(past) if past and past[-1] is not None else 0
 
@@ -65,7 +65,7 @@
         return self.read(key)
 
     def read(self, key: str) -> StoreEntry | None:
-        """Return what a read sees, however stale."""
+        """Return the value that a read sees, possibly stale."""
         past = self.platform.past[key]
         seen = len(past) - min(self.stale(key), len(past))
         value = past[seen - 1] if seen else None
@@ -102,19 +102,19 @@
         return
 
     async def begin(self, operation: str, key: str) -> None:
-        """Count a call and let its time pass."""
+        """Count a call and wait for its delay."""
         kind = key.split("/")[1] if "/" in key else key
         self.calls[f"{operation} {kind}"] += 1
         await asyncio.sleep(self.delay)
         self.refuse_if_down()
 
     def refuse_if_down(self) -> None:
-        """Raise as the store does while it cannot be reached."""
+        """Raise if the store cannot be reached."""
         if self.down or self.platform.down:
             raise StoreUnavailableError("the store is down")
 
     async def change(self, key: str, value: bytes | None, expected: int) -> None:
-        """Change a key by compare-and-swap, with the faults that are set."""
+        """Change a key by compare-and-swap, with the injected faults."""
         if self.lose_requests:
             self.lose_requests -= 1
             raise StoreUnavailableError("the request was lost")
--- a/tests/fakes_target.py
+++ b/tests/fakes_target.py
@@ -1,4 +1,4 @@
-"""A target in memory whose delays, silences and deaths a test sets."""
+"""An in-memory target with delays, silences and crashes set by a test."""
 
 import asyncio
 from collections import Counter
@@ -24,30 +24,30 @@
 
 
 class Break(Enum):
-    """Name the point at which a connection breaks."""
+    """Enumerate the points at which a connection breaks."""
 
     BEFORE_EFFECT = "before_effect"
     AFTER_EFFECT = "after_effect"
 
 
 class FakeTarget(Target):
-    """Serve statements in memory and keep the truth about what ran.
+    """Serve statements in memory and record what was executed.
 
     Delays are in seconds of loop time, so that virtual time works.
 
     :ivar service: time that a statement takes; `service_of` overrides it by SQL.
-    :ivar slots: statements that run at a time; the others wait inside.
+    :ivar slots: concurrent statements; the others wait inside the target.
     :ivar dead: nothing answers, connecting hangs, open connections are silent.
     :ivar refusing: connecting is refused at once.
     :ivar close_delay: time that closing a connection takes.
     :ivar refusal: code with which statements are refused, or None.
-    :ivar breaks: outcomes for the next statements; None lets one pass.
-    :ivar abrupt: whether a break is seen at once instead of by silence.
+    :ivar breaks: breaks of the next statements; None lets one pass.
+    :ivar abrupt: whether a break is visible at once instead of by silence.
     :ivar ran: how often each SQL text took effect.
     :ivar commits: SQL texts of each committed transaction.
-    :ivar peak_running: most statements that were inside at once.
-    :ivar used: SQL texts by the number of the connection they came on.
-    :ivar faults: uses of a connection that the interface forbids.
+    :ivar peak_running: maximum number of concurrent statements.
+    :ivar used: SQL texts by the number of their connection.
+    :ivar faults: invalid uses of a connection.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         return connection
 
     def state_now(self) -> MemberState:
-        """Return the state as the target would tell it."""
+        """Return the state that the target reports."""
         return MemberState(
             self.member,
             self.role,
@@ -147,7 +147,7 @@
         self.change(held=position, applied=position)
 
     def hang_up_all(self) -> None:
-        """Close all connections from this side, as a restart does."""
+        """Close all connections from the server side, as a restart does."""
         for connection in self.connections:
             connection.hung_up = True
         self.connections.clear()
@@ -161,10 +161,10 @@
 
 
 class FakeConnection(TargetConnection):
-    """Hold one connection to a `FakeTarget`.
+    """Represent one connection to a `FakeTarget`.
 
-    :ivar silent: nothing that is sent arrives.
-    :ivar hung_up: the target has closed it, which the next use finds out.
+    :ivar silent: whether sent data is lost.
+    :ivar hung_up: whether the target closed it, which the next use detects.
     """
 
     def __init__(self, target: FakeTarget, number: int) -> None:
@@ -311,7 +311,7 @@
         self.in_doubt = True
 
     async def control(self, timeout: float) -> None:
-        """Take the time of a control call; slots are not used."""
+        """Wait for the time of a control call; it uses no slot."""
         self.enter("control")
         try:
             await self.stay_silent_if_unheard(timeout)
@@ -325,7 +325,7 @@
     ) -> TargetResult:
         """Run a statement with the break that the test set.
 
-        The target goes on with it when the caller no longer waits.
+        The target completes it even if the caller no longer waits.
         """
         target = self.target
         self.enter(text)
@@ -368,7 +368,7 @@
         return result
 
     async def lose(self) -> None:
-        """Never answer; the far end is gone or has lost track."""
+        """Never answer, or raise if the break is abrupt."""
         if self.target.abrupt:
             raise TargetNoReplyError("connection reset")
         await asyncio.Event().wait()
@@ -413,6 +413,6 @@
 
 
 def forget(serving: "asyncio.Task[TargetResult]") -> None:
-    """Take note of how a statement ended that nobody may wait for."""
+    """Retrieve the exception of a statement that nobody awaits any more."""
     if not serving.cancelled():
         serving.exception()
--- a/tests/home_support.py
+++ b/tests/home_support.py
@@ -19,19 +19,19 @@
 T = TypeVar("T")
 
 POLL = 0.1
-"""Seconds: more than a poll of the state lasts, less than lies between two."""
+"""Seconds; longer than a poll of the state, shorter than the time between two."""
 
 
 def statement(
     kind: StatementKind, sql: str = "select 1", remaining: float = 2.0, **others: Any
 ) -> Statement:
-    """Return a statement of the caller ``gate`` unless told otherwise."""
+    """Return a statement of the caller ``gate`` unless overridden."""
     caller = others.pop("caller", "gate")
     return Statement(kind, "g1", caller, sql, [], remaining, **others)
 
 
 def home_of(target: FakeTarget, share: int = 9, **limits: int) -> TargetHome:
-    """Return a home of `target`; it must be made inside a running loop."""
+    """Return a home of `target`; requires a running loop."""
     clock = LoopClock()
     member = Member(target.member, "vittoria", "127.0.0.1:1")
     group = Group("g1", "feedlog-db", (member,), target.slots, target.limit)
@@ -62,14 +62,14 @@
 
 
 async def all_given_back(home: TargetHome) -> None:
-    """Wait until no connection is lent; a small share lends one to the poll."""
+    """Wait until no connection is in use; a small share lends one to the poll."""
     async with asyncio.timeout(POLL):
         while home.pool.lent:
             await asyncio.sleep(0.001)
 
 
 async def refusal_of(awaitable: Awaitable[Any]) -> RefusalError:
-    """Return the refusal that `awaitable` ends in."""
+    """Return the refusal that `awaitable` raises."""
     try:
         result = await awaitable
     except RefusalError as refusal:
@@ -86,7 +86,7 @@
 
 
 async def timed(awaitable: Awaitable[T]) -> tuple[T, float]:
-    """Return the result with the seconds of virtual time it took."""
+    """Return the result and the duration in seconds of virtual time."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     result = await awaitable
--- a/tests/load.py
+++ b/tests/load.py
@@ -1,8 +1,8 @@
-"""Statements that arrive at one simulated target, whatever it can bear.
+"""An open-loop load on one simulated target.
 
-Three kinds of callers as the deployments have them: short ones that go first, some
-long ones, and many of a middle length. Each comes back twice when it is refused, as
-if it were new, and takes a late answer for little.
+Three kinds of callers: short statements with high priority, some long ones, and many of
+medium length. A refused caller retries up to twice as a new request; a late answer
+counts little.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 SLOTS: Final = 3
 SPREAD: Final = 0.7
 LONGEST: Final = 7.5
-"""Work times are lognormal with this spread, up to so many times their mean."""
+"""Work times are lognormal, truncated at this multiple of their mean."""
 
 TRIES: Final = 3
 COME_BACK: Final = (0.02, 0.08)
-"""Seconds after which a caller that was refused comes back."""
+"""Seconds after which a refused caller retries."""
 
 REST: Final = (0.01, 0.06)
 """Seconds between two statements of a transaction."""
@@ -37,11 +37,11 @@
 class Caller:
     """Describe one kind of caller.
 
-    :param share: of all arrivals.
-    :param work: seconds that a statement takes on average.
-    :param objective: seconds in which an answer is in time.
-    :param worth: of an answer in time.
-    :param transactions: share that runs two to five statements.
+    :param share: fraction of all arrivals.
+    :param work: mean seconds per statement.
+    :param objective: seconds within which an answer is in time.
+    :param worth: value of an answer in time.
+    :param transactions: fraction that runs two to five statements.
     """
 
     __slots__ = ("share", "work", "objective", "priority", "worth", "transactions")
@@ -70,22 +70,21 @@
 }
 
 OFFERED: Final = 0.0237
-"""Seconds of a slot that one caller asks for on average, its transactions
-included."""
+"""Mean slot seconds of one caller, transactions included."""
 
 TIMEOUT: Final = 0.8
 CONNECTIONS: Final = 15
 
 
 def rate(load: float) -> float:
-    """Return the callers a second that ask for `load` times what the slots bear."""
+    """Return the callers per second that offer `load` times the capacity."""
     return load * SLOTS / OFFERED
 
 
 class Target:
     """Run statements in its slots, in the order of their arrival.
 
-    :ivar hangs: share of the statements that never end and hold no slot.
+    :ivar hangs: fraction of statements that never end and hold no slot.
     """
 
     def __init__(self, random: Random) -> None:
@@ -106,13 +105,14 @@
 
 
 class Load:
-    """Let callers arrive for a while and count what becomes of them.
+    """Generate callers for a while and count their results.
 
-    :param turns: None for the order of arrival on `CONNECTIONS` connections.
+    :param ordered: whether admission is ordered; if not, statements run in the order of
+        arrival on `CONNECTIONS` connections.
     :ivar asked: callers by kind.
-    :ivar in_time: those of them who were answered in time.
-    :ivar answered: those of them who were answered at all.
-    :ivar held_in_vain: those of the others who waited for half of their time.
+    :ivar in_time: callers answered in time.
+    :ivar answered: callers answered at all.
+    :ivar held_in_vain: callers without an answer that waited for half of their time.
     """
 
     def __init__(self, seed: int, ordered: bool = True) -> None:
@@ -128,7 +128,7 @@
         self.calls: list[asyncio.Task[None]] = []
 
     async def arrive(self, load: float, seconds: float) -> None:
-        """Let callers arrive at random."""
+        """Generate random arrivals."""
         names = list(CALLERS)
         shares = [one.share for one in CALLERS.values()]
         until = now() + seconds
@@ -160,7 +160,7 @@
         self.held_in_vain += held > TIMEOUT / 2
 
     async def operate(self, name: str, caller: Caller) -> float | None:
-        """Run its statements; return how long it rested, None if it was refused."""
+        """Run its statements; return the idle time, or None if it was refused."""
         count = 1
         if self.random.random() < caller.transactions:
             count = self.random.randint(2, 5)
@@ -181,7 +181,7 @@
         return rested
 
     async def run(self, demand: AdmissionRequest, work: float) -> None:
-        """Run one statement in its turn."""
+        """Run one statement after its admission."""
         if self.turns is None:
             async with asyncio.timeout(demand.deadline - now()):
                 async with self.connections:
@@ -196,13 +196,13 @@
             self.turns.release(turn)
 
     def share(self) -> float:
-        """Return the worth of those in time, of the worth of all."""
+        """Return the value of the answers in time as a fraction of all."""
         owed = sum(CALLERS[name].worth * count for name, count in self.asked.items())
         got = sum(CALLERS[name].worth * count for name, count in self.in_time.items())
         return got / owed
 
     def share_of(self, name: str) -> float:
-        """Return the share of one kind that was answered in time."""
+        """Return the fraction of one kind that was answered in time."""
         return self.in_time[name] / self.asked[name]
 
 
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -1,10 +1,10 @@
-"""Hosts that serve sessions, with store, targets and callers in one test.
+"""Session hosts with a store, targets and callers in one test.
 
 world = SessionWorld()
 await world.start()
 caller = world.caller("h1", "views")
 await caller.read()
-world.check()                # what was promised, against the truth
+world.check()                # compares the answers with the truth
 """
 
 import asyncio
@@ -60,7 +60,7 @@
 
 
 class PlainDocuments(StoreValueParser):
-    """Read the documents that a world writes."""
+    """Parse the documents that a world writes."""
 
     def is_table(self, key: str) -> bool:
         return key == TABLE_KEY
@@ -93,9 +93,9 @@
 def table(
     version: int, databases: list[str], workspaces: list[Json] | None = None
 ) -> RouteTable:
-    """Return a configuration with the databases that are named.
+    """Return a configuration with the named databases.
 
-    :param workspaces: with their keys, or digests behind a ``#``; without any, all
+    :param workspaces: with their keys, or digests after a ``#``; without any, all
         routes are public.
     """
     routes = {}
@@ -114,7 +114,7 @@
 
 
 def read_workspace(one: Json) -> Workspace:
-    """Return a workspace of a configuration of a world."""
+    """Parse a workspace of a world's configuration."""
     digests = frozenset(key.removeprefix("#") for key in one["keys"])
     rate = one.get("rate")
     burst = float(one.get("burst") or rate or 0.0)
@@ -122,7 +122,7 @@
 
 
 class SessionWorld:
-    """Six hosts in three zones before one group of three members."""
+    """Run six hosts in three zones before one group of three members."""
 
     def __init__(
         self,
@@ -153,11 +153,11 @@
 
     @property
     def acknowledged(self) -> list[Acknowledged]:
-        """Return the commits that callers were told of."""
+        """Return the acknowledged commits."""
         return self.promises.acknowledged
 
     async def start(self) -> None:
-        """Start all hosts and wait until somebody leads."""
+        """Start all hosts and wait for a holder of the primary lease."""
         self.configure(1, ["tickets", "views", "reports"])
         for member in self.group.members.values():
             self.announce(member.entry)
@@ -178,12 +178,12 @@
         self.store.write(TABLE_KEY, encode(message))
 
     def announce(self, entry: TargetAnnouncement) -> None:
-        """Write what a target announces."""
+        """Write a target's announcement."""
         value = encode({"entry": list(entry.values())})
         self.store.write(TARGET_PREFIX + entry.target, value)
 
     async def start_host(self, ref: HostRef) -> SessionHost:
-        """Start a host, in a new life if it ran before."""
+        """Start a host, as a new incarnation if it ran before."""
         self.lives += 1
         clock = self.network.clock(ref.host)
         routes = PeerRoutes()
@@ -211,11 +211,11 @@
         return host
 
     def settings_of(self, *values: Any) -> SessionHostSettings:
-        """Return the settings of a host; `values` as `HostingSettings` takes them."""
+        """Return the settings of a host; `values` are `SessionHostSettings` fields."""
         return SessionHostSettings(*values)
 
     async def kill(self, name: str) -> None:
-        """End a process without a word; its connections break."""
+        """Kill a process; its connections break."""
         host = self.hosts.pop(name)
         self.network.crash(name)
         host.background.cancel()
@@ -242,19 +242,19 @@
             await self.hosts.pop(name).close()
 
     def leader(self) -> SessionHost:
-        """Return the host that the store names as the holder of the lead."""
+        """Return the host that the store names as the holder of the primary lease."""
         holder = decode(self.store.items["reedhook/lead/db"].value or b"")["holder"]
         return self.hosts[holder["ref"][0]]
 
     def deputy(self) -> SessionHost:
-        """Return the host that stands in for the holder."""
+        """Return the backup holder."""
         record = decode(self.store.items["reedhook/lead/db"].value or b"")
         return self.hosts[record["deputy"]["ref"][0]]
 
     async def caller(self, host: str, database: str, key: str = "") -> "Caller":
         """Open a session.
 
-        :raises Refusal: if the host refuses.
+        :raises RefusalError: if the host refuses.
         """
         session = await self.hosts[host].caller_sessions.open_session(database, key)
         self.callers += 1
@@ -275,13 +275,13 @@
                     self.group.cut(member.entry.target, other.entry.target)
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all cuts."""
         self.network.heal()
         self.store.silent.clear()
         self.group.cuts.clear()
 
     def check(self) -> None:
-        """Fail with what was promised and not kept."""
+        """Fail with the violated guarantees."""
         broken = [
             *self.network.failures,
             *self.group.violations,
@@ -294,7 +294,7 @@
 
 
 class Caller:
-    """One caller, which checks what it is told."""
+    """Run one caller, which checks every answer."""
 
     def __init__(self, world: SessionWorld, session: Session, name: str) -> None:
         self.world = world
@@ -352,14 +352,14 @@
         return await self.run(SessionCommandKind.WRITE)
 
     async def set(self, name: str, value: str) -> SessionReply:
-        """Set a value of the session."""
+        """Set a session variable."""
         reply = await self.run(SessionCommandKind.SET, f"SET {name} {value}", name)
         if reply.refusal is None:
             self.values[name] = value
         return reply
 
     async def prepare(self, name: str, writes: bool) -> SessionReply:
-        """Prepare a statement, or prepare it anew."""
+        """Prepare a statement, or replace a prepared one."""
         shape = "WRITE" if writes else "READ"
         text = f"PREPARE {name} {shape} q"
         reply = await self.run(SessionCommandKind.PREPARE, text, name, writes)
@@ -368,7 +368,7 @@
         return reply
 
     def acknowledge(self, reply: SessionReply) -> None:
-        """Remember a commit; one at a superseded primary breaks a promise."""
+        """Record a commit; one at a superseded primary is a violation."""
         assert reply.position is not None
         if reply.position.term < self.world.group.primary.term:
             self.world.promises.broken(
@@ -377,7 +377,7 @@
         self.world.promises.acknowledge(self.name, reply.position, self.session.name)
 
     def check_read(self, reply: SessionReply, asked: float) -> None:
-        """Compare what a read saw with what it must not miss."""
+        """Check that a read saw every commit it must see."""
         kind, max_age = KINDS_OF_ROUTES[self.session.database]
         viewer = Viewer(
             self.name, self.session.name, kind, max_age, self.values, self.prepared
@@ -387,7 +387,7 @@
     def check_refusal(
         self, id: str, kind: SessionCommandKind, reply: SessionReply, inside: bool
     ) -> None:
-        """A write that is said not to have run must not have run."""
+        """Check that a write answered "not run" has not run."""
         assert reply.refusal is not None
         if reply.refusal.verdict is not Verdict.NOT_RUN or inside:
             return
--- a/tests/support.py
+++ b/tests/support.py
@@ -31,7 +31,7 @@
 def using(
     enter: Callable[[], AbstractAsyncContextManager[T]], start: Run = run
 ) -> Callable[[Callable[Concatenate[T, P], Awaitable[None]]], Callable[P, None]]:
-    """Turn a coroutine into a test and give it what `enter` yields first.
+    """Turn a coroutine into a test and pass it what `enter` yields first.
 
     :param start: runs the coroutine, on a loop of its choice.
     """
@@ -48,7 +48,7 @@
             start(main())
 
         rest = list(signature(test).parameters.values())[1:]
-        # The fixtures and parameters that pytest is to fill in.
+        # The remaining parameters are pytest fixtures and test parameters.
         run_test.__signature__ = Signature(rest)  # type: ignore[attr-defined]
         return run_test
 
--- a/tests/support_group.py
+++ b/tests/support_group.py
@@ -29,7 +29,7 @@
 async def group_of(
     count: int = 3, connections: int = 15, slots: int = 2
 ) -> AsyncIterator[GroupStandin]:
-    """Run a group with an empty table; statements take no time."""
+    """Run a group with an empty table and statements that take no time."""
     names = [f"m{number}" for number in range(1, count + 1)]
     group = GroupStandin("g1", names, connections=connections, slots=slots)
     for member in group.members.values():
@@ -60,7 +60,7 @@
 
 
 async def refusal_code(awaitable: Awaitable[object]) -> str:
-    """Return the code of the target's refusal that `awaitable` has to end in."""
+    """Return the refusal code that `awaitable` raises."""
     with pytest.raises(TargetRefusedError) as caught:
         await awaitable
     return caught.value.code
@@ -85,7 +85,7 @@
 async def change_primary(
     group: GroupStandin, name: str, term: int, voters: list[str]
 ) -> None:
-    """Make `name` primary of `term`, promised by `voters`, which follow it."""
+    """Make `name` primary of `term`, with promises of `voters`, which follow it."""
     for voter in voters:
         connection = await connect(group.members[voter])
         await connection.raise_term(term, "test", 1.0)
--- a/tests/thin_links.py
+++ b/tests/thin_links.py
@@ -1,12 +1,12 @@
-"""Hosts that learn from the store over links of bounded rate, with queues.
+"""Hosts that follow the store over links of bounded rate, with queues.
 
     world = ThinWorld(hosts=200, rate=125_000)   # 1 Mbit/s each way
     await world.start()
-    world.write_table(1500)                      # a version of so many routes
-    world.served(since)                          # share of statements in time
+    world.write_table(1500)                      # a version of 1500 routes
+    world.served(since, until)                   # fraction of statements in time
 
-All that a host sends or gets shares its link: news, configurations, the answers of
-the store, heartbeats and statements. What is behind something long waits for it.
+All messages of a host share its link: announcements, configurations, store
+answers, heartbeats and statements. Short messages queue behind long ones.
 """
 
 import asyncio
@@ -34,10 +34,10 @@
 from .session_world import PlainDocuments, table
 
 HEAD = 250
-"""Bytes of the head of a message, and of what the network adds."""
+"""Bytes of a message's header, including the network's overhead."""
 
 ROUTE = 185
-"""Bytes of a route; of these some 20 differ from one to the next."""
+"""Bytes of a route; about 20 of these differ between routes."""
 
 RELAYS = 2
 HEARTBEAT_EVERY = 0.25
@@ -48,14 +48,15 @@
 
 
 WINDOW = 8192
-"""Bytes of one message that are on their way at a time: windows are small, so that
-long messages share a link with short ones."""
+"""Bytes of one message in flight at a time; small windows let long messages share a
+link with short ones.
+"""
 
 
 class ThinLink:
-    """Carry what one host sends, or what it gets, window by window.
+    """Transmit what one host sends, or what it receives, window by window.
 
-    :ivar free_at: when all that waits will have passed.
+    :ivar free_at: when all queued data will have passed.
     """
 
     def __init__(self, rate: float) -> None:
@@ -63,7 +64,7 @@
         self.free_at = 0.0
 
     async def carry(self, size: int) -> None:
-        """Take so many bytes across."""
+        """Transmit `size` bytes."""
         while size > 0:
             now = asyncio.get_running_loop().time()
             self.free_at = max(self.free_at, now) + min(size, WINDOW) / self.rate
@@ -72,7 +73,7 @@
 
 
 class ThinNetwork(FakeNetwork):
-    """Let messages between hosts wait for the links of both.
+    """Queue messages between hosts on the links of both.
 
     :ivar carried: bytes that hosts sent to each other, by path of the call.
     """
@@ -95,7 +96,7 @@
 
 
 class ThinKeyspace(FakeKeyspace):
-    """Reach the store over the host's link; each answer crosses it whole."""
+    """Access the store over the host's link; each answer is sent as a whole."""
 
     def __init__(self, store: FakeStore, host: str, link: ThinLink) -> None:
         super().__init__(store, host)
@@ -110,7 +111,7 @@
         return await self.arrived(await super().changes(prefix, after, hold, margin))
 
     async def arrived(self, found: Items) -> Items:
-        """Return items once they have crossed the link."""
+        """Return items once they have passed the link."""
         asked = asyncio.get_running_loop().time()
         await self.link.carry(HEAD + sum(map(stored_size, found.items)))
         now = asyncio.get_running_loop().time()
@@ -118,13 +119,13 @@
 
 
 def stored_size(item: object) -> int:
-    """Return the bytes of an item in an answer of the store, in base64."""
+    """Return the base64 size of an item in an answer of the store."""
     value = getattr(item, "value", None) or b""
     return 150 + len(value) * 4 // 3
 
 
 class LongDocuments(PlainDocuments):
-    """Read configurations of many routes."""
+    """Parse configurations of many routes."""
 
     @wraps_decode_errors
     def read_table(self, value: bytes) -> RouteTable:
@@ -132,7 +133,7 @@
 
 
 class ThinHost:
-    """The parts of a host that learn and hand on, with heartbeats of their own."""
+    """Run the configuration components of a host, with its own heartbeats."""
 
     def __init__(self, world: "ThinWorld", ref: HostRef) -> None:
         self.world = world
@@ -183,14 +184,14 @@
         ]
 
     def put_in_force(self, configuration: RouteTable) -> None:
-        """Note when a version came into force; no older one may follow."""
+        """Record when a version came into force; versions must not decrease."""
         now = asyncio.get_running_loop().time()
         if self.in_force and configuration.version <= max(self.in_force):
             self.backwards += 1
         self.in_force[configuration.version] = now
 
     def holders(self, version: int) -> list[HostRef]:
-        """Return hosts of the zone that said they have a version."""
+        """Return hosts of the zone that reported having a version."""
         return [
             ref
             for ref in self.world.live(self.ref.zone)
@@ -198,12 +199,12 @@
         ]
 
     async def answer_beat(self, body: Json) -> Json:
-        """Learn and tell versions."""
+        """Handle a heartbeat: exchange versions."""
         self.heard(HostRef.from_json(body["me"]), body["v"])
         return {"v": self.announcements.table.version}
 
     def heard(self, ref: HostRef, version: int) -> None:
-        """Take note of a host's version."""
+        """Record a host's version."""
         self.versions[ref.host] = version
         if version > self.announcements.table.version:
             self.tables.request_version(ref, version)
@@ -223,7 +224,7 @@
         return {"rows": "x" * STATEMENT_BYTES}
 
     async def work(self) -> None:
-        """Have statements run at other hosts."""
+        """Send statements to other hosts."""
         while True:
             await asyncio.sleep(STATEMENT_EVERY * self.random.uniform(0.5, 1.5))
             peer = self.random.choice(self.world.live())
@@ -235,21 +236,21 @@
     async def asked(
         self, peer: HostRef, path: str, body: Json, timeout: float
     ) -> Json | None:
-        """Ask a host; None if it gives no answer in time."""
+        """Call a host; return None if it does not answer in time."""
         try:
             return await self.peers.call(peer, path, body, timeout)
         except PeerError:
             return None
 
     def stop(self) -> None:
-        """End without a word."""
+        """Stop without notice."""
         self.world.network.crash(self.ref.host)
         for task in self.tasks:
             task.cancel()
 
 
 class ThinWorld:
-    """Hosts in zones, a store, and statements between hosts."""
+    """Run hosts in zones, a store, and statements between hosts."""
 
     def __init__(self, hosts: int, zones: int, rate: float, seed: int) -> None:
         self.seed = seed
@@ -286,7 +287,7 @@
         self.written[self.version] = asyncio.get_running_loop().time()
 
     def live(self, zone: str | None = None) -> list[HostRef]:
-        """Return the hosts that run."""
+        """Return the running hosts."""
         return [
             host.ref
             for host in self.hosts.values()
@@ -299,7 +300,7 @@
         return [refs[name] for name in ranked_hosts("relay", list(refs))[:RELAYS]]
 
     def served(self, since: float, until: float) -> float:
-        """Return the share of statements sent in a time that were answered."""
+        """Return the answered fraction of the statements sent in an interval."""
         ended = [done for sent, done in self.statements if since <= sent < until]
         return sum(ended) / len(ended)
 
--- a/tests/timeline_fakes.py
+++ b/tests/timeline_fakes.py
@@ -1,4 +1,4 @@
-"""Events that tests of the time line share."""
+"""Events shared by the tests of the timeline."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class HandClock(Clock):
-    """Show the wall-clock time that the test sets, in seconds."""
+    """Return a wall-clock time set by the test, in seconds."""
 
     def __init__(self, wall: float) -> None:
         self.now = wall
@@ -30,7 +30,7 @@
 
 
 def a_failover() -> list[list[Event]]:
-    """Return the rings of three hosts that saw a change of primary."""
+    """Return the event histories of three hosts that saw a change of primary."""
     group = "feedlog-1"
     return [
         [
--- a/tests/trace_replay.py
+++ b/tests/trace_replay.py
@@ -1,7 +1,7 @@
-"""Replay of a recorded trace: timed events, and the outcomes that it states.
+"""Replay of a recorded trace: timed events and expected results.
 
-A trace is a YAML file; docs/design/proofs.md lists what one may say. Besides
-what it states, each replay is held against the promises to callers.
+A trace is a YAML file; docs/design/proofs.md lists its entries. Each replay also checks
+the guarantees to callers.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 def load(name: str) -> Trace:
-    """Return the trace of that name."""
+    """Load a trace by name."""
     found: Trace = yaml.safe_load((FOLDER / f"{name}.yaml").read_text())
     return found
 
@@ -56,9 +56,9 @@
 class Replay:
     """Run one trace.
 
-    :ivar told: what callers were told, by the name of the request.
-    :ivar acknowledged: when each row was first acknowledged, and at what term.
-    :ivar problems: stated outcomes that did not come about.
+    :ivar told: results reported to callers, by the name of the request.
+    :ivar acknowledged: time and term of the first acknowledgement of each row.
+    :ivar problems: violated expectations.
     """
 
     def __init__(self, trace: Trace) -> None:
@@ -81,7 +81,7 @@
         self.started = 0.0
 
     async def run(self) -> None:
-        """Play all events, then check what is stated and what always holds."""
+        """Replay all events, then check the expected results and the guarantees."""
         await self.world.start()
         self.started = self.now()
         for event in self.trace["events"]:
@@ -95,7 +95,7 @@
         assert self.problems == [], "\n".join(self.problems)
 
     async def finished(self) -> None:
-        """Let all work end, and the group come to rest."""
+        """Wait until all work has ended and the group is idle."""
         async with asyncio.timeout(LONGEST):
             while any(not task.done() for task in self.tasks):
                 await asyncio.sleep(0.1)
@@ -107,7 +107,7 @@
         return asyncio.get_running_loop().time()
 
     def moment(self) -> float:
-        """Return seconds since the first event could happen."""
+        """Return seconds since the start of the trace."""
         return self.now() - self.started
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
@@ -128,13 +128,13 @@
             for host in self.world.hosts.values()
             if host.me.host not in self.world.network.paused and not host.api.draining
         ]
-        # The platform's balancer sends callers elsewhere if none is left.
+        # Without a host in the zone, the platform's balancer picks another one.
         near = [host.me.host for host in live if host.me.zone == name]
         near = near or [host.me.host for host in live]
         return min(near, key=lambda host: (host in homes, host))
 
     def held(self) -> list[str]:
-        """Return the members that have a home now."""
+        """Return the members that currently have a home."""
         hosts = self.world.hosts.values()
         return [
             member
@@ -143,7 +143,7 @@
         ]
 
     async def act(self, event: Json) -> None:
-        """Play one event."""
+        """Replay one event."""
         name = event["do"]
         if name in CALLS:
             await getattr(self, f"do_{name}")(event)
@@ -156,7 +156,7 @@
         await self.write(event["row"], event, event.get("session") or event["row"])
 
     async def write(self, row: str, event: Json, session: str) -> str:
-        """Write a row once, under the id that all its tries share."""
+        """Write a row once, under the request id that all its tries share."""
         host = self.host(event["through"])
         body = {"sql": row, "request_id": self.request_id(row), **self.common(event)}
         name = event.get("name", row) if event["do"] == "write" else row
@@ -179,7 +179,7 @@
         session: str,
         handle: str = "",
     ) -> str:
-        """Send what writes rows; take note of the answer."""
+        """Send a request that writes rows, and record the answer."""
         self.rows += [row for row in rows if row not in self.rows]
         started = self.now()
         body = self.with_token(body, session)
@@ -211,7 +211,7 @@
         return body if token is None else {**body, "token": token}
 
     def note(self, name: str, answer: Json, session: str) -> None:
-        """Keep what a caller was told."""
+        """Record the result reported to a caller."""
         told: str = answer["verdict"]
         if "reason" in answer:
             told += f": {answer['reason']}"
@@ -221,7 +221,7 @@
             self.tokens[session] = answer["token"]
 
     def acknowledged(self, name: str, term: int) -> None:
-        """Note an acknowledgement; none may come from a superseded primary."""
+        """Record an acknowledgement; none may come from a superseded primary."""
         later = [one for one in self.terms if one > term]
         if later:
             self.problems.append(f"{name}: acknowledged in {term}, after {later}")
@@ -229,7 +229,7 @@
         self.times.setdefault(name, self.moment())
 
     async def do_work(self, event: Json) -> None:
-        """Write a row every so often, each repeated elsewhere until done."""
+        """Write rows at intervals, retrying each at other hosts until it is done."""
         number = 0
         while self.moment() < event["until"]:
             row = f"{event['name']}-{number}"
@@ -246,7 +246,7 @@
             await asyncio.sleep(AGAIN)
 
     async def do_reads(self, event: Json) -> None:
-        """Read every so often, each time through the next host."""
+        """Read at intervals, each time through the next host."""
         entries, number = event["through"], 0
         while self.moment() < event["until"]:
             name = f"{event['name']}-{number}"
@@ -315,10 +315,10 @@
         rows = self.parts[name]
         await self.attempt(rows, name, host, "commit", body, name, handle)
 
-    # Outcomes
+    # Results
 
     def check_stated(self) -> None:
-        """Compare what is stated with what came about."""
+        """Compare the stated results with the observed ones."""
         for event in self.trace["events"]:
             if "expect" in event:
                 self.check_request(event)
@@ -357,7 +357,7 @@
         return [row for entry in leader.log for row in entry.value.split(BETWEEN)]
 
     def check_always(self) -> None:
-        """Hold what callers were told against what ran."""
+        """Check the answers to callers against the executed writes."""
         written = [one for each in self.world.servers.values() for one in each.effects]
         times = dict(written)
         effects = [
@@ -375,20 +375,20 @@
             self.problems += server.faults
 
     def lines(self) -> list[str]:
-        """Return what people review: what was told, and the main events."""
+        """Return lines for a review: the answers and the main events."""
         shown = [event for event in self.world.events() if event.kind in SHOWN]
         told = [f"{name}: {', '.join(self.told[name])}" for name in self.named()]
         lines = [f"{one.host} {one.kind.value} {one.subject}" for one in shown]
         return [*told, "", *lines]
 
     def named(self) -> list[str]:
-        """Return the requests that the trace names one by one."""
+        """Return the requests that the trace names individually."""
         work = {row for row in self.told if row.rsplit("-", 1)[0] in self.works}
         return [name for name in self.told if name not in work]
 
 
 def label(event: Json) -> str:
-    """Return the name under which the answer to an event is kept."""
+    """Return the name under which the answer to an event is recorded."""
     named: str = event.get("name") or event.get("row") or event["tx"]
     return f"{named} begin" if event["do"] == "begin" else named
 
@@ -401,7 +401,7 @@
 
 
 def check_terms(replay: Replay, most: int) -> None:
-    """Check how many changes of primary there were at most."""
+    """Check the maximum number of changes of primary."""
     led = replay.world.truth.leaders
     replay.expect(len(led) - 1 <= most, f"leaders {led}")
 
@@ -417,7 +417,7 @@
 
 
 def check_gap(replay: Replay, limit: float) -> None:
-    """Check the longest time between two rows acknowledged to callers' work."""
+    """Check the longest time between two acknowledgements of `work` rows."""
     working = {name for name, tasks in replay.works.items() if tasks}
     times = sorted(
         at for row, at in replay.times.items() if row.rsplit("-", 1)[0] in working
@@ -427,7 +427,7 @@
 
 
 def check_all_done(replay: Replay, names: list[str]) -> None:
-    """Check that all rows of some work were acknowledged in the end."""
+    """Check that all rows of a `work` event were acknowledged in the end."""
     for name in names:
         rows = [f"{name}-{number}" for number in range(len(replay.works[name]))]
         missing = [row for row in rows if row not in replay.times]
@@ -435,13 +435,13 @@
 
 
 def check_told_only(replay: Replay, allowed: list[str]) -> None:
-    """Check what callers were told at most, over all requests."""
+    """Check that callers got only the allowed results, over all requests."""
     told = {one for each in replay.told.values() for one in each}
     replay.expect(told <= set(allowed), f"callers were told {told}")
 
 
 def check_same_logs(replay: Replay, members: list[str]) -> None:
-    """Check that members hold what the leader holds in the end."""
+    """Check that members have the same log as the leader in the end."""
     truth = replay.world.truth
     held = [entry.position for entry in truth.members[replay.world.leader()].log]
     for name in members:
@@ -450,21 +450,21 @@
 
 
 def check_homes(replay: Replay, homes: dict[str, str]) -> None:
-    """Check in which zone, or at which host, members are at home in the end."""
+    """Check in which zone, or at which host, members have their home in the end."""
     for member, where in homes.items():
         host = replay.world.home(member)
         replay.expect(host.startswith(where), f"{member} is at home at {host}")
 
 
 def check_silent(replay: Replay, members: list[str]) -> None:
-    """Check which members had a connection found silent."""
+    """Check which members had a connection that was found silent."""
     kinds = (EventKind.CONNECTION_SILENT,)
     found = {one.subject for one in replay.world.events() if one.kind in kinds}
     replay.expect(found == set(members), f"silent connections at {found}")
 
 
 def check_idle(replay: Replay, members: dict[str, float]) -> None:
-    """Check from when on, in seconds, members were given no statement."""
+    """Check the time in seconds after which members got no statement."""
     for name, limit in members.items():
         last = replay.world.servers[name].served - replay.started
         replay.expect(last <= limit, f"{name} was given work at {last:.3f} s")
@@ -486,20 +486,20 @@
 
 
 def leave(replay: Replay, event: Json) -> None:
-    """Let the platform's list say that a target leaves."""
+    """List a target as leaving."""
     member = event["member"]
     zone = replay.world.homes[member]
     replay.world.list_as(member, zone, ListedState.LEAVING, ListedKind.TARGET)
 
 
 def cut(replay: Replay, event: Json) -> None:
-    """Cut a zone off, or some zones together."""
+    """Cut off one zone, or several zones together."""
     zones = [event["zone"]] if "zone" in event else event["zones"]
     replay.world.cut_zones(zones)
 
 
 def pause(replay: Replay, event: Json) -> None:
-    """Stop a process as it stands; it does not notice that time goes by."""
+    """Pause a process; it does not notice the elapsed time."""
     replay.world.network.pause(replay.host(event["host"]))
 
 
@@ -543,7 +543,7 @@
 
 
 def part(replay: Replay, event: Json) -> None:
-    """Let a member take nothing from any leader."""
+    """Cut a member off from replication."""
     replay.world.truth.cut({event["member"]})
 
 
--- a/tests/trace_target.py
+++ b/tests/trace_target.py
@@ -1,7 +1,7 @@
-"""Targets for real homes: connections with faults to the members of a group.
+"""Fault-injecting connections from real homes to the members of a fake group.
 
-`FakeMember` keeps terms, promises, logs and lag; this adds what a home sees of
-a member: connections, slots, transactions, silence and lost answers.
+`FakeMember` has terms, promises, logs and lag; this module adds connections, slots,
+transactions, silence and lost answers.
 """
 
 import asyncio
@@ -37,9 +37,9 @@
 
     :param network: pauses hosts; an answer to a paused one waits.
     :ivar unreachable: hosts that cannot reach the member.
-    :ivar lose_answers: writes and commits to come whose answers are lost.
+    :ivar lose_answers: number of coming writes and commits whose answers are lost.
     :ivar effects: when each row was written at this member, in loop time.
-    :ivar served: when a statement came last, in loop time.
+    :ivar served: when the last statement came, in loop time.
     :ivar faults: uses of a connection that mix transactions.
     """
 
@@ -67,17 +67,17 @@
         return state
 
     def silence(self) -> None:
-        """Let all open connections go silent for good; new ones work."""
+        """Make all open connections silent for good; new ones work."""
         for connection in self.connections:
             connection.silent = True
 
     def kill(self) -> None:
-        """Stop the member; what it held is kept, open transactions are not."""
+        """Stop the member; its log is kept, open transactions are lost."""
         self.member.down = True
         self.end(list(self.connections))
 
     def host_died(self, host: str) -> None:
-        """Notice that a process is gone: its transactions are rolled back."""
+        """Handle the death of a host process: roll back its transactions."""
         self.end([one for one in self.connections if one.host == host])
 
     def end(self, connections: list["TraceConnection"]) -> None:
@@ -87,7 +87,7 @@
             self.connections.discard(connection)
 
     def knows(self, request_id: str | None) -> bool:
-        """Say whether a request has run here."""
+        """Return whether a request has run here."""
         return any(
             request_id is not None and entry.request_id == request_id
             for entry in self.member.log
@@ -103,7 +103,7 @@
         return result
 
     def result(self, mark: str = "") -> TargetResult:
-        """Return the rows that are seen now, and the mark of who asked."""
+        """Return the visible rows and the mark of the request."""
         member = self.member
         shown = member.log[: member.applied_count]
         return TargetResult(
@@ -117,10 +117,10 @@
 
 
 class TraceConnection(TargetConnection):
-    """Hold one connection of a host.
+    """Represent one connection of a host.
 
     :ivar pending: rows of the open transaction, or None.
-    :ivar begun: the leader term in which it was opened.
+    :ivar begun: the term in which it was opened.
     """
 
     def __init__(self, server: TraceMember, host: str) -> None:
@@ -212,7 +212,7 @@
         self.server.connections.discard(self)
 
     def alone(self, what: str) -> None:
-        """Note work that came in the middle of a transaction."""
+        """Record a statement that came in the middle of a transaction."""
         if self.pending is not None:
             self.server.faults.append(f"{what} inside a transaction of {self.host}")
 
@@ -229,7 +229,7 @@
     async def change(
         self, effect: Callable[[], TargetResult], timeout: float
     ) -> TargetResult:
-        """Run what has an effect; its answer may be lost."""
+        """Run a statement with an effect; its answer may be lost."""
         lost = self.server.lose_answers > 0
         if lost:
             self.server.lose_answers -= 1
@@ -242,7 +242,7 @@
         slot: bool = False,
         lost: bool = False,
     ) -> T:
-        """Send one call; the member goes on with it if nobody waits any more."""
+        """Send one call; the member completes it even if the caller no longer waits."""
         if self.busy:
             self.server.faults.append(f"two statements at once from {self.host}")
         self.busy = True
@@ -274,7 +274,7 @@
         return result
 
     async def cross(self) -> None:
-        """Go one way, or vanish if the connection is silent or cut."""
+        """Wait for the one-way delay, or forever if the connection is silent or cut."""
         await asyncio.sleep(HOP)
         if self.silent or not self.server.reaches(self.host):
             await asyncio.Event().wait()
--- a/tests/trace_world.py
+++ b/tests/trace_world.py
@@ -46,7 +46,7 @@
 
 
 class InlineWorker(Worker):
-    """Run functions at once; a thread would stand outside virtual time."""
+    """Run functions inline; threads do not work with virtual time."""
 
     async def run(
         self, function: Callable[P, T], *args: P.args, **kwargs: P.kwargs
@@ -55,7 +55,7 @@
 
 
 class TraceHostList(HostList):
-    """Give the platform's list to one host."""
+    """Return the platform's host list to one host."""
 
     def __init__(self, world: "TraceWorld", host: str) -> None:
         self.world = world
@@ -71,10 +71,10 @@
 
 
 class TraceWorld:
-    """Hold some hosts in each zone and one group with a member in some zones.
+    """Run hosts in each zone and one group with members in some zones.
 
-    :param zones: how many hosts each zone has.
-    :param members: the zone of each member; the first one leads at first.
+    :param zones: the number of hosts in each zone.
+    :param members: the zone of each member; the first one is the initial primary.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
             ref.address = f"127.0.0.1:{17001 + port}"
 
     async def start(self) -> None:
-        """Start all and bring a configuration in force."""
+        """Start all hosts and bring a configuration into force."""
         self.truth.found(next(iter(self.homes)))
         self.truth.start()
         for name, zone in self.homes.items():
@@ -122,7 +122,7 @@
         state: ListedState,
         kind: ListedKind = ListedKind.HOST,
     ) -> None:
-        """Set what the platform's list says."""
+        """Set an entry of the platform's host list."""
         self.listed[name] = HostListEntry(name, zone, self.address(name), state, kind)
 
     def address(self, name: str) -> str:
@@ -132,7 +132,7 @@
         )
 
     async def start_host(self, ref: HostRef) -> None:
-        """Start a host that knows nothing."""
+        """Start a host without state."""
         clock = self.network.clock(ref.host)
         peers = self.network.join(ref, PeerRoutes())
         store = self.stores.setdefault(ref.host, FakeStore(shared=self.store))
@@ -226,7 +226,7 @@
             self.stores[host].down = True
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all cuts."""
         self.network.heal()
         self.network.loss = 0.0
         self.truth.cuts.clear()
@@ -236,7 +236,7 @@
             store.down = False
 
     def kill_host(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process."""
         host = self.hosts.pop(name)
         self.dead.append(host)
         self.network.crash(name)
@@ -250,7 +250,7 @@
     def revive(self, member: str) -> None:
         self.truth.members[member].down = False
 
-    # What is so
+    # Observations
 
     def home(self, member: str) -> str:
         """Return the host that is home of `member`."""
@@ -264,7 +264,7 @@
         return self.truth.leaders[max(self.truth.leaders)]
 
     def events(self) -> list[Event]:
-        """Return the events of all hosts in order of their stamps."""
+        """Return the events of all hosts, ordered by timestamp."""
         hosts = [*self.hosts.values(), *self.dead]
         events = [event for host in hosts for event in host.timeline.events]
         return sorted(
@@ -273,7 +273,7 @@
 
 
 def request_of(path: str, body: bytes, handle: str) -> Any:
-    """Return a request as the server hands it to the callers' interface."""
+    """Return a request as the server passes it to the callers' interface."""
     loop = asyncio.get_running_loop()
     payload = StreamReader(BaseProtocol(loop), 2**16, loop=loop)
     payload.feed_data(body)
