--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -62,7 +62,7 @@
         lines.append("    groups:")
         for group in range(service, members // 3, SERVICES):
             lines += [f"      group-{group}:", "        members:"]
-            lines += [member_line(group, one) for one in range(3)]
+            lines += [member_line(group, number) for number in range(3)]
     lines += ["workspaces: {}", "limits: {queue: 64}", ""]
     overlays = {f"zone-{n}": f"limits: {{queue: {n + 1}}}\n" for n in range(SITES)}
     return ConfigurationDocuments("\n".join(lines), overlays)
@@ -224,8 +224,8 @@
 def quantile_ms(times: list[float], share: float) -> float:
     """Return a quantile in milliseconds."""
     ordered = sorted(times)
-    place = min(len(ordered) - 1, int(share * len(ordered)))
-    return round(ordered[place] * 1000, 1)
+    index = min(len(ordered) - 1, int(share * len(ordered)))
+    return round(ordered[index] * 1000, 1)
 
 
 if __name__ == "__main__":
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -46,7 +46,7 @@
         "gaps": [gap.to_json() for gap in outcome.gaps],
         "median_gap_s": round(statistics.median(gaps), 4) if gaps else None,
         "baseline_gap_s": round(uvloop.run(fixed_detection(name)), 4),
-        "broken": [one.promise.value for one in outcome.broken],
+        "broken": [violation.promise.value for violation in outcome.broken],
         "missing": outcome.missing,
     }
 
@@ -68,10 +68,10 @@
     group.set_lag(deployment.network.zones)
     try:
         connections = await connect_all(group)
-        lost = group.primary.name
+        primary = group.primary.name
         await group.primary.kill()
         start = clock.monotonic()
-        await promote_after_silence(clock, connections, lost)
+        await promote_after_silence(clock, connections, primary)
         return clock.monotonic() - start
     finally:
         await group.close()
@@ -84,7 +84,7 @@
         name: factory.target(name, member.address)
         for name, member in group.members.items()
     }
-    return {name: await one.connect(TIMEOUT_S) for name, one in targets.items()}
+    return {name: await target.connect(TIMEOUT_S) for name, target in targets.items()}
 
 
 async def promote_after_silence(
@@ -96,11 +96,16 @@
         await clock.sleep(PROBE_S)
         if await answers(connections[lost]):
             silent_since = clock.monotonic()
-    others = {name: one for name, one in connections.items() if name != lost}
-    states = [await one.raise_term(2, OWNER, TIMEOUT_S) for one in others.values()]
+    remaining = {
+        name: connection for name, connection in connections.items() if name != lost
+    }
+    states = [
+        await connection.raise_term(2, OWNER, TIMEOUT_S)
+        for connection in remaining.values()
+    ]
     best = max(states, key=lambda state: state.held).member
-    await others[best].promote(2, OWNER, TIMEOUT_S)
-    await others[best].write("CREATE TABLE t (x)", [], None, TIMEOUT_S)
+    await remaining[best].promote(2, OWNER, TIMEOUT_S)
+    await remaining[best].write("CREATE TABLE t (x)", [], None, TIMEOUT_S)
 
 
 async def answers(connection: TargetConnection) -> bool:
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -113,12 +113,12 @@
     await cluster.start()
     await cluster.write("m1", "before")
     await asyncio.sleep(random.Random(seed).random())
-    begun = cluster.now()
+    fault_time = cluster.now()
     await fault(cluster)
     total = await cluster.until_writable()
     promoted = cluster.events(EventKind.PRIMARY_PROMOTED)[-1]
     await cluster.stop()
-    return Gap(total, promoted, begun)
+    return Gap(total, promoted, fault_time)
 
 
 async def hang_target(cluster: Cluster) -> None:
@@ -165,17 +165,17 @@
             task.cancel()
     await cluster.write("m1", "before")
     cluster.cut_zone("m1")
-    begun = cluster.now()
+    fault_time = cluster.now()
     await asyncio.sleep(BASELINE_S)
-    keeper = cluster.hosts["m2a"].keeper
+    manager = cluster.hosts["m2a"].keeper
     absent = frozenset({"m1"})
     promotion = GroupPromotion(
-        cluster.group, keeper.controller, keeper.clock, 2, "baseline", None, absent
+        cluster.group, manager.controller, manager.clock, 2, "baseline", None, absent
     )
     promoted = await promotion.run()
-    keeper.group_state.record_leader(promoted.term, promoted.primary)
+    manager.group_state.record_leader(promoted.term, promoted.primary)
     await cluster.until_writable()
-    total = cluster.now() - begun
+    total = cluster.now() - fault_time
     await cluster.stop()
     return total
 
--- a/bench/gap.py
+++ b/bench/gap.py
@@ -187,7 +187,11 @@
         """Return the addresses of the hosts in the zone of the lost primary."""
         zone = self.world.target_zones()[loss.member]
         settings = self.world.settings.values()
-        return {one.listen for one in settings if one.zone == zone}
+        return {
+            host_settings.listen
+            for host_settings in settings
+            if host_settings.zone == zone
+        }
 
 
 async def measure(name: str, kind: str, faults: int, traced: int) -> Json:
@@ -229,11 +233,11 @@
 
 def gap(acks: Iterable[Attempt], loss: Loss) -> float:
     """Return milliseconds to the first acknowledged write sent after a loss."""
-    ended = [one.ended for one in acks if one.group == loss.group]
+    ack_times = [ack.ended for ack in acks if ack.group == loss.group]
     sent = [
-        one.ended for one in acks if one.group == loss.group and one.started > loss.at
+        ack.ended for ack in acks if ack.group == loss.group and ack.started > loss.at
     ]
-    return 1000 * (min(sent, default=max(ended)) - loss.at)
+    return 1000 * (min(sent, default=max(ack_times)) - loss.at)
 
 
 def caller_waits(acks: Iterable[Attempt], loss: Loss) -> list[float]:
@@ -242,12 +246,12 @@
     Acknowledgements by the lost primary itself are excluded: the answer must be of a
     write that was sent after the loss, or of a retry.
     """
-    first: dict[str, float] = {}
-    for one in acks:
-        if one.group == loss.group and one.started > loss.at:
-            known = first.get(one.session, one.ended)
-            first[one.session] = min(known, one.ended)
-    return [1000 * (ended - loss.at) for ended in first.values()]
+    first_acks: dict[str, float] = {}
+    for ack in acks:
+        if ack.group == loss.group and ack.started > loss.at:
+            previous = first_acks.get(ack.session, ack.ended)
+            first_acks[ack.session] = min(previous, ack.ended)
+    return [1000 * (ended - loss.at) for ended in first_acks.values()]
 
 
 def split(events: Iterable[Event], loss: Loss) -> dict[str, float]:
@@ -288,13 +292,17 @@
     """Print the attempts and events around a loss."""
     cut = trial.cut_hosts(loss)
     lines: list[tuple[float, str]] = []
-    for one in trial.history.attempts:
-        if one.group != loss.group or not 0 <= one.ended - loss.at < FAULT_S:
+    for attempt in trial.history.attempts:
+        if attempt.group != loss.group or not 0 <= attempt.ended - loss.at < FAULT_S:
             continue
-        began, ended = (1000 * (at - loss.at) for at in (one.started, one.ended))
-        where = "near" if one.host in cut else "far"
-        what = one.reason or "ack"
-        lines.append((ended, f"{one.session} {where} {began:.0f}-{ended:.0f} {what}"))
+        started, ended = (
+            1000 * (at - loss.at) for at in (attempt.started, attempt.ended)
+        )
+        where = "near" if attempt.host in cut else "far"
+        what = attempt.reason or "ack"
+        lines.append(
+            (ended, f"{attempt.session} {where} {started:.0f}-{ended:.0f} {what}")
+        )
     for event in trial.events():
         at = event.stamp.wall_ms - loss.wall_ms
         if 0 <= at < 1000 * FAULT_S and event.subject == loss.group:
@@ -311,12 +319,12 @@
     options = docopt.docopt(__doc__, argv)
     name, kind = options["--deployment"], options["--kind"]
     faults, traced = int(options["--faults"]), int(options["--trace"])
-    found = uvloop.run(measure(name, kind, faults, traced))
+    measured = uvloop.run(measure(name, kind, faults, traced))
     baseline = uvloop.run(fixed_detection(name))
     return {
         "deployment": name,
         "kind": kind,
-        **found,
+        **measured,
         "baseline_gap_ms": round(1000 * baseline, 1),
     }
 
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -84,13 +84,13 @@
 
     async def measure_idle(self) -> None:
         """Measure the processor time without statements."""
-        began = processor_time(self.pid)
+        started = processor_time(self.pid)
         await asyncio.sleep(IDLE_S)
-        self.idle = (processor_time(self.pid) - began) / IDLE_S
+        self.idle = (processor_time(self.pid) - started) / IDLE_S
 
     async def run_block(self) -> None:
         """Send one block of statements, one after another."""
-        began = processor_time(self.pid)
+        started = processor_time(self.pid)
         start = time.perf_counter()
         for _ in range(BLOCK):
             sent = time.perf_counter()
@@ -98,7 +98,7 @@
             self.latencies.append(time.perf_counter() - sent)
             refuse_other(answer)
         self.wall += time.perf_counter() - start
-        self.processor += processor_time(self.pid) - began
+        self.processor += processor_time(self.pid) - started
 
     def figures(self) -> Json:
         """Return the figures of this path."""
@@ -119,18 +119,18 @@
     async with AsyncExitStack() as stack:
         start = partial(start_role, stack)
         platform = start("platform", serve_platform)
-        courses = [
+        paths = [
             *await bare_courses(stack, start, platform),
             *await system_courses(stack, start, platform.facts),
         ]
-        for course in courses:
+        for path in paths:
             for _ in range(WARM_UP):
-                await course.send()
-        await asyncio.gather(*(course.measure_idle() for course in courses))
+                await path.send()
+        await asyncio.gather(*(path.measure_idle() for path in paths))
         for _ in range(ROUNDS):
-            for course in courses:
-                await course.run_block()
-        return figures({course.name: course for course in courses})
+            for path in paths:
+                await path.run_block()
+        return figures({path.name: path for path in paths})
 
 
 def figures(courses: dict[str, Course]) -> Json:
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -49,10 +49,10 @@
     __slots__ = ("cpu", "sent", "received", "at")
 
     def __init__(self) -> None:
-        used = resource.getrusage(resource.RUSAGE_SELF)
+        usage = resource.getrusage(resource.RUSAGE_SELF)
         lines = IO_COUNTERS.read_text().splitlines()
         counters = dict(line.split(": ") for line in lines)
-        self.cpu = used.ru_utime + used.ru_stime
+        self.cpu = usage.ru_utime + usage.ru_stime
         self.sent = int(counters["wchar"])
         self.received = int(counters["rchar"])
         self.at = asyncio.get_running_loop().time()
@@ -120,7 +120,7 @@
     hosts: list[BenchHost] = []
     for number in range(first, first + count):
         host = BenchHost(number)
-        await host.start(seeds or [one.server.address for one in hosts[:3]])
+        await host.start(seeds or [seed.server.address for seed in hosts[:3]])
         hosts.append(host)
     return hosts
 
@@ -134,7 +134,7 @@
 async def measure(size: int) -> dict[str, Any]:
     """Measure `size` hosts when idle and after the death of one."""
     hosts = await start_hosts(0, min(size, SHARD), [])
-    seeds = [one.server.address for one in hosts[:3]]
+    seeds = [host.server.address for host in hosts[:3]]
     with ExitStack() as shards:
         for first in range(SHARD, size, SHARD):
             count = min(SHARD, size - first)
@@ -145,23 +145,23 @@
 
 async def measure_hosts(hosts: list[BenchHost], size: int) -> dict[str, Any]:
     """Measure the hosts of this process in a cluster of `size` hosts."""
-    joined = await until(lambda: all(one.live() == size for one in hosts))
+    joined = await until(lambda: all(host.live() == size for host in hosts))
     await asyncio.sleep(SETTLE)
     before = Usage()
     await asyncio.sleep(MEASURE)
-    rest = Usage().per_host(before, len(hosts))
-    levels = [one.heartbeats.health.level for one in hosts]
+    idle = Usage().per_host(before, len(hosts))
+    levels = [host.heartbeats.health.level for host in hosts]
     victim = hosts.pop()
     before = Usage()
     await victim.stop()
-    noticed = await until(lambda: all(one.live() == size - 1 for one in hosts))
+    noticed = await until(lambda: all(host.live() == size - 1 for host in hosts))
     await asyncio.sleep(1.0)
     death = Usage().per_host(before, len(hosts))
-    await asyncio.gather(*(one.stop() for one in hosts))
+    await asyncio.gather(*(host.stop() for host in hosts))
     return {
         "hosts": size,
         "joined_s": round(joined, 3),
-        "at_rest": rest,
+        "at_rest": idle,
         "mean_health_level": round(sum(levels) / len(levels), 2),
         "death_noticed_by_all_s": round(noticed, 3),
         "second_after_death": death,
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -191,7 +191,9 @@
             await asyncio.sleep(self.rng.expovariate(rate))
             if loop.time() >= end:
                 return
-            work = self.rng.choices(self.works, [one.share for one in self.works])[0]
+            work = self.rng.choices(
+                self.works, [work_kind.share for work_kind in self.works]
+            )[0]
             task = loop.create_task(self.send(self.phases[phase], work))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -200,12 +202,12 @@
         """Send one statement, with retries if it was refused, up to `TRIES` times."""
         loop = asyncio.get_running_loop()
         phase.offered[work.name] += 1
-        began = loop.time()
-        self.offered_in[int(began)] += 1
+        started = loop.time()
+        self.offered_in[int(started)] += 1
         service = self.rng.expovariate(1.0 / work.service)
         sql = f"{work.name} {service}"
         for _ in range(TRIES):
-            left = work.deadline
+            remaining = work.deadline
             try:
                 await self.server.run(
                     Statement(
@@ -214,7 +216,7 @@
                         work.name,
                         sql,
                         [],
-                        left,
+                        remaining,
                         work.priority,
                     )
                 )
@@ -224,8 +226,8 @@
                 continue
             phase.answered[work.name] += 1
             phase.useful += service
-            phase.waits[work.name].append(loop.time() - began)
-            self.answered_in[int(began)] += 1
+            phase.waits[work.name].append(loop.time() - started)
+            self.answered_in[int(started)] += 1
             return
 
     def capacity(self) -> float:
@@ -265,7 +267,7 @@
 
 def share_of_peak(phases: dict[str, dict[str, Any]], name: str) -> float:
     """Return a figure at 3 times capacity as a fraction of its maximum."""
-    peak: float = max(one[name] for one in phases.values())
+    peak: float = max(figures[name] for figures in phases.values())
     share: float = phases["3x"][name] / peak
     return round(share, 3)
 
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -79,8 +79,8 @@
 ) -> None:
     """Draw two bars for each name."""
     for shift, (label, values) in ((-BAR / 2, one), (BAR / 2, other)):
-        places = [place + shift for place in range(len(names))]
-        bars = axis.bar(places, values, BAR, label=label)
+        positions = [index + shift for index in range(len(names))]
+        bars = axis.bar(positions, values, BAR, label=label)
         axis.bar_label(bars, fmt="%.3g")
     axis.set_xticks(range(len(names)), names)
     axis.legend()
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -52,12 +52,12 @@
     )
     editor = world.any_host().editor
     await editor.apply(documents, number, OPERATOR, "bench", f"bench-edit-{number}")
-    began = world.clock.monotonic()
+    started = world.clock.monotonic()
     while any(host.configuration.version <= number for host in world.hosts()):
         await asyncio.sleep(STEP_S)
-    took = world.clock.monotonic() - began
+    seconds = world.clock.monotonic() - started
     await asyncio.sleep(PAUSE_S)
-    return took
+    return seconds
 
 
 if __name__ == "__main__":
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -129,8 +129,8 @@
         lags = self.model.lags
         targets = dict(lags)
         step = LAG_SLOPE * LAG_STEP_S
-        for turn in itertools.count():
-            if turn % round(LAG_TARGET_S / LAG_STEP_S) == 0:
+        for step_number in itertools.count():
+            if step_number % round(LAG_TARGET_S / LAG_STEP_S) == 0:
                 for member in lags:
                     targets[member] = self.lag * self.weather.uniform(*LAG_SPREAD)
             for member, target in targets.items():
@@ -159,8 +159,8 @@
         ages = list(self.mix.reads)
         weights = list(self.mix.reads.values())
         age = self.random.choices(ages, weights)[0]
-        bounded = age is not None
-        statement = read(None if bounded else covers, age, remaining=2.0)
+        is_bounded = age is not None
+        statement = read(None if is_bounded else covers, age, remaining=2.0)
         if self.baseline:
             statement.consistency = Consistency.FRESH
         return statement
@@ -169,14 +169,14 @@
         """Send one statement, count it, and return the position of its answer."""
         measured = self.measuring
         ideal = self.oracle(statement)
-        began = self.model.now()
+        started = self.model.now()
         entry = self.random.randrange(ENTRIES)
         served = await self.world.run(statement, entry)
         if measured and statement.request_id is not None:
             self.tally.writes += 1
         elif measured:
             self.count(ideal, served.result.role == "replica")
-            self.tally.times.append(self.model.now() - began)
+            self.tally.times.append(self.model.now() - started)
         return served.result.position
 
     def oracle(self, statement: Statement) -> bool:
@@ -229,8 +229,8 @@
                 results.append(run_virtual(Trial(mix, lag, baseline).run()))
     json.dump(results, sys.stdout, indent=1)
     print()
-    ours = [one for one in results if one["routing"] == "reedhook"]
-    return 0 if all(one["of_oracle"] >= GOAL for one in ours) else 1
+    ours = [result for result in results if result["routing"] == "reedhook"]
+    return 0 if all(result["of_oracle"] >= GOAL for result in ours) else 1
 
 
 if __name__ == "__main__":
--- a/bench/run.py
+++ b/bench/run.py
@@ -49,7 +49,7 @@
     print(json.dumps(report, indent=2))
     draw(figures, PLOT)
     print(f"plot: {PLOT}", file=sys.stderr)
-    return int(any("error" in one for one in figures.values()))
+    return int(any("error" in result for result in figures.values()))
 
 
 def exists(name: str) -> bool:
--- a/bench/share.py
+++ b/bench/share.py
@@ -56,15 +56,22 @@
         """Return whether some replica meets the demand of a read now."""
         group = self.world.platform.groups[body["group"]]
         primary = group.primary
-        replicas = [one for one in group.members.values() if one is not primary]
+        replicas = [
+            member for member in group.members.values() if member is not primary
+        ]
         return any(
-            meets(group, one.state.visible, body, covers, self.world.clock.monotonic())
-            for one in replicas
+            meets(
+                group, member.state.visible, body, covers, self.world.clock.monotonic()
+            )
+            for member in replicas
         )
 
     def to_json(self) -> Json:
         """Return the shares, of all reads and of each consistency."""
-        shares = {one.value: self.shares(one.value) for one in Consistency}
+        shares = {
+            consistency.value: self.shares(consistency.value)
+            for consistency in Consistency
+        }
         return {"all": self.shares(None), **shares}
 
     def shares(self, consistency: str | None) -> Json | None:
@@ -121,8 +128,8 @@
         could = could or path == READ_PATH and self.tally.possible(body, covers)
         if reply.reason is not None:
             return reply
-        seen = Position(*reply.body["position"])
-        self.covers[body["group"]] = max(covers, seen)
+        position = Position(*reply.body["position"])
+        self.covers[body["group"]] = max(covers, position)
         if path == READ_PATH:
             key = (body["consistency"], str(reply.body["role"]), could)
             self.tally.counts[key] += 1
@@ -162,8 +169,8 @@
             tally.counts.clear()
             await world.clock.sleep(seconds)
             day.stop()
-        for complaint in day.gave_up:
-            print(complaint, file=sys.stderr)
+        for message in day.gave_up:
+            print(message, file=sys.stderr)
         return tally.to_json()
 
 
--- a/src/reedhook_standins/caller.py
+++ b/src/reedhook_standins/caller.py
@@ -173,8 +173,8 @@
 
     def roam(self) -> None:
         """Switch to another host, as a load balancer may do."""
-        others = [host for host in self.hosts if host != self.host]
-        self.host = self.random.choice(others or list(self.hosts))
+        other_hosts = [host for host in self.hosts if host != self.host]
+        self.host = self.random.choice(other_hosts or list(self.hosts))
 
     def forget(self) -> None:
         """Drop the session token, so that the next read has no minimum position."""
@@ -352,10 +352,15 @@
     if "reason" not in message:
         return Reply(message, verdict)
     reason = message["reason"]
-    hint = message.get("retry_after_ms")
-    if hint is None and reason == LATE:
+    retry_after_ms = message.get("retry_after_ms")
+    if retry_after_ms is None and reason == LATE:
         return Reply(message, verdict, reason, LATE_PAUSE_S)
-    return Reply(message, verdict, reason, None if hint is None else hint / 1000)
+    return Reply(
+        message,
+        verdict,
+        reason,
+        None if retry_after_ms is None else retry_after_ms / 1000,
+    )
 
 
 def echo(mark: str, rows: list[list[Any]]) -> str:
--- a/src/reedhook_standins/control.py
+++ b/src/reedhook_standins/control.py
@@ -50,8 +50,8 @@
     ) -> Json:
         call = self.calls.get(name)
         if call is None:
-            known = ", ".join(self.calls)
-            raise ServiceRefusal("bad_request", f"the calls are {known}", 404)
+            call_names = ", ".join(self.calls)
+            raise ServiceRefusal("bad_request", f"the calls are {call_names}", 404)
         await call(message)
         members = self.platform.members().values()
         return {
@@ -109,8 +109,10 @@
         """Set faults of the store."""
         for name, value in message.items():
             if name not in STORE_FAULTS:
-                known = ", ".join(STORE_FAULTS)
-                raise ServiceRefusal("bad_request", f"the faults are {known}", 400)
+                fault_names = ", ".join(STORE_FAULTS)
+                raise ServiceRefusal(
+                    "bad_request", f"the faults are {fault_names}", 400
+                )
             setattr(self.platform.store, name, STORE_FAULTS[name](value))
 
     async def list_host(self, message: Json) -> None:
--- a/src/reedhook_standins/database.py
+++ b/src/reedhook_standins/database.py
@@ -120,10 +120,10 @@
     @property
     def primary(self) -> DatabaseMember:
         """Return the member that was promoted last."""
-        leading = [one for one in self.members.values() if one.leads]
-        if not leading:
+        primaries = [member for member in self.members.values() if member.leads]
+        if not primaries:
             return next(iter(self.members.values()))
-        return max(leading, key=lambda one: one.term)
+        return max(primaries, key=lambda member: member.term)
 
     def commit(self, member: DatabaseMember) -> Position:
         """Append a commit and send it to the replicas."""
@@ -158,7 +158,9 @@
         former = self.primary
         if member is former and member.leads:
             return
-        member.term = max(one.term for one in self.members.values()) + 1
+        member.term = (
+            max(group_member.term for group_member in self.members.values()) + 1
+        )
         member.leads = True
         self.promoted.append(target)
         self.lost |= (set(former.log) | self.forgotten) - set(member.log)
@@ -210,14 +212,14 @@
             self.member.group.on_run(query.id, query.text, self)
         if query.min_position is not None and query.min_position not in self.member.log:
             return self.reply(StatementFault.LAGGING)
-        word, _, rest = query.text.partition(" ")
+        word, _, arguments = query.text.partition(" ")
         self.id = query.id
         if self.failed and word not in ("ROLLBACK", "COMMIT"):
             return self.reply(StatementFault.MALFORMED)
         handler = getattr(self, f"do_{word.lower()}", None)
         if handler is None:
             return self.reply(StatementFault.MALFORMED)
-        reply: SessionTargetReply = handler(rest)
+        reply: SessionTargetReply = handler(arguments)
         return reply
 
     def reply(
@@ -267,13 +269,13 @@
 
     def do_read(self, rest: str) -> SessionTargetReply:
         """Return the visible log and the session's state."""
-        seen = {
-            "log": [one.to_json() for one in self.member.log],
+        visible = {
+            "log": [position.to_json() for position in self.member.log],
             "values": self.values,
             "prepared": self.prepared,
             "open": self.open,
         }
-        return self.reply(StatementFault.NONE, json.dumps(seen))
+        return self.reply(StatementFault.NONE, json.dumps(visible))
 
     def do_write(self, rest: str) -> SessionTargetReply:
         """Write, in the open transaction or as a commit of its own."""
--- a/src/reedhook_standins/demo.py
+++ b/src/reedhook_standins/demo.py
@@ -72,7 +72,7 @@
         self.dead_member = self.groups[0].primary
         self.cut_zone = ""
         self.dead_host = ""
-        acts = [
+        actions = [
             self.kill_primary,
             self.return_primary,
             self.cut_zone_off,
@@ -80,8 +80,8 @@
             self.kill_home,
             self.return_home,
         ]
-        happenings = map(Happening, times, acts)
-        self.happenings = sorted(happenings, key=lambda one: one.at)
+        happenings = map(Happening, times, actions)
+        self.happenings = sorted(happenings, key=lambda happening: happening.at)
 
     async def run(self, seconds: float) -> None:
         """Run the schedule over `seconds`."""
@@ -148,12 +148,14 @@
             tasks.create_task(day.run())
             await programme.run(seconds)
             day.stop()
-        held = [
+        group_effects = [
             effect
             for group in world.platform.groups.values()
             for effect in effects(group, type(day))
         ]
-        return judge(name, clock.monotonic() - start, history, held, day.gave_up)
+        return judge(
+            name, clock.monotonic() - start, history, group_effects, day.gave_up
+        )
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/src/reedhook_standins/deployment.py
+++ b/src/reedhook_standins/deployment.py
@@ -75,7 +75,7 @@
         for service in self.base["services"].values():
             for name, group in service["groups"].items():
                 members = group["members"]
-                zones = {member: one["zone"] for member, one in members.items()}
+                zones = {member: entry["zone"] for member, entry in members.items()}
                 yield GroupPlan(name, zones, service["slots"], service["connections"])
 
     def host_zones(self, count: int = HOSTS) -> dict[str, str]:
@@ -97,8 +97,8 @@
         """Set the members' addresses and the credentials from `credential`."""
         for service in self.base["services"].values():
             for group in service["groups"].values():
-                for member, one in group["members"].items():
-                    one["address"] = addresses[member]
+                for member, entry in group["members"].items():
+                    entry["address"] = addresses[member]
         for name, workspace in self.base["workspaces"].items():
             digest = sha256(credential(name).encode())
             workspace["token_sha256"] = digest.hexdigest()
--- a/src/reedhook_standins/engine.py
+++ b/src/reedhook_standins/engine.py
@@ -121,7 +121,7 @@
             raise ServiceRefusal("statement_failed", str(error), 422) from error
         finally:
             self.guarded = False
-        columns = [one[0] for one in cursor.description or ()]
+        columns = [column[0] for column in cursor.description or ()]
         return Rows(columns, [list(row) for row in rows], max(0, cursor.rowcount))
 
     def authorize(
@@ -149,14 +149,14 @@
         :raises ServiceRefusal: with ``request_reused`` if the recorded request differs,
             with ``request_expired`` if its id is too old to tell whether it has run.
         """
-        found = self.database.execute(
+        record = self.database.execute(
             "SELECT digest, result FROM reedhook_requests WHERE id = ?",
             (key.request_id,),
         ).fetchone()
-        if found is None:
+        if record is None:
             self.refuse_expired(key)
             return None
-        digest, text = found
+        digest, text = record
         if digest != key.digest:
             detail = "the request id was used for another statement"
             raise ServiceRefusal("request_reused", detail)
--- a/src/reedhook_standins/group.py
+++ b/src/reedhook_standins/group.py
@@ -59,10 +59,10 @@
 
     def holds(self, position: Position) -> bool:
         """Return whether the entry at `position` survives."""
-        place = position.index - 1
-        if not 0 <= place < len(self.entries):
+        index = position.index - 1
+        if not 0 <= index < len(self.entries):
             return False
-        return self.entries[place].position == position
+        return self.entries[index].position == position
 
     def count(self, request_id: str) -> int:
         """Return how many surviving entries belong to a request."""
@@ -105,12 +105,12 @@
 
     def found(self) -> None:
         """Make the first member primary of the first term."""
-        first, *others = self.members.values()
-        first.state.raise_term(FIRST_TERM, FIRST_OWNER)
-        first.state.promote(FIRST_TERM, FIRST_OWNER)
-        self.truth.lead(FIRST_TERM, first.state.log)
-        for other in others:
-            other.state.follow(FIRST_TERM, first.name)
+        primary, *replicas = self.members.values()
+        primary.state.raise_term(FIRST_TERM, FIRST_OWNER)
+        primary.state.promote(FIRST_TERM, FIRST_OWNER)
+        self.truth.lead(FIRST_TERM, primary.state.log)
+        for replica in replicas:
+            replica.state.follow(FIRST_TERM, primary.name)
 
     async def start(self) -> None:
         """Start all members."""
@@ -126,13 +126,15 @@
     def primary(self) -> MemberStandin:
         """Return the primary of the highest term that was opened."""
         log = self.truth.reign.log
-        return next(one for one in self.members.values() if one.state.log is log)
+        return next(
+            member for member in self.members.values() if member.state.log is log
+        )
 
     def partition(self, *names: str) -> None:
         """Cut replication between the named members and all others."""
-        island = max(self.islands.values(), default=0) + 1
+        partition_number = max(self.islands.values(), default=0) + 1
         for name in names:
-            self.islands[name] = island
+            self.islands[name] = partition_number
         self.poke()
 
     def heal(self) -> None:
--- a/src/reedhook_standins/history.py
+++ b/src/reedhook_standins/history.py
@@ -236,8 +236,8 @@
 
     def refusals(self) -> list[str]:
         """Return the reasons of all tries without an answer."""
-        of_writes = [one.reason for one in self.attempts if one.reason]
-        return of_writes + [one.reason for one in self.reads if one.reason]
+        of_writes = [attempt.reason for attempt in self.attempts if attempt.reason]
+        return of_writes + [attempt.reason for attempt in self.reads if attempt.reason]
 
     def end(self) -> float:
         """Return when the last answer or refusal came; 0 if there was none."""
@@ -247,23 +247,23 @@
 
 def violations(history: History, effects: Iterable[Effect]) -> list[Violation]:
     """Return every violated guarantee in `history`, given the groups' effects."""
-    held = list(effects)
+    effect_list = list(effects)
     return [
-        *lost(history, held),
-        *doubled(held),
-        *untrue_not_run(history, held),
+        *lost(history, effect_list),
+        *doubled(effect_list),
+        *untrue_not_run(history, effect_list),
         *stale_fresh(history),
         *session_misses(history),
-        *ages_too_low(history, held),
+        *ages_too_low(history, effect_list),
         *mixed(history),
     ]
 
 
 def lost(history: History, effects: list[Effect]) -> Iterator[Violation]:
     """Yield acknowledged writes that no group holds."""
-    held = {effect.request_id for effect in effects}
+    stored_ids = {effect.request_id for effect in effects}
     for attempt in history.acknowledged():
-        if attempt.request_id not in held:
+        if attempt.request_id not in stored_ids:
             detail = f"acknowledged by {attempt.host} at {attempt.ended:.3f}"
             yield Violation(Promise.LOST, attempt.request_id, detail)
 
@@ -287,17 +287,17 @@
     for attempt in history.attempts:
         tries[attempt.request_id].append(attempt)
     for effect in effects:
-        began = [
+        start_times = [
             attempt
             for attempt in tries[effect.request_id]
             if effect.committed is None
             or attempt.started <= effect.committed + CLOCK_STEP_S
         ]
-        if all(attempt.verdict is Verdict.NOT_RUN for attempt in began):
+        if all(attempt.verdict is Verdict.NOT_RUN for attempt in start_times):
             yield Violation(
                 Promise.UNTRUE_NOT_RUN,
                 effect.request_id,
-                f"effect at {effect.committed} after {len(began)} 'not run' answers",
+                f"effect at {effect.committed} after {len(start_times)} 'not run' answers",
             )
 
 
@@ -337,13 +337,13 @@
 
     A session runs one request at a time, so this is also its own order.
     """
-    found: list[tuple[float, Attempt | ReadSeen]] = []
+    answered: list[tuple[float, Attempt | ReadSeen]] = []
     for attempt in history.attempts:
         if attempt.verdict is Verdict.DONE:
-            found.append((attempt.ended, attempt))
+            answered.append((attempt.ended, attempt))
     for read in history.answered():
-        found.append((read.ended, read))
-    return sorted(found, key=lambda one: one[0])
+        answered.append((read.ended, read))
+    return sorted(answered, key=lambda one: one[0])
 
 
 def raise_mark(mark: dict[Register, int], register: Register, version: int) -> None:
@@ -385,10 +385,10 @@
 
 def by_register(history: History) -> dict[Register, list[tuple[float, int]]]:
     """Return the times and versions of acknowledged writes by register."""
-    found: dict[Register, list[tuple[float, int]]] = defaultdict(list)
+    writes: dict[Register, list[tuple[float, int]]] = defaultdict(list)
     for attempt in history.acknowledged():
-        found[attempt.register].append((attempt.ended, attempt.version))
-    return found
+        writes[attempt.register].append((attempt.ended, attempt.version))
+    return writes
 
 
 def version_due(raised: list[tuple[float, int]], at: float) -> int:
@@ -398,10 +398,10 @@
 
 def missed(promise: Promise, read: ReadSeen, key: str, due: int) -> Violation:
     """Return the violation of a read that saw too low a version."""
-    seen = read.versions[key]
+    found_version = read.versions[key]
     age = "none" if read.age is None else f"{read.age:.3f} s"
     detail = (
         f"{read.kind} of {read.session} through {read.host} at {read.started:.3f}"
-        f" saw {key} at {seen}, not {due}; served by a {read.role}, age {age}"
+        f" saw {key} at {found_version}, not {due}; served by a {read.role}, age {age}"
     )
     return Violation(promise, read.group, detail)
--- a/src/reedhook_standins/hostlist.py
+++ b/src/reedhook_standins/hostlist.py
@@ -50,8 +50,8 @@
 
     def leave(self, host: str) -> None:
         """Mark a listed host as leaving."""
-        known = [one for one in self.changes if one.host == host]
-        listed = known[-1].listed
+        host_changes = [change for change in self.changes if change.host == host]
+        listed = host_changes[-1].listed
         assert listed is not None, host
         self.put(host, listed.zone, listed.address, ListedState.LEAVING, listed.kind)
 
@@ -84,7 +84,7 @@
         if name != "hosts":
             raise ServiceRefusal("bad_request", f"unknown call {name}", 404)
         lines = [
-            [one.host, one.zone, one.address, one.state.value, one.kind.value]
-            for one in self.visible()
+            [entry.host, entry.zone, entry.address, entry.state.value, entry.kind.value]
+            for entry in self.visible()
         ]
         return {"hosts": lines}
--- a/src/reedhook_standins/keyvalue.py
+++ b/src/reedhook_standins/keyvalue.py
@@ -93,7 +93,7 @@
     def lapse(self, lease: int) -> None:
         """Expire one lease."""
         self.leases.discard(lease)
-        for key in [k for k, one in self.items.items() if one["lease"] == lease]:
+        for key in [k for k, item in self.items.items() if item["lease"] == lease]:
             self.write(key, None)
 
     async def key(self, request: web.Request) -> web.Response:
--- a/src/reedhook_standins/member.py
+++ b/src/reedhook_standins/member.py
@@ -150,8 +150,8 @@
     def ended(self, connection: ServiceConnection) -> None:
         if not connection.admitted:
             return
-        unnoticed = connection.silent or self.cut_of(connection) is Cut.HANG
-        if unnoticed and self.linger and not self.dead:
+        undetected = connection.silent or self.cut_of(connection) is Cut.HANG
+        if undetected and self.linger and not self.dead:
             loop = asyncio.get_running_loop()
             loop.call_later(self.linger, self.release, connection)
             return
--- a/src/reedhook_standins/outcome.py
+++ b/src/reedhook_standins/outcome.py
@@ -145,7 +145,7 @@
     gave_up: list[str],
 ) -> Outcome:
     """Return the report of `history`, given the effects in the groups at its end."""
-    held = list(effects)
+    effect_list = list(effects)
     gaps = [gap for fault in history.faults if (gap := gap_after(history, fault))]
     reads = Counter(
         (read.consistency.value, read.role or "") for read in history.answered()
@@ -156,12 +156,12 @@
         seconds=seconds,
         acknowledged=len(history.acknowledged()),
         attempts=len(history.attempts),
-        effects=len(held),
+        effects=len(effect_list),
         reads=reads,
         refusals=refusals,
         gave_up=gave_up,
         gaps=gaps,
-        broken=violations(history, held),
+        broken=violations(history, effect_list),
         missing=[],
     )
     outcome.missing.extend(what_is_missing(outcome))
@@ -172,9 +172,11 @@
     """Return how long writes stood still after a fault of a primary."""
     if fault.group is None:
         return None
-    acks = [one for one in history.acknowledged() if one.group == fault.group]
-    after = [one.ended for one in acks if one.ended > fault.at]
-    if not after:
+    acks = [
+        attempt for attempt in history.acknowledged() if attempt.group == fault.group
+    ]
+    later_acks = [attempt.ended for attempt in acks if attempt.ended > fault.at]
+    if not later_acks:
         return Gap(fault, None, history.end() - fault.at)
     return Gap(fault, first_new(acks, fault), longest_gap(acks, fault))
 
@@ -182,17 +184,18 @@
 def first_new(acks: list[Attempt], fault: Fault) -> float | None:
     """Return the time to the first write that was sent after the fault."""
     return min(
-        (one.ended - fault.at for one in acks if one.started > fault.at), default=None
+        (attempt.ended - fault.at for attempt in acks if attempt.started > fault.at),
+        default=None,
     )
 
 
 def longest_gap(acks: list[Attempt], fault: Fault) -> float:
     """Return the longest time without an acknowledgement around the fault."""
-    times = sorted(one.ended for one in acks)
+    ack_times = sorted(attempt.ended for attempt in acks)
     return max(
         (
             later - earlier
-            for earlier, later in pairwise(times)
+            for earlier, later in pairwise(ack_times)
             if later > fault.at and earlier < fault.at + AFTERMATH_S
         ),
         default=0.0,
@@ -210,8 +213,8 @@
     for gap in outcome.gaps:
         if gap.to_first_write is None:
             yield f"writes to {gap.fault.group} did not resume"
-    for complaint in outcome.gave_up:
-        yield f"a caller gave up: {complaint}"
+    for message in outcome.gave_up:
+        yield f"a caller gave up: {message}"
 
 
 def text(outcome: Outcome) -> str:
@@ -229,14 +232,14 @@
         line("writes that the groups hold", str(outcome.effects)),
         line("answered reads", str(sum(outcome.reads.values()))),
         line("share of reads served by replicas", percent(outcome.replica_share())),
-        *(share_line(outcome, one) for one in Consistency),
+        *(share_line(outcome, item) for item in Consistency),
         *(gap_line(gap) for gap in outcome.gaps),
         "",
         "Refusals that callers saw (each was retried)",
         *(line(reason, str(count)) for reason, count in outcome.refusals.most_common()),
         "",
-        *(f"MISSING: {one}" for one in outcome.missing),
-        *(broken_line(one) for one in outcome.broken[:SHOWN_VIOLATIONS]),
+        *(f"MISSING: {item}" for item in outcome.missing),
+        *(broken_line(item) for item in outcome.broken[:SHOWN_VIOLATIONS]),
         "All promises held." if outcome.good else "NOT GOOD.",
     ]
     return "\n".join(lines)
--- a/src/reedhook_standins/platform.py
+++ b/src/reedhook_standins/platform.py
@@ -117,10 +117,10 @@
 def base_ports(deployment: Deployment) -> dict[str, int]:
     """Return the port of each member in the base file."""
     return {
-        member: int(one["address"].rpartition(":")[2])
+        member: int(entry["address"].rpartition(":")[2])
         for service in deployment.base["services"].values()
         for group in service["groups"].values()
-        for member, one in group["members"].items()
+        for member, entry in group["members"].items()
     }
 
 
@@ -129,8 +129,8 @@
     options = docopt(__doc__)
     name = options["--deployment"]
     if name not in NETWORKS:
-        known = ", ".join(NETWORKS)
-        sys.exit(f"no deployment {name}: choose one of {known}")
+        names = ", ".join(NETWORKS)
+        sys.exit(f"no deployment {name}: choose one of {names}")
     forbid_io_uring()
     uvloop.run(serve(Platform(Deployment(name)), int(options["--port-base"])))
 
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -117,17 +117,22 @@
 
     def read(self, viewer: Viewer, row: str, asked: float) -> None:
         """Check that a read saw every commit it must see."""
-        seen = json.loads(row)
-        log = {Position.from_json(one) for one in seen["log"]}
-        if seen["values"] != viewer.settings or seen["prepared"] != viewer.prepared:
-            self.broken(f"{viewer.name} ran with {seen['values']} {seen['prepared']}")
-        for one in self.acknowledged:
-            if one.position in log or one.position in self.group.lost:
+        row_content = json.loads(row)
+        log = {Position.from_json(commit) for commit in row_content["log"]}
+        if (
+            row_content["values"] != viewer.settings
+            or row_content["prepared"] != viewer.prepared
+        ):
+            self.broken(
+                f"{viewer.name} ran with {row_content['values']} {row_content['prepared']}"
+            )
+        for commit in self.acknowledged:
+            if commit.position in log or commit.position in self.group.lost:
                 continue
-            if one.at <= viewer.must_see(one, asked):
+            if commit.at <= viewer.must_see(commit, asked):
                 self.broken(
                     f"{viewer.name} ({viewer.kind.value}) read at {asked:.3f} a log "
-                    f"without {one.position}, acknowledged at {one.at:.3f}"
+                    f"without {commit.position}, acknowledged at {commit.at:.3f}"
                 )
 
     def promise(self, name: str, ids: list[str]) -> None:
--- a/src/reedhook_standins/replication.py
+++ b/src/reedhook_standins/replication.py
@@ -47,10 +47,10 @@
         """Apply received entries while the member runs."""
         while True:
             self.applicable.clear()
-            place = self.state.applied
-            if not self.member.runs or place == len(self.state.arrivals):
+            index = self.state.applied
+            if not self.member.runs or index == len(self.state.arrivals):
                 await self.applicable.wait()
-            elif await self.due(self.state.arrivals[place] + self.member.apply_lag):
+            elif await self.due(self.state.arrivals[index] + self.member.apply_lag):
                 self.state.apply_next()
 
     async def due(self, moment: float) -> bool:
@@ -70,9 +70,9 @@
         if source is None:
             return None
         self.state.align(source.state.log)
-        place = len(self.state.log.entries)
+        index = len(self.state.log.entries)
         entries = source.state.log.entries
-        return entries[place] if place < len(entries) else None
+        return entries[index] if index < len(entries) else None
 
     def source(self) -> "MemberStandin | None":
         """Return the primary of the member's term if it is reachable, else None."""
@@ -82,8 +82,8 @@
         source = self.member.group.members.get(state.leader)
         if source is None or source is self.member or not source.runs:
             return None
-        leads = source.state.leader == source.name
-        if not leads or source.state.leader_term != state.leader_term:
+        is_primary = source.state.leader == source.name
+        if not is_primary or source.state.leader_term != state.leader_term:
             return None
         reachable = self.member.group.reachable(self.member.name, source.name)
         return source if reachable else None
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -124,7 +124,7 @@
         self.promises.sent[id] = Sent(
             text, self.transaction, dict(self.settings), dict(self.prepared)
         )
-        asked = self.promises.now()
+        sent_at = self.promises.now()
         assert self.writer is not None
         self.writer.write(f"QUERY {id} {text}\r\n".encode())
         try:
@@ -133,22 +133,22 @@
         except (OSError, TimeoutError) as error:
             raise SessionEnded(repr(error)) from error
         self.state = answer.state
-        self.judge(id, text, answer, asked)
+        self.judge(id, text, answer, sent_at)
         return answer
 
     async def read_answer(self) -> Answer:
         """Read the lines of one answer."""
         rows, signature, error = [], "", ""
         while True:
-            word, _, rest = (await self.line()).partition(" ")
+            word, _, content = (await self.line()).partition(" ")
             if word == "ROW":
-                rows.append(rest)
+                rows.append(content)
             elif word == "COMPLETE":
-                signature = rest
+                signature = content
             elif word == "ERROR":
-                error = rest.partition(" ")[0]
+                error = content.partition(" ")[0]
             else:
-                state, _, position = rest.partition(" ")
+                state, _, position = content.partition(" ")
                 return Answer(rows, signature, error, state, read_position(position))
 
     def judge(self, id: str, text: str, answer: Answer, asked: float) -> None:
--- a/src/reedhook_standins/soak/faults.py
+++ b/src/reedhook_standins/soak/faults.py
@@ -95,19 +95,21 @@
         host = field.random.choice(field.hosts)
         kind = field.random.choice(["store", "promotions", "callers", "targets"])
         links = self.links(field, host, kind)
-        how = field.random.choice(["cut", "up", "down", "delay", "reset"])
+        kind_of_fault = field.random.choice(["cut", "up", "down", "delay", "reset"])
         for link in links:
-            link.up = how not in ("cut", "up")
-            link.down = how not in ("cut", "down")
-            link.delay = field.random.uniform(0.01, 0.3) if how == "delay" else 0.0
-        if how == "reset":
+            link.up = kind_of_fault not in ("cut", "up")
+            link.down = kind_of_fault not in ("cut", "down")
+            link.delay = (
+                field.random.uniform(0.01, 0.3) if kind_of_fault == "delay" else 0.0
+            )
+        if kind_of_fault == "reset":
             field.around.reset_links(host.name)
             for proxy in host.proxies:
                 proxy.reset()
         await asyncio.sleep(field.random.uniform(0.5, 9.0))
         for link in links:
             link.heal()
-        return f"{how} between {host.name} and {kind}"
+        return f"{kind_of_fault} between {host.name} and {kind}"
 
     def links(self, field: Field, host: HostProcess, kind: str) -> list[Link]:
         """Return the links of a host to the named kind of peer."""
@@ -117,8 +119,10 @@
             return [host.promotions.link]
         if kind == "callers":
             return [host.front.link]
-        found = [one for key, one in field.around.links.items() if key[0] == host.name]
-        return field.random.sample(found, field.random.randint(1, len(found)))
+        matching = [
+            link for key, link in field.around.links.items() if key[0] == host.name
+        ]
+        return field.random.sample(matching, field.random.randint(1, len(matching)))
 
 
 class StoreFault(Fault):
@@ -126,18 +130,18 @@
 
     async def strike(self, field: Field) -> str:
         store = field.around.store
-        how = field.random.choice(["silent", "busy", "forgets", "lapse"])
-        if how == "silent":
+        kind = field.random.choice(["silent", "busy", "forgets", "lapse"])
+        if kind == "silent":
             store.silent = True
-        elif how == "busy":
+        elif kind == "busy":
             store.status = field.random.choice([429, 503])
-        elif how == "forgets":
+        elif kind == "forgets":
             store.forget()
         else:
             store.end_leases()
         await asyncio.sleep(field.random.uniform(0.5, 9.0))
         store.silent, store.status = False, 0
-        return f"store {how}"
+        return f"store {kind}"
 
 
 class TargetFault(Fault):
@@ -148,21 +152,21 @@
         member = group.primary
         if field.random.random() < 0.4:
             member = field.random.choice(list(group.members.values()))
-        how = field.random.choice(["dark", "lag", "deaf", "leaving", "busy"])
-        if how == "dark":
+        kind = field.random.choice(["dark", "lag", "deaf", "leaving", "busy"])
+        if kind == "dark":
             member.down = True
-        elif how == "lag":
+        elif kind == "lag":
             member.lag = field.random.uniform(0.1, 3.0)
-        elif how == "deaf":
+        elif kind == "deaf":
             member.deaf = True
-        elif how == "busy":
+        elif kind == "busy":
             member.busy = field.random.randint(5, 200)
         else:
             field.around.leaving.add(member.entry.target)
         await asyncio.sleep(field.random.uniform(1.0, 8.0))
         member.heal()
         field.around.leaving.discard(member.entry.target)
-        return f"target {member.entry.target} {how}"
+        return f"target {member.entry.target} {kind}"
 
 
 class StartedAgain(Fault):
--- a/src/reedhook_standins/soak/hosts.py
+++ b/src/reedhook_standins/soak/hosts.py
@@ -72,8 +72,8 @@
 
     async def prepare(self) -> None:
         """Start the proxies and write the settings."""
-        for one in self.proxies:
-            await one.start()
+        for proxy in self.proxies:
+            await proxy.start()
         self.settings_file.write_text(self.settings())
 
     @property
@@ -167,8 +167,8 @@
         """Return the end of the log if the process exited unexpectedly, or nothing."""
         if self.process is None or self.running or self.process is self.told:
             return ""
-        said = self.log_file.read_bytes()[-TAIL:].decode(errors="replace")
-        return f"{self.name} ended by itself with {self.process.returncode}: {said}"
+        log_tail = self.log_file.read_bytes()[-TAIL:].decode(errors="replace")
+        return f"{self.name} ended by itself with {self.process.returncode}: {log_tail}"
 
 
 async def killed(process: asyncio.subprocess.Process) -> None:
@@ -181,9 +181,9 @@
 def free_ports(ip: str, count: int) -> list[int]:
     """Return unused ports."""
     sockets = [socket.socket() for _ in range(count)]
-    for one in sockets:
-        one.bind((ip, 0))
-    ports = [int(one.getsockname()[1]) for one in sockets]
-    for one in sockets:
-        one.close()
+    for sock in sockets:
+        sock.bind((ip, 0))
+    ports = [int(sock.getsockname()[1]) for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
--- a/src/reedhook_standins/soak/proxy.py
+++ b/src/reedhook_standins/soak/proxy.py
@@ -54,8 +54,8 @@
 
     def reset(self, link: Link | None = None) -> None:
         """Break the connections of a link, or all."""
-        for writer, used in list(self.open.items()):
-            if link is None or used is link:
+        for writer, connection_link in list(self.open.items()):
+            if link is None or connection_link is link:
                 reset_transport(cast(asyncio.Transport, writer.transport))
 
     async def stop(self) -> None:
@@ -67,25 +67,25 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serve one connection until either side ends it."""
-        ends = [writer]
+        writers = [writer]
         try:
-            first = await reader.read(CHUNK)
-            link = self.link_of(first)
+            first_bytes = await reader.read(CHUNK)
+            link = self.link_of(first_bytes)
             host, port = split_address(self.target)
             far_reader, far_writer = await asyncio.open_connection(host, port)
-            ends.append(far_writer)
-            for one in ends:
-                self.open[one] = link
-            up = self.pump(reader, far_writer, link, True, first)
+            writers.append(far_writer)
+            for end_writer in writers:
+                self.open[end_writer] = link
+            up = self.pump(reader, far_writer, link, True, first_bytes)
             down = self.pump(far_reader, writer, link, False, b"")
             await asyncio.gather(up, down)
         except OSError:
             # One side has closed; the other is closed below.
             pass
         finally:
-            for one in ends:
-                self.open.pop(one, None)
-                one.close()
+            for end_writer in writers:
+                self.open.pop(end_writer, None)
+                end_writer.close()
 
     async def pump(
         self,
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -102,12 +102,12 @@
             await host.start()
         await self.until_served("before any fault")
         calls = [self.call(host) for host in self.hosts for _ in range(CALLERS_A_HOST)]
-        calling = [asyncio.ensure_future(one) for one in calls]
+        call_tasks = [asyncio.ensure_future(call) for call in calls]
         await self.disturb()
         self.heal()
         await self.until_served("after the last fault")
         self.calling = False
-        await asyncio.gather(*calling)
+        await asyncio.gather(*call_tasks)
 
     async def disturb(self) -> None:
         """Inject faults for a while, sequentially and overlapping."""
@@ -121,21 +121,21 @@
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
             running -= self.collect(running)
             self.check_processes()
-        for one in await asyncio.gather(*running):
-            self.struck.append(one)
+        for description in await asyncio.gather(*running):
+            self.struck.append(description)
 
     def collect(self, running: set[asyncio.Task[str]]) -> set[asyncio.Task[str]]:
         """Return the faults still running, and record the finished ones."""
-        over = {one for one in running if one.done()}
-        self.struck += [one.result() for one in over]
-        return over
+        done = {task for task in running if task.done()}
+        self.struck += [task.result() for task in done]
+        return done
 
     def check_processes(self) -> None:
         """Report processes that exited unexpectedly, each once."""
         for host in self.hosts:
-            if said := host.ended_by_itself():
+            if message := host.ended_by_itself():
                 host.told = host.process
-                self.promises.broken(said)
+                self.promises.broken(message)
 
     def check_tokens(self) -> None:
         """Report promotions whose fencing tokens decreased."""
@@ -206,8 +206,8 @@
 def main(argv: list[str] | None = None) -> int:
     """Run seeds; return the exit code."""
     arguments = docopt(__doc__, argv)
-    first = arguments["--first"]
-    seed = int(first) if first else Random().randrange(FIRST_SEEDS)
+    first_seed = arguments["--first"]
+    seed = int(first_seed) if first_seed else Random().randrange(FIRST_SEEDS)
     failed = 0
     for offset in range(int(arguments["--seeds"])):
         folder = Path(arguments["--folder"]) / str(seed + offset)
@@ -234,8 +234,8 @@
         f"promotions, {len(soak.struck)} faults, {len(violations)} broken",
         flush=True,
     )
-    for one in violations[:5]:
-        print(f"  {one}")
+    for violation in violations[:5]:
+        print(f"  {violation}")
     if violations:
         print(f"  faults: {'; '.join(soak.struck)}")
 
--- a/src/reedhook_standins/store.py
+++ b/src/reedhook_standins/store.py
@@ -113,8 +113,8 @@
         history = self.keys.get(key)
         if not history:
             return None
-        place = max(0, len(history) - 1 - self.stale_reads)
-        return history[place]
+        index = max(0, len(history) - 1 - self.stale_reads)
+        return history[index]
 
     def newest(self, key: str) -> StoredValue | None:
         """Return the current value of `key`, or None if it is absent."""
@@ -126,13 +126,13 @@
     async def watch(self, connection: ServiceConnection, message: Json) -> Json:
         """Wait until the revision of a key exceeds a known one."""
         key = message["key"]
-        known = message["revision"]
+        known_revision = message["revision"]
         self.watching.add(connection)
         try:
             async with asyncio.timeout(message["hold"]):
                 while True:
                     entry = self.newest(key)
-                    if entry is not None and entry.revision > known:
+                    if entry is not None and entry.revision > known_revision:
                         return entry_json(key, entry)
                     await self.changed.wait()
         except TimeoutError:
@@ -213,7 +213,7 @@
     def lapse(self) -> None:
         """Delete the keys of expired leases."""
         now = self.clock.monotonic()
-        lapsed = [name for name, one in self.leases.items() if one.expires <= now]
+        lapsed = [name for name, lease in self.leases.items() if lease.expires <= now]
         for number in lapsed:
             del self.leases[number]
             for key in list(self.keys):
--- a/src/reedhook_standins/workload.py
+++ b/src/reedhook_standins/workload.py
@@ -131,12 +131,12 @@
 
     async def repeat(self, mean: float, step: Callable[[int], Awaitable[None]]) -> None:
         """Call `step` with 1, 2, 3 and so on, about every `mean` seconds."""
-        turn = 0
+        number = 0
         await self.pause(self.random.uniform(0, mean))
         while not self.stopping.is_set():
-            turn += 1
+            number += 1
             try:
-                await step(turn)
+                await step(number)
             except GaveUp as error:
                 self.gave_up.append(str(error))
             await self.pause(self.random.uniform(0.5, 1.5) * mean)
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -98,8 +98,8 @@
         self.http = aiohttp.ClientSession(connector=SingleStepConnector(limit=0))
         await self.platform.start()
         self.settings = self.make_settings()
-        for name, one in self.settings.items():
-            self.platform.hostlist.put(name, one.zone, one.peer_listen)
+        for name, settings in self.settings.items():
+            self.platform.hostlist.put(name, settings.zone, settings.peer_listen)
         await asyncio.gather(*map(self.start_host, self.settings))
         await self.apply_configuration()
         await self.wait_until(self.in_force, "the configuration is not in force")
@@ -262,7 +262,9 @@
         for group in self.platform.groups.values():
             group.heal()
             for zone in self.partition.cut_off:
-                group.partition(*(one for one in group.members if zones[one] == zone))
+                group.partition(
+                    *(member for member in group.members if zones[member] == zone)
+                )
 
     def target_zones(self) -> dict[str, str]:
         """Return the zone of each target."""
@@ -294,7 +296,11 @@
     def addresses(self, workspace: str) -> list[str]:
         """Return the addresses of the hosts that serve the callers of a workspace."""
         zones = self.deployment.zones_of(workspace)
-        return [one.listen for one in self.settings.values() if one.zone in zones]
+        return [
+            settings.listen
+            for settings in self.settings.values()
+            if settings.zone in zones
+        ]
 
 
 def host_settings(
@@ -344,6 +350,6 @@
     """Return `count` unused loopback addresses."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in sockets:
-            one.bind((LOOPBACK, 0))
-        return [f"{LOOPBACK}:{one.getsockname()[1]}" for one in sockets]
+        for sock in sockets:
+            sock.bind((LOOPBACK, 0))
+        return [f"{LOOPBACK}:{sock.getsockname()[1]}" for sock in sockets]
--- a/tests/test_api_docs.py
+++ b/tests/test_api_docs.py
@@ -1,4 +1,4 @@
-"""The examples of docs/API.md, sent to hosts that serve the plant."""
+"""The examples of docs/API.md, run against hosts of the plant deployment."""
 
 import json
 import re
@@ -23,7 +23,7 @@
 
 
 class Shell:
-    """Do what the page's shell examples do, with aiohttp in place of curl."""
+    """Run the page's shell examples, with aiohttp instead of curl."""
 
     def __init__(self, host: str, http: aiohttp.ClientSession) -> None:
         self.http = http
@@ -50,7 +50,7 @@
             self.variables[name] = text
 
     async def call(self, command: str) -> dict[str, Any]:
-        """Send what a curl command sends and return the answer."""
+        """Send the request of a curl command and return the answer."""
         words = shlex.split(self.expanded(CURL.findall(command)[0]))
         url = next(word for word in words if word.startswith("http"))
         body = words[words.index("-d") + 1] if "-d" in words else None
@@ -66,7 +66,7 @@
         return answer
 
     def expanded(self, command: str) -> str:
-        """Put the variables' values into a command."""
+        """Expand the variables of a command."""
         joined = command.replace("'$ID'", "$ID")
         for name, value in self.variables.items():
             joined = joined.replace(f"${name}", value)
@@ -91,7 +91,7 @@
 
 
 @on_loop
-async def test_the_examples_of_the_page_work() -> None:
+async def test_examples_of_api_page_run() -> None:
     async with World(Deployment("plant")) as world:
         host = next(iter(world.settings.values())).listen
         async with aiohttp.ClientSession() as http:
--- a/tests/test_architecture_docs.py
+++ b/tests/test_architecture_docs.py
@@ -1,4 +1,4 @@
-"""The page on the architecture names what there is, and nothing else."""
+"""The architecture page lists exactly the existing modules and peer paths."""
 
 import re
 from pathlib import Path
@@ -15,14 +15,14 @@
     return {name for cell in cells for name in re.findall(r"`([a-z_]+)`", cell)}
 
 
-def test_the_map_names_each_module() -> None:
+def test_module_map_lists_every_module() -> None:
     names = {file.stem for file in SOURCES.rglob("*.py")} - {"__init__"}
     assert names
     tool = {name for name in names if name.startswith("command_")}
     assert rows(MAP, 2) == names - tool
 
 
-def test_the_table_names_each_peer_path() -> None:
+def test_peer_table_lists_every_path() -> None:
     texts = [file.read_text() for file in (SOURCES / "process").rglob("*.py")]
     constants = "(?:[A-Z_]*PATH|TAKEOVER|WORK|END|PROOF)"
     added = rf'(?:routes\.add\(|^{constants}: Final = )"([a-z_]+)"'
--- a/tests/test_daemon_imports.py
+++ b/tests/test_daemon_imports.py
@@ -1,4 +1,4 @@
-"""What each kind of host loads before it serves."""
+"""The modules that each kind of host loads at startup."""
 
 import subprocess
 import sys
@@ -6,8 +6,9 @@
 import pytest
 
 HEAVY = ("aiohttp", "aiomisc", "yarl", "jsonschema")
-"""Packages that take 0.05 s or more of a core to load, each for something that the
-platform does not need. Until a host that lost power has started, nobody is served."""
+"""Packages that take 0.05 s or more to import and that a platform host does not need;
+they would delay its restart.
+"""
 
 
 APART = [
@@ -20,16 +21,15 @@
         ("reedhook.process.primary_lease", "reedhook.process.discovery"),
     ),
 ]
-"""Where each kind of host is assembled, and what is the other kind's alone; a reader
-of one need not know the other."""
+"""The assembly module of each kind of host, and the packages of the other kind."""
 
 
-def test_a_host_on_the_platform_loads_nothing_heavy() -> None:
+def test_platform_host_imports_no_heavy_packages() -> None:
     assert loaded("reedhook.process.daemon, reedhook.platform.assembly", HEAVY) == []
 
 
 @pytest.mark.parametrize(("assembly", "foreign"), APART)
-def test_each_kind_of_host_loads_nothing_of_the_other(
+def test_host_kinds_do_not_import_each_other(
     assembly: str, foreign: tuple[str, ...]
 ) -> None:
     assert loaded(assembly, foreign) == []
--- a/tests/test_demo_bench.py
+++ b/tests/test_demo_bench.py
@@ -1,4 +1,4 @@
-"""The benchmarks' runner and plot."""
+"""The runner and the plot of the benchmarks."""
 
 from pathlib import Path
 
@@ -18,21 +18,21 @@
 
 
 @pytest.mark.parametrize("text", ["", "not JSON", "[1]"])
-def test_output_that_is_no_object_is_an_error(text: str) -> None:
+def test_output_without_json_object_is_an_error(text: str) -> None:
     assert "error" in read_figures(text)
 
 
-def test_output_that_is_an_object_is_taken_over() -> None:
+def test_json_object_output_is_returned() -> None:
     assert read_figures('{"median_us": 3}') == {"median_us": 3}
 
 
-def test_failed_benchmarks_are_left_out_of_the_plot(tmp_path: Path) -> None:
+def test_failed_benchmarks_are_omitted_from_plot(tmp_path: Path) -> None:
     path = tmp_path / "deep" / "bench.png"
     draw({"deployment": DEPLOYMENT, "hop": {"error": "not done"}}, path)
     assert path.read_bytes().startswith(b"\x89PNG")
 
 
-def test_without_figures_there_is_no_plot(tmp_path: Path) -> None:
+def test_no_figures_draw_no_plot(tmp_path: Path) -> None:
     path = tmp_path / "bench.png"
     draw({"hop": {"error": "not done"}}, path)
     assert not path.exists()
--- a/tests/test_demo_caller.py
+++ b/tests/test_demo_caller.py
@@ -1,4 +1,4 @@
-"""A caller retries by verdict and hint, with the same id, and moves on."""
+"""The caller retries by verdict and retry delay, with one id, at other hosts."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 
 class ScriptedHost:
-    """Answer requests by a script; `CUT` closes without an answer."""
+    """Answer requests with scripted replies; `CUT` closes without an answer."""
 
     def __init__(self, *script: Json | None) -> None:
         self.script = deque(script)
@@ -64,7 +64,7 @@
 
 
 class SleeplessClock(SystemClock):
-    """Note how long callers want to sleep, and let them go on at once."""
+    """Record the requested sleeps, and return at once."""
 
     def __init__(self) -> None:
         self.sleeps: list[float] = []
@@ -97,7 +97,7 @@
     return run(main())
 
 
-def test_a_refused_write_is_tried_again_with_the_same_id() -> None:
+def test_refused_write_is_retried_with_same_id() -> None:
     host = ScriptedHost(refusal("not run", 1), refusal("may have run", 1), DONE)
     history = play(lambda caller: caller.write(ORDER, 5.0), host)
     assert len({body["request_id"] for body in host.seen}) == 1
@@ -109,21 +109,21 @@
     assert {one.version for one in history.attempts} == {7}
 
 
-def test_the_retry_hint_is_kept() -> None:
+def test_retry_waits_for_the_hinted_delay() -> None:
     clock = SleeplessClock()
     host = ScriptedHost(refusal("not run", 80), DONE)
     play(lambda caller: caller.write(ORDER, 5.0), host, clock=clock)
     assert [slept for slept in clock.sleeps if slept] == [0.08]
 
 
-def test_no_hint_means_that_a_retry_cannot_help() -> None:
+def test_refusal_without_hint_is_not_retried() -> None:
     host = ScriptedHost(refusal("not run", None, "statement_failed"))
     with pytest.raises(GaveUp, match="statement_failed"):
         play(lambda caller: caller.write(ORDER, 5.0), host)
     assert len(host.seen) == 1
 
 
-def test_a_missed_deadline_is_tried_again_without_a_hint() -> None:
+def test_missed_deadline_is_retried_without_hint() -> None:
     host = ScriptedHost(refusal("may have run", None, "deadline"), DONE)
     history = play(lambda caller: caller.write(ORDER, 5.0), host)
     assert [one.verdict for one in history.attempts] == [
@@ -132,13 +132,13 @@
     ]
 
 
-def test_patience_ends() -> None:
+def test_caller_gives_up_after_time_limit() -> None:
     host = ScriptedHost(refusal("not run", 2000))
     with pytest.raises(GaveUp, match="still no_primary"):
         play(lambda caller: caller.write(ORDER, 1.0), host)
 
 
-def test_a_broken_answer_may_have_run_and_is_asked_for_at_another_host() -> None:
+def test_lost_answer_is_in_doubt_and_retried_at_another_host() -> None:
     first, second = ScriptedHost(CUT), ScriptedHost({**DONE, "repeated": True})
     history = play(lambda caller: caller.write(ORDER, 5.0), first, second)
     assert first.seen[0]["request_id"] == second.seen[0]["request_id"]
@@ -147,7 +147,7 @@
     assert answered.repeated
 
 
-def test_the_token_goes_along_to_the_next_host() -> None:
+def test_session_token_is_sent_to_next_host() -> None:
     first = ScriptedHost(DONE)
     second = ScriptedHost({**DONE, "rows": [["gate/1", "gate", 9]]})
 
@@ -163,14 +163,14 @@
     assert look.echoed == look.mark == "gate/1"
 
 
-def test_an_answer_to_another_read_is_recorded_as_such() -> None:
+def test_answer_with_foreign_mark_is_recorded() -> None:
     host = ScriptedHost({**DONE, "rows": [["skipper/4", "gate", 9]]})
     history = play(lambda caller: caller.read(LOOK, 5.0), host)
     (look,) = history.reads
     assert (look.mark, look.echoed) == ("gate/1", "skipper/4")
 
 
-def test_an_unreachable_host_means_not_run() -> None:
+def test_unreachable_host_is_recorded_as_not_run() -> None:
     host = ScriptedHost(DONE)
 
     async def from_nowhere(caller: Caller) -> Json:
--- a/tests/test_demo_outcome.py
+++ b/tests/test_demo_outcome.py
@@ -1,4 +1,4 @@
-"""The report of a day."""
+"""The report of a demo run."""
 
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
@@ -53,7 +53,7 @@
     return effects, history
 
 
-def test_a_day_with_a_failover_is_good() -> None:
+def test_run_with_failover_passes() -> None:
     effects, history = day(History())
     outcome = judge("plant", 3.0, history, effects, [])
     assert outcome.good
@@ -67,7 +67,7 @@
     assert "failover gap, killed m1" in text(outcome)
 
 
-def test_a_broken_promise_shows_and_is_not_good() -> None:
+def test_violation_is_reported_and_fails_the_run() -> None:
     effects, history = day(History())
     outcome = judge("plant", 3.0, history, effects[:1], [])
     assert not outcome.good
@@ -75,7 +75,7 @@
     assert "BROKEN: acknowledged writes lost: id-2" in text(outcome)
 
 
-def test_a_day_on_which_the_main_things_did_not_happen_is_not_good() -> None:
+def test_run_without_expected_events_fails() -> None:
     effects, history = day(History())
     history.attempts.pop()
     history.reads = [view(1.0, "primary")]
@@ -87,7 +87,7 @@
     ]
 
 
-def test_a_day_without_a_fault_is_not_good() -> None:
+def test_run_without_faults_fails() -> None:
     effects, history = day(History())
     history.faults.clear()
     outcome = judge("plant", 3.0, history, effects, [])
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1,9 +1,8 @@
-"""What the store holds reaches hundreds of hosts over thin links.
+"""Configuration versions reach hundreds of hosts over low-bandwidth links.
 
-The pattern: a version of the configuration that is longer than what a thin link
-carries in a second, then versions in quick succession. Where each host reads each
-version from the store, its link is taken for seconds; statements and heartbeats
-that wait behind it fail, and what is then tried anew keeps it taken.
+Guards against an outage by configuration traffic: when every host reads each long
+version from the store, its link is saturated, queued statements and heartbeats fail,
+and their retries keep it saturated.
 """
 
 import asyncio
@@ -14,16 +13,16 @@
 from .thin_links import ThinWorld
 
 MEGABIT = 125_000.0
-"""Bytes a second of 1 Mbit/s; the thinnest links that are described have 5."""
+"""Bytes per second of 1 Mbit/s; the slowest supported links have 5 Mbit/s."""
 
 IN_FORCE = 6.0
-"""Seconds in which a version must be in force where there are as many hosts."""
+"""Seconds in which a version must be in force on clusters of this size."""
 
 BACK = 5.0
 """Seconds after the last version in which statements must be served again."""
 
 SERVED = 0.95
-"""Share of the statements that are answered in time, also beside the versions."""
+"""Minimum fraction of statements answered in time, also during the versions."""
 
 ROUTES = 1500
 VERSIONS = 12
@@ -32,7 +31,7 @@
 
 @pytest.mark.parametrize(("routes", "rate"), [(ROUTES, 1), (ROUTES, 2), (4500, 1)])
 @in_virtual_time
-async def test_long_versions_in_succession_leave_the_links_to_statements(
+async def test_successive_long_versions_leave_bandwidth_for_statements(
     routes: int, rate: int
 ) -> None:
     world = ThinWorld(hosts=96, zones=6, rate=rate * MEGABIT, seed=1)
@@ -47,8 +46,7 @@
     assert world.served(begun, ended + BACK) > SERVED
     assert world.served(ended + BACK, loop.time() - 1.0) > SERVED
     if rate > 1:
-        # Over 1 Mbit/s the store's answer alone takes 3 s, and the next one begins
-        # after it: two of them and the way on are more than 6 s.
+        # At 1 Mbit/s the store's answer takes 3 s; two of them exceed `IN_FORCE`.
         assert max(map(world.lateness, world.written)) < IN_FORCE
     assert not any(host.backwards for host in world.hosts.values())
     world.stop()
@@ -56,7 +54,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @in_virtual_time
-async def test_a_version_is_in_force_in_time_though_relays_end(seed: int) -> None:
+async def test_version_is_in_force_in_time_after_relays_stop(seed: int) -> None:
     world = ThinWorld(hosts=48, zones=4, rate=10 * MEGABIT, seed=seed)
     await world.start()
     for zone in ("z0", "z1"):
@@ -70,7 +68,7 @@
 
 @pytest.mark.parametrize("silent", ["relays", "zone"])
 @in_virtual_time
-async def test_a_version_passes_hosts_that_the_store_does_not_answer(
+async def test_version_propagates_past_hosts_without_store_access(
     silent: str,
 ) -> None:
     world = ThinWorld(hosts=48, zones=4, rate=10 * MEGABIT, seed=2)
@@ -90,19 +88,19 @@
 
 @pytest.mark.parametrize("hosts", [48, 192])
 @in_virtual_time
-async def test_calls_to_the_store_do_not_grow_with_the_hosts(hosts: int) -> None:
+async def test_store_calls_do_not_grow_with_host_count(hosts: int) -> None:
     world = ThinWorld(hosts=hosts, zones=6, rate=10 * MEGABIT, seed=3)
     await world.start()
     before = world.calls()["changes"]
     await asyncio.sleep(30.0)
     asked = world.calls()["changes"] - before
-    # Two hosts of each of 6 zones ask about every 2 s.
+    # Two hosts of each of 6 zones poll about every 2 s.
     assert asked < 6 * 2 * 30.0 / 1.5
     world.stop()
 
 
 @in_virtual_time
-async def test_what_was_deleted_is_gone_everywhere() -> None:
+async def test_deleted_keys_disappear_on_all_hosts() -> None:
     world = ThinWorld(hosts=24, zones=3, rate=10 * MEGABIT, seed=4)
     await world.start()
     for number in range(20):
@@ -112,7 +110,8 @@
         assert len(host.announcements.host_items) == 20
     for number in range(20):
         world.store.write(f"reedhook/hosts/n{number}", None)
-    # The first deletion has answered the questions; those after it are forgotten.
+    # The first deletion ends the long polls; the later ones are dropped with the
+    # history.
     await asyncio.sleep(0.1)
     world.store.forget()
     await asyncio.sleep(8.0)
@@ -122,7 +121,7 @@
 
 
 @in_virtual_time
-async def test_a_history_that_is_dropped_sends_nobody_to_the_store() -> None:
+async def test_compacted_history_causes_no_store_calls_of_followers() -> None:
     world = ThinWorld(hosts=48, zones=4, rate=10 * MEGABIT, seed=5)
     await world.start()
     relays = {ref.host for zone in range(4) for ref in world.relays(f"z{zone}")}
--- a/tests/test_docstrings.py
+++ b/tests/test_docstrings.py
@@ -1,4 +1,4 @@
-"""Every module and public item says what it is for."""
+"""Every module and public item has a doc comment."""
 
 import importlib
 import inspect
@@ -24,7 +24,7 @@
 def undocumented(module: ModuleType) -> list[str]:
     """Return the public items of a module without a doc comment.
 
-    A method has the one of what it overrides.
+    A method inherits the doc comment of the method that it overrides.
     """
     missing = [] if module.__doc__ else [module.__name__]
     for name, item in vars(module).items():
@@ -54,5 +54,5 @@
 
 
 @pytest.mark.parametrize("module", list(modules()), ids=lambda one: one.__name__)
-def test_every_public_item_says_what_it_is_for(module: ModuleType) -> None:
+def test_every_public_item_has_a_doc_comment(module: ModuleType) -> None:
     assert undocumented(module) == []
--- a/tests/test_failover_gap.py
+++ b/tests/test_failover_gap.py
@@ -1,4 +1,4 @@
-"""For how long no write is accepted once a primary answers nobody any more."""
+"""The duration without accepted writes after a primary stops answering."""
 
 import asyncio
 
@@ -9,27 +9,27 @@
 from .test_session_world import first_success, traffic
 
 MEAN = 1.08
-"""Seconds in the mean of courses of events: 0.2 until the primary counts as quiet and
-half a tick of 0.1, 0.1 for a sign of life, 0.4 for new connections to it, 0.3 for the
-promotion, and 0.03 for ten calls."""
+"""Seconds on average: 0.2 until the primary counts as quiet, half a tick of 0.1, 0.1
+for a liveness probe, 0.4 for new connections, 0.3 for the promotion, 0.03 for ten
+calls.
+"""
 
 LONGEST = 1.13
-"""Seconds; of these 0.3 are the promotion itself. It was 1.14 to 1.24 while others
-were asked only after the primary had been waited for."""
+"""Seconds, of which the promotion takes 0.3."""
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_dark_primary_is_replaced_soon(seed: int) -> None:
+def test_failover_time_after_primary_stops(seed: int) -> None:
     assert run_virtual(seconds_without_writes(seed)) <= LONGEST
 
 
-def test_a_dark_primary_is_replaced_soon_in_the_mean() -> None:
+def test_mean_failover_time_after_primary_stops() -> None:
     gaps = [run_virtual(seconds_without_writes(seed)) for seed in range(12)]
     assert sum(gaps) / len(gaps) <= MEAN
 
 
 async def seconds_without_writes(seed: int) -> float:
-    """Return after how long a write is accepted once the primary is dark."""
+    """Return the seconds from the failure of the primary to the next accepted write."""
     world = SessionWorld(seed)
     await world.start()
     running = asyncio.create_task(traffic(world, 4.0, seed))
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The check of what callers saw, on crafted histories."""
+"""The guarantee checks on crafted histories of callers."""
 
 import pytest
 
@@ -83,7 +83,7 @@
 EFFECTS = [effect("a", 1, 1.1), effect("b", 2, 2.1)]
 
 
-def test_a_history_that_keeps_all_promises_passes() -> None:
+def test_history_without_violations_passes() -> None:
     reads = [
         read(2, 2.3, Consistency.FRESH),
         read(2, 2.5, Consistency.SESSION),
@@ -93,26 +93,26 @@
     assert found([FIRST, SECOND], reads, EFFECTS) == []
 
 
-def test_an_acknowledged_write_that_no_group_holds_is_lost() -> None:
+def test_missing_acknowledged_write_is_reported_as_lost() -> None:
     assert found([FIRST, SECOND], [], EFFECTS[:1]) == [Promise.LOST]
 
 
-def test_a_write_in_doubt_may_be_missing() -> None:
+def test_write_in_doubt_may_be_missing() -> None:
     doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
     assert found([FIRST, doubt], [], EFFECTS[:1]) == []
 
 
-def test_a_write_that_took_effect_twice_is_doubled() -> None:
+def test_write_with_two_effects_is_reported_as_doubled() -> None:
     again = [*EFFECTS, effect("b", 2, 2.4)]
     assert found([FIRST, SECOND], [], again) == [Promise.DOUBLED]
 
 
-def test_not_run_with_an_effect_is_untrue() -> None:
+def test_effect_of_write_answered_not_run_is_reported() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
     assert found([FIRST, refused], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
 
 
-def test_a_retry_explains_only_effects_that_come_after_it() -> None:
+def test_attempt_explains_only_later_effects() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
     retry = attempt("b", 2, 3.0, 3.2)
     early = [EFFECTS[0], effect("b", 2, 2.1)]
@@ -121,7 +121,7 @@
     assert found([FIRST, refused, retry], [], late) == []
 
 
-def test_a_repeated_answer_does_not_explain_a_run_before_its_attempt() -> None:
+def test_repeated_answer_does_not_explain_earlier_effect() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
     doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
     retry = attempt("b", 2, 3.0, 3.2, repeated=True)
@@ -129,36 +129,36 @@
     assert found([FIRST, doubt, retry], [], EFFECTS) == []
 
 
-def test_a_repeated_answer_may_repeat_a_run_of_its_own_attempt() -> None:
+def test_repeated_answer_may_explain_effect_during_its_attempt() -> None:
     once = attempt("b", 2, 2.0, 2.2, repeated=True)
     assert found([FIRST, once], [], EFFECTS) == []
 
 
-def test_an_effect_that_no_attempt_explains_is_reported() -> None:
+def test_effect_without_attempt_is_reported() -> None:
     assert found([FIRST], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
 
 
-def test_a_fresh_read_must_see_what_was_acknowledged_before_it_began() -> None:
+def test_fresh_read_must_see_earlier_acknowledged_write() -> None:
     stale = read(1, 2.3, Consistency.FRESH, session="viewer")
     assert found([FIRST, SECOND], [stale], EFFECTS) == [Promise.STALE_FRESH]
 
 
-def test_a_fresh_read_may_miss_what_was_acknowledged_meanwhile() -> None:
+def test_fresh_read_may_miss_concurrent_write() -> None:
     meanwhile = read(1, 2.15, Consistency.FRESH, session="viewer")
     assert found([FIRST, SECOND], [meanwhile], EFFECTS) == []
 
 
-def test_a_session_read_must_see_the_session_s_own_write() -> None:
+def test_session_read_must_see_own_write() -> None:
     miss = read(1, 2.3, Consistency.SESSION)
     assert found([FIRST, SECOND], [miss], EFFECTS) == [Promise.SESSION]
 
 
-def test_a_session_read_may_miss_the_writes_of_others() -> None:
+def test_session_read_may_miss_writes_of_other_sessions() -> None:
     other = read(1, 2.3, Consistency.SESSION, session="skipper")
     assert found([FIRST, SECOND], [other], EFFECTS) == []
 
 
-def test_a_session_never_runs_backwards() -> None:
+def test_session_reads_are_monotonic() -> None:
     reads = [
         read(2, 2.3, Consistency.SESSION, session="skipper"),
         read(1, 2.5, Consistency.SESSION, session="skipper"),
@@ -167,17 +167,17 @@
 
 
 @pytest.mark.parametrize(("age", "broken"), [(0.1, [Promise.AGE]), (0.95, [])])
-def test_a_told_age_is_an_upper_bound(age: float, broken: list[Promise]) -> None:
+def test_reported_age_is_an_upper_bound(age: float, broken: list[Promise]) -> None:
     bounded = read(1, 3.0, Consistency.MAX_AGE, age=age, session="clerk")
     assert found([FIRST, SECOND], [bounded], EFFECTS) == broken
 
 
-def test_an_age_is_held_against_the_acknowledgement_without_a_commit_time() -> None:
+def test_age_is_checked_by_acknowledgement_without_commit_time() -> None:
     effects = [effect("a", 1, None), effect("b", 2, None)]
     bounded = read(1, 3.0, Consistency.MAX_AGE, age=0.5, session="clerk")
     assert found([FIRST, SECOND], [bounded], effects) == [Promise.AGE]
 
 
-def test_an_answer_to_another_request_is_reported() -> None:
+def test_answer_to_another_request_is_reported() -> None:
     foreign = read(2, 2.3, Consistency.SESSION, echoed="another")
     assert found([FIRST, SECOND], [foreign], EFFECTS) == [Promise.MIXED]
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The judge of promises notices each kind of broken one."""
+"""The `Promises` checks detect each kind of violation."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Case:
-    """Hold a group, its judge, and a clock that is set by hand."""
+    """Hold a group, its checks, and a clock set by the test."""
 
     def __init__(self) -> None:
         self.group = DatabaseGroup("db", ["z0", "z1", "z2"])
@@ -25,17 +25,17 @@
         return DatabaseSession(self.group.members[target])
 
     def sent(self, id: str, text: str, transaction: str = "") -> TargetQuery:
-        """Remember a statement as sent; return it for a target."""
+        """Record a statement as sent; return it as a query to a target."""
         self.promises.sent[id] = Sent(text, transaction, {}, {})
         return TargetQuery(id, text)
 
     def broken(self) -> str:
-        """Return what was found."""
+        """Return the violations found."""
         return "\n".join(self.promises.violations)
 
 
 def viewer(kind: RouteConsistency, max_age: float | None, session: str = "s") -> Viewer:
-    """Return a reader that has set and prepared nothing."""
+    """Return a reader whose session has no settings or prepared statements."""
     return Viewer("c1", session, kind, max_age, {}, {})
 
 
@@ -58,7 +58,7 @@
         (RouteConsistency.OWN_WRITES, 2.5, 2.6, "other", True),
     ],
 )
-def test_a_read_that_misses_a_commit(
+def test_read_that_misses_required_commit_is_reported(
     kind: RouteConsistency, max_age: float | None, age: float, session: str, stale: bool
 ) -> None:
     async def run() -> None:
@@ -73,7 +73,7 @@
     asyncio.run(run())
 
 
-def test_a_commit_that_a_promotion_rolled_back_need_not_be_seen() -> None:
+def test_read_may_miss_commit_rolled_back_by_promotion() -> None:
     async def run() -> None:
         one = Case()
         position = await a_write(one)
@@ -88,7 +88,7 @@
     asyncio.run(run())
 
 
-def test_a_commit_at_a_former_primary_is_not_to_be_acknowledged() -> None:
+def test_acknowledged_commit_at_former_primary_is_reported() -> None:
     async def run() -> None:
         one = Case()
         await one.group.promote("db-2")
@@ -99,7 +99,7 @@
     asyncio.run(run())
 
 
-def test_a_statement_that_nobody_sent() -> None:
+def test_statement_that_was_not_sent_is_reported() -> None:
     async def run() -> None:
         one = Case()
         one.session().run(TargetQuery("x", "READ a"))
@@ -109,7 +109,7 @@
     asyncio.run(run())
 
 
-def test_a_statement_outside_its_transaction_or_on_another_connection() -> None:
+def test_statement_outside_its_transaction_is_reported() -> None:
     async def run() -> None:
         one = Case()
         one.session().run(one.sent("a", "READ a", "t1"))
@@ -124,7 +124,7 @@
     asyncio.run(run())
 
 
-def test_a_statement_that_meets_values_of_another_session() -> None:
+def test_statement_with_settings_of_another_session_is_reported() -> None:
     async def run() -> None:
         one = Case()
         session = one.session()
@@ -135,7 +135,7 @@
     asyncio.run(run())
 
 
-def test_a_write_that_takes_effect_twice() -> None:
+def test_write_with_two_effects_is_reported() -> None:
     async def run() -> None:
         one = Case()
         query = one.sent("w", "WRITE a b")
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("promised_first", [True, False])
-def test_a_write_that_was_said_not_to_be_kept(promised_first: bool) -> None:
+def test_effect_of_write_answered_not_run_is_reported(promised_first: bool) -> None:
     async def run() -> None:
         one = Case()
         query = one.sent("w", "WRITE a b")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Real hosts under faults from outside, for some seconds."""
+"""Real host processes keep the guarantees under faults for some seconds."""
 
 import asyncio
 from pathlib import Path
@@ -11,18 +11,18 @@
 
 SEEDS = [
     (1, 8.0),
-    # The first statement of a transaction ran at a second replica, after the host
-    # of the first one had been killed.
+    # Guards against a transaction that continues at a second replica after the host of
+    # the first one was killed.
     (100, 20.0),
     (102, 20.0),
-    # A host that started was ended by a reload that it did not handle yet.
+    # Guards against SIGHUP ending a host that has not installed its handler yet.
     (91000, 30.0),
 ]
-"""Seeds and seconds of faults; any that ever failed stays, with its cause."""
+"""Seeds with seconds of faults; failed seeds stay as regression cases."""
 
 
 @pytest.mark.parametrize(("seed", "seconds"), SEEDS)
-def test_promises_hold_among_processes(
+def test_guarantees_hold_under_process_faults(
     seed: int, seconds: float, tmp_path: Path
 ) -> None:
     soak = Soak(seed, HOSTS, seconds, tmp_path)
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, started and ended by faults that overlap."""
+"""The host processes of the soak test under overlapping start and end faults."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 
 
 class Process:
-    """Stand in for a process."""
+    """Imitate a subprocess."""
 
     def __init__(self) -> None:
         self.returncode: int | None = None
@@ -18,35 +18,35 @@
         self.signals: list[int] = []
 
     def send_signal(self, number: int) -> None:
-        """Note a signal; end by one that kills."""
+        """Record a signal; exit on SIGKILL."""
         self.signals.append(number)
         if number == signal.SIGKILL:
             self.finish(-number)
 
     def kill(self) -> None:
-        """End at once."""
+        """Exit as killed."""
         self.send_signal(signal.SIGKILL)
 
     def finish(self, code: int) -> None:
-        """End with a code."""
+        """Exit with a code."""
         self.returncode = code
         self.over.set()
 
     async def wait(self) -> int | None:
-        """Wait for the end."""
+        """Wait for the exit."""
         await self.over.wait()
         return self.returncode
 
 
 class Launches:
-    """Hand out processes once ``ready`` is set."""
+    """Create processes once ``ready`` is set."""
 
     def __init__(self) -> None:
         self.ready = asyncio.Event()
         self.processes: list[Process] = []
 
     async def launch(self, *words: str, **options: object) -> Process:
-        """Return a new process, as slowly as the test wishes."""
+        """Return a new process after ``ready`` is set."""
         await self.ready.wait()
         self.processes.append(Process())
         return self.processes[-1]
@@ -55,7 +55,7 @@
 def host(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[HostProcess, Launches]:
-    """Return a host whose processes are stand-ins."""
+    """Return a host whose processes are fakes."""
     launches = Launches()
     monkeypatch.setattr(asyncio, "create_subprocess_exec", launches.launch)
     one = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
@@ -66,7 +66,7 @@
 async def started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[HostProcess, Launches]:
-    """Return a host that runs its first process."""
+    """Return a host whose first process runs."""
     one, launches = host(tmp_path, monkeypatch)
     launches.ready.set()
     await one.start()
@@ -79,7 +79,7 @@
         await asyncio.sleep(0)
 
 
-def test_a_killed_process_is_not_said_to_have_ended_by_itself(
+def test_killed_process_is_not_reported_as_unexpected_exit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -96,7 +96,7 @@
     asyncio.run(scenario())
 
 
-def test_a_process_that_ends_unasked_is_told(
+def test_unexpected_exit_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -107,7 +107,7 @@
     asyncio.run(scenario())
 
 
-def test_two_faults_that_start_a_host_start_one_process(
+def test_concurrent_starts_launch_one_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -122,7 +122,7 @@
     asyncio.run(scenario())
 
 
-def test_a_late_end_by_force_spares_the_next_process(
+def test_delayed_kill_spares_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
@@ -139,7 +139,7 @@
     asyncio.run(scenario())
 
 
-def test_a_host_that_is_told_to_end_starts_again_once_it_ended(
+def test_start_waits_for_graceful_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
--- a/tests/test_standin_control.py
+++ b/tests/test_standin_control.py
@@ -1,4 +1,4 @@
-"""Faults switched by hand over HTTP."""
+"""Fault injection through the control service over HTTP."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -18,7 +18,7 @@
 
 
 class Hand:
-    """Call the control as a person does."""
+    """Call the control service."""
 
     def __init__(self, platform: Platform, control: Control) -> None:
         self.platform = platform
@@ -46,7 +46,7 @@
 
 
 @using(hand_of)
-async def test_a_member_is_killed_and_revived_at_its_address(hand: Hand) -> None:
+async def test_revived_member_keeps_its_address(hand: Hand) -> None:
     member = hand.platform.members()["feedlog-1-a"]
     address = member.address
     await hand.call("kill", member=member.name)
@@ -59,7 +59,7 @@
 
 
 @using(hand_of)
-async def test_faults_reach_the_stand_ins(hand: Hand) -> None:
+async def test_control_calls_set_faults_of_stand_ins(hand: Hand) -> None:
     platform = hand.platform
     member = platform.members()["feedlog-1-a"]
     await hand.call("pause", member=member.name)
@@ -88,7 +88,7 @@
 
 
 @using(hand_of)
-async def test_an_unknown_call_member_or_fault_is_refused(hand: Hand) -> None:
+async def test_unknown_call_member_or_fault_is_refused(hand: Hand) -> None:
     await hand.call("explode", 404)
     await hand.call("kill", 404, member="nobody")
     await hand.call("store", 400, broken=True)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("name", ["plant", "danube"])
-def test_the_base_files_give_each_member_a_port_of_its_own(name: str) -> None:
+def test_base_files_assign_unique_member_ports(name: str) -> None:
     ports = base_ports(Deployment(name))
     assert len(ports) == 9
     assert len(set(ports.values())) == 9
--- a/tests/test_standin_group.py
+++ b/tests/test_standin_group.py
@@ -1,4 +1,4 @@
-"""Terms, replication and truth of the stand-in of a database group."""
+"""Terms, replication and ground truth of the stand-in of a database group."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 @using(group_of)
-async def test_the_first_member_opens_the_first_term(group: GroupStandin) -> None:
+async def test_first_member_opens_first_term(group: GroupStandin) -> None:
     states = [
         await (await connect(member)).state(1.0) for member in group.members.values()
     ]
@@ -34,7 +34,7 @@
 
 
 @using(group_of)
-async def test_ship_lag_delays_what_is_held_and_apply_lag_what_reads_see(
+async def test_ship_lag_delays_held_and_apply_lag_delays_visible_entries(
     group: GroupStandin,
 ) -> None:
     one = await connect(group.primary)
@@ -54,7 +54,7 @@
 
 
 @using(group_of)
-async def test_the_lags_add_up(group: GroupStandin) -> None:
+async def test_ship_and_apply_lag_add_up(group: GroupStandin) -> None:
     group.set_lag(0.1, 0.15)
     one = await connect(group.primary)
     other = await connect(group.members["m2"])
@@ -65,7 +65,7 @@
 
 
 @using(group_of)
-async def test_a_partition_stops_replication_until_it_heals(
+async def test_partition_stops_replication_until_healed(
     group: GroupStandin,
 ) -> None:
     one = await connect(group.primary)
@@ -80,7 +80,7 @@
 
 
 @using(group_of)
-async def test_a_promise_fences_the_primary_and_its_open_transaction(
+async def test_promised_term_fences_primary_and_open_transaction(
     group: GroupStandin,
 ) -> None:
     writer = await connect(group.primary)
@@ -96,7 +96,7 @@
 
 
 @using(group_of)
-async def test_a_write_that_waits_for_its_slot_when_the_term_rises_does_not_run(
+async def test_write_queued_during_term_change_does_not_run(
     group: GroupStandin,
 ) -> None:
     group.primary.statement_time = 0.2
@@ -111,7 +111,7 @@
 
 
 @using(group_of)
-async def test_a_term_is_promised_to_one_owner_and_only_that_one_promotes(
+async def test_term_is_promised_to_one_owner_who_alone_promotes(
     group: GroupStandin,
 ) -> None:
     replica = await connect(group.members["m2"])
@@ -134,7 +134,7 @@
 
 
 @using(group_of)
-async def test_a_replica_that_promised_more_takes_nothing_from_the_old_primary(
+async def test_replica_with_higher_promise_ignores_old_primary(
     group: GroupStandin,
 ) -> None:
     writer = await connect(group.primary)
@@ -149,7 +149,7 @@
 
 
 @using(group_of)
-async def test_entries_that_the_new_primary_lacks_are_dropped_and_their_ids_freed(
+async def test_entries_missing_on_new_primary_are_dropped_with_their_ids(
     group: GroupStandin,
 ) -> None:
     old = await connect(group.members["m1"])
@@ -169,7 +169,7 @@
     await applied(old, kept.position)
     read = await old.read(SELECT, [], 1.0)
     assert read.rows == [["pomace"], ["citrus"]]
-    # The dropped request may run now, the kept one may not again.
+    # The id of the dropped request may run now, the kept one may not run again.
     again = await new.write(INSERT, ["manure"], request_id(2), 1.0)
     assert not again.repeated
     once = await new.write(INSERT, ["pomace"], request_id(1), 1.0)
@@ -177,7 +177,7 @@
 
 
 @using(group_of)
-async def test_an_isolated_primary_still_believes_that_it_leads(
+async def test_isolated_primary_keeps_primary_role(
     group: GroupStandin,
 ) -> None:
     group.partition("m1")
@@ -192,7 +192,7 @@
 
 
 @using(group_of)
-async def test_a_repeated_request_is_known_to_the_promoted_replica(
+async def test_promoted_replica_recognizes_repeated_request(
     group: GroupStandin,
 ) -> None:
     old = await connect(group.members["m1"])
@@ -209,7 +209,7 @@
 
 
 @using(group_of)
-async def test_following_raises_the_promise_of_a_member_that_missed_the_vote(
+async def test_follow_raises_promise_of_member_that_missed_the_vote(
     group: GroupStandin,
 ) -> None:
     await change_primary(group, "m2", 2, ["m1", "m2"])
@@ -224,7 +224,7 @@
 
 
 @using(group_of)
-async def test_a_held_open_question_is_answered_on_a_change_or_at_its_end(
+async def test_long_poll_returns_on_change_or_timeout(
     group: GroupStandin,
 ) -> None:
     writer = await connect(group.primary)
@@ -238,7 +238,7 @@
 
 
 @using(group_of)
-async def test_the_true_age_begins_with_the_first_entry_that_is_missed(
+async def test_true_age_starts_at_first_missed_entry(
     group: GroupStandin,
 ) -> None:
     writer = await connect(group.primary)
--- a/tests/test_standin_member.py
+++ b/tests/test_standin_member.py
@@ -43,29 +43,27 @@
     ],
 )
 @using(lambda: group_of(count=1))
-async def test_a_read_that_would_change_something_fails(
-    group: GroupStandin, sql: str
-) -> None:
+async def test_read_with_side_effect_fails(group: GroupStandin, sql: str) -> None:
     connection = await connect(group.primary)
     assert await refusal_code(connection.read(sql, [], 10.0)) == "statement_failed"
     assert (await connection.read(SELECT, [], 1.0)).rows == []
 
 
 @using(lambda: group_of(count=1))
-async def test_a_failed_write_leaves_nothing_behind(group: GroupStandin) -> None:
+async def test_failed_write_has_no_effect(group: GroupStandin) -> None:
     connection = await connect(group.primary)
     await connection.write(INSERT, ["pomace"], None, 1.0)
     before = await connection.state(1.0)
     code = await refusal_code(connection.write(INSERT, ["pomace"], request_id(1), 1.0))
     assert code == "statement_failed"
     assert (await connection.state(1.0)).held == before.held
-    # The id of a request that failed is free for its retry.
+    # A failed request leaves its id free for a retry.
     again = await connection.write(INSERT, ["manure"], request_id(1), 1.0)
     assert not again.repeated
 
 
 @using(group_of)
-async def test_a_request_id_runs_once_and_gives_the_first_result(
+async def test_repeated_request_id_returns_first_result(
     group: GroupStandin,
 ) -> None:
     one = await connect(group.primary)
@@ -84,7 +82,7 @@
 
 
 @using(lambda: group_of(count=1))
-async def test_a_request_id_of_another_statement_is_refused(
+async def test_request_id_with_different_statement_is_refused(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -96,7 +94,7 @@
 
 
 @using(lambda: group_of(count=1))
-async def test_an_id_is_known_for_a_day_and_then_refused(group: GroupStandin) -> None:
+async def test_request_id_expires_after_a_day(group: GroupStandin) -> None:
     connection = await connect(group.primary)
     write = connection.write
     await write(INSERT, ["pomace"], request_id(1), 1.0)
@@ -113,14 +111,14 @@
 
 @pytest.mark.parametrize("bad", ["", "1-short", "x" * 30, f"{ISSUED}-no spaces!"])
 @using(lambda: group_of(count=1))
-async def test_a_malformed_request_id_is_refused(group: GroupStandin, bad: str) -> None:
+async def test_malformed_request_id_is_refused(group: GroupStandin, bad: str) -> None:
     connection = await connect(group.primary)
     code = await refusal_code(connection.write(INSERT, ["pomace"], bad, 1.0))
     assert code == "bad_request"
 
 
 @using(group_of)
-async def test_a_transaction_is_seen_by_no_one_else_before_its_commit(
+async def test_uncommitted_transaction_is_invisible_to_others(
     group: GroupStandin,
 ) -> None:
     one = await connect(group.primary)
@@ -141,7 +139,7 @@
 
 
 @using(group_of)
-async def test_closing_the_connection_rolls_back_and_frees_the_way(
+async def test_closed_connection_rolls_back_and_releases_lock(
     group: GroupStandin,
 ) -> None:
     one = await connect(group.primary)
@@ -156,7 +154,7 @@
 
 
 @using(group_of)
-async def test_an_idle_transaction_on_a_silent_connection_is_rolled_back(
+async def test_idle_transaction_on_silent_connection_is_rolled_back(
     group: GroupStandin,
 ) -> None:
     group.primary.idle_limit = 0.1
@@ -183,7 +181,7 @@
 
 
 @using(lambda: group_of(slots=2))
-async def test_slots_bound_what_runs_at_once_and_the_wait_is_bounded(
+async def test_slots_limit_concurrency_and_waits_time_out(
     group: GroupStandin,
 ) -> None:
     group.primary.statement_time = 60.0
@@ -197,7 +195,7 @@
 
 
 @using(group_of)
-async def test_silenced_connections_never_answer_while_new_ones_work(
+async def test_silenced_connections_hang_while_new_ones_work(
     group: GroupStandin,
 ) -> None:
     old = await connect(group.primary)
@@ -210,7 +208,7 @@
 
 
 @using(lambda: group_of(connections=1))
-async def test_a_silent_connection_counts_until_the_target_notices(
+async def test_silent_connection_counts_until_detected(
     group: GroupStandin,
 ) -> None:
     group.primary.linger = 0.3
@@ -225,7 +223,7 @@
 
 
 @using(group_of)
-async def test_a_statement_in_progress_when_the_connection_goes_silent_runs(
+async def test_running_statement_completes_on_silenced_connection(
     group: GroupStandin,
 ) -> None:
     group.primary.statement_time = 0.1
@@ -240,7 +238,7 @@
 
 
 @using(group_of)
-async def test_a_paused_member_answers_nothing_and_then_goes_on(
+async def test_paused_member_hangs_until_resumed(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -255,7 +253,7 @@
 
 
 @using(group_of)
-async def test_a_member_killed_in_a_statement_forgets_it_and_keeps_what_it_held(
+async def test_killed_member_loses_running_statement_and_keeps_log(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -280,7 +278,7 @@
 
 @pytest.mark.parametrize("cut", [Cut.REFUSE, Cut.HANG])
 @using(group_of)
-async def test_a_cut_client_reaches_nothing_while_others_do(
+async def test_cut_client_is_isolated_while_others_work(
     group: GroupStandin, cut: Cut
 ) -> None:
     one = await connect(group.primary, "h1")
@@ -297,7 +295,7 @@
 
 
 @using(group_of)
-async def test_a_leaving_member_refuses_new_work_after_its_grace(
+async def test_leaving_member_refuses_new_work_after_grace_period(
     group: GroupStandin,
 ) -> None:
     connection = await connect(group.primary)
@@ -313,7 +311,7 @@
 
 
 @using(group_of)
-async def test_opening_a_connection_takes_its_set_up_time_once(
+async def test_connection_setup_time_applies_once(
     group: GroupStandin,
 ) -> None:
     group.primary.setup_time = 0.3
--- a/tests/test_standin_replicated.py
+++ b/tests/test_standin_replicated.py
@@ -1,4 +1,4 @@
-"""The rules of terms and logs, for any order of steps."""
+"""Invariants of terms and logs, for any order of steps."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -14,7 +14,7 @@
 
 
 class StepClock(Clock):
-    """Advance by a second with each look."""
+    """Advance by a second with each reading."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -31,9 +31,9 @@
 
 
 class GroupModel:
-    """Drive a group without connections, and note what was acknowledged.
+    """Drive a group without connections, and record acknowledged entries.
 
-    :ivar granted: what each member held when it granted a term, by term and
+    :ivar granted: the last position of each member that granted a term, by term and
         owner.
     :ivar led: the member that a coordinator promoted, by term and owner.
     """
@@ -51,7 +51,7 @@
         return list(self.group.members.values())
 
     def campaign(self, voters: list[str], owner: str, raised: int) -> None:
-        """Ask for a term that is not lower than the voters' promises."""
+        """Request promises of a term that is not lower than the voters' promises."""
         states = [self.group.members[name].state for name in voters]
         term = max(state.promised for state in states) + raised
         for state in states:
@@ -60,7 +60,7 @@
             grants.setdefault(state.member, state.held)
 
     def promote(self, owner: str) -> None:
-        """Promote the best voter of the owner's last term with a majority."""
+        """Promote the best voter of the owner's last term, given a majority."""
         won = [
             term
             for (term, one), granted in self.granted.items()
@@ -76,7 +76,7 @@
         self.group.truth.lead(state.leader_term, state.log)
 
     def follow(self, name: str, back: int) -> None:
-        """Follow one of the last primaries."""
+        """Follow one of the latest primaries."""
         led = sorted(self.led.items())
         if len(led) <= back:
             return
@@ -85,13 +85,13 @@
             self.group.members[name].state.follow(term, primary)
 
     def write(self, number: int) -> None:
-        """Write on one of the members that believe that they lead."""
+        """Write on one of the members that act as primary."""
         leaders = [one for one in self.members if one.state.leader == one.name]
         change = Change("CREATE TABLE IF NOT EXISTS t (a)", [])
         leaders[number % len(leaders)].state.write(change, None)
 
     def ship(self, name: str, most: int) -> None:
-        """Let a member pull some entries of its primary."""
+        """Pull some entries from the member's primary."""
         member = self.group.members[name]
         for _ in range(most):
             entry = member.replication.next_entry()
@@ -99,7 +99,7 @@
                 member.state.take(entry)
 
     def acknowledge(self) -> None:
-        """Acknowledge what a majority holds in the term of its primary."""
+        """Acknowledge the entries that a majority holds in the term of its primary."""
         for leader in self.members:
             state = leader.state
             if state.leader != leader.name:
@@ -128,7 +128,7 @@
 
 @settings(max_examples=150)
 @given(st.lists(steps, min_size=20, max_size=60))
-def test_logs_agree_and_nothing_acknowledged_is_lost(
+def test_logs_match_and_acknowledged_entries_survive(
     taken: list[tuple[str, object]],
 ) -> None:
     model = GroupModel()
@@ -152,7 +152,7 @@
 
 
 def check_matching(one: MemberStandin, other: MemberStandin) -> None:
-    """Logs that share a position share all entries up to it."""
+    """Check that logs with a common position share all entries up to it."""
     left = one.state.log.entries
     right = other.state.log.entries
     shared = one.state.log.shared(other.state.log)
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -1,9 +1,8 @@
-"""Hundreds of hosts that start together know each other without flooding links.
+"""Hundreds of hosts that start together discover each other without flooding links.
 
-The pattern: all hosts start within 0.3 s, as after a loss of power, and each learns
-from the store where those are that have announced themselves before. What they ask
-and tell each other then must leave the links to what follows: the leads, the
-configuration and the callers that come back.
+Guards against a restart of all hosts within 0.3 s, as after a power loss, whose
+discovery traffic leaves no bandwidth for the primary leases, the configuration and
+returning callers.
 """
 
 import asyncio
@@ -18,17 +17,17 @@
 STARTS_WITHIN = 0.3
 
 CONTROL = 21_000.0
-"""Bytes a second that a node may send for control, by the size to design for."""
+"""Bytes per second and host that control traffic may use."""
 
 MEASURED = 5.0
-"""Seconds over which they are counted; callers come back in less."""
+"""Seconds of the measurement; callers return within it."""
 
 KNOWN_WITHIN = 2.0
-"""Seconds until all know each other; homes and leads depend on it."""
+"""Seconds until all hosts know each other; homes and primary leases depend on it."""
 
 
 class Announced:
-    """Where hosts are that announced themselves, as each learns it after a while."""
+    """Simulate the announcements in the store, which hosts see with a delay."""
 
     def __init__(self, hosts: FakeHosts, seed: int) -> None:
         self.hosts = hosts
@@ -36,7 +35,7 @@
         self.refs: list[FakeHost] = []
 
     async def start(self, number: int) -> None:
-        """Start a host; it announces itself at once."""
+        """Start a host and announce it."""
         await asyncio.sleep(self.random.uniform(0.0, STARTS_WITHIN))
         zone = f"z{number % ZONES}"
         host = self.hosts.start(f"h{number}", zone, f"10.0.0.{number}:1")
@@ -44,7 +43,7 @@
         self.refs.append(host)
 
     async def tell(self) -> None:
-        """Tell everybody of those that announced themselves so far."""
+        """Pass the addresses announced so far to all announced hosts."""
         for host in list(self.refs):
             known = [one.ref for one in self.refs]
             self.random.shuffle(known)
@@ -56,7 +55,7 @@
 
 @pytest.mark.parametrize("count", [60, 195])
 @in_virtual_time
-async def test_hosts_that_start_together_keep_to_their_share(count: int) -> None:
+async def test_hosts_starting_together_limit_control_traffic(count: int) -> None:
     hosts = FakeHosts({})
     announced = Announced(hosts, count)
     starting = [asyncio.create_task(announced.start(one)) for one in range(count)]
--- a/tests/test_tls_world.py
+++ b/tests/test_tls_world.py
@@ -21,7 +21,7 @@
     tls: TlsSettings
 
     def make_settings(self) -> dict[str, Settings]:
-        """Return settings with the files of the certificate."""
+        """Return settings with the certificate files."""
         made = super().make_settings()
         for one in made.values():
             one.tls = self.tls
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_hosts_callers_and_operators_talk_over_tls_only(tmp_path: Path) -> None:
+async def test_all_listeners_require_tls(tmp_path: Path) -> None:
     authority = trustme.CA()
     issue(authority, tmp_path)
     world = TlsWorld(Deployment("danube"), hosts=3)
@@ -59,7 +59,7 @@
         with pytest.raises(aiohttp.ClientError):
             await http.post(f"http:{url}", json=body, headers=desk)
         peer = f"https://{settings.peer_listen}/peer/status"
-        # Other hosts must show a certificate of the same authority.
+        # Peers must present a certificate of the same authority.
         with pytest.raises(aiohttp.ClientError):
             async with http.post(peer, json={}, ssl=trusting) as response:
                 await response.read()
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces replayed against real hosts, and held to what they state."""
+"""Recorded traces replayed against real hosts, checked for their stated results."""
 
 import pytest
 from syrupy.assertion import SnapshotAssertion
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 11))
-def test_a_healed_cut_brings_no_change_that_nobody_needs(seed: int) -> None:
-    """Play other orders in which the questions of before and after the heal end.
+def test_healed_partition_causes_no_unneeded_promotion(seed: int) -> None:
+    """Replay with other interleavings of queries sent before and after the heal.
 
-    With seeds 2 and 4 the question to the primary was lost and the other was not;
-    with seed 8 hosts of the primary's zone were not known again yet.
+    Guards against a second promotion when a query to the primary is lost and the other
+    is not, or while hosts of the primary's zone are still unknown.
     """
     trace = load("cut_off_zone_heals")
     trace["scene"]["seed"] = seed
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -19,7 +19,7 @@
 
 
 class Scene:
-    """Hold a running world with one desk at work on one group."""
+    """Hold a running world with one caller that writes to one group."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -44,7 +44,7 @@
         max_age: float | None = None,
         through: str | None = None,
     ) -> int:
-        """Return the newest serial, read through another host or a given one."""
+        """Return the latest serial, read through another host or a given one."""
         self.desk.roam()
         self.desk.host = through or self.desk.host
         order = ReadOrder(
@@ -60,14 +60,14 @@
         return self.history.reads[-1].versions[DESK]
 
     def broken(self) -> list[Promise]:
-        """Return the broken promises so far."""
+        """Return the violated guarantees so far."""
         held = effects(self.group, DanubeDay)
         return [one.promise for one in violations(self.history, held)]
 
 
 @asynccontextmanager
 async def scene_of(hosts: int = 3) -> AsyncIterator[Scene]:
-    """Run a small world with its tables made."""
+    """Run a small world with its tables created."""
     async with World(Deployment("danube"), hosts=hosts) as world:
         scene = Scene(world)
         await scene.day.prepare()
@@ -75,7 +75,7 @@
 
 
 @using(scene_of)
-async def test_reads_of_each_consistency_see_a_write_through_other_hosts(
+async def test_each_consistency_reads_write_through_other_host(
     scene: Scene,
 ) -> None:
     await scene.assign()
@@ -88,7 +88,7 @@
 
 
 @using(scene_of)
-async def test_a_cut_off_primary_is_replaced_and_loses_nothing(scene: Scene) -> None:
+async def test_failover_from_isolated_primary_loses_no_writes(scene: Scene) -> None:
     await scene.assign()
     lost = scene.group.primary.name
     scene.world.cut_target_off(lost)
@@ -100,7 +100,7 @@
 
 
 @using(scene_of)
-async def test_a_zone_that_is_cut_off_loses_nothing_and_shows_nothing_stale(
+async def test_isolated_zone_loses_no_writes_and_serves_no_stale_reads(
     scene: Scene,
 ) -> None:
     await scene.assign()
@@ -123,7 +123,7 @@
 
 
 @using(scene_of)
-async def test_a_killed_home_is_taken_over_and_returns(scene: Scene) -> None:
+async def test_killed_home_is_replaced_and_restarts(scene: Scene) -> None:
     await scene.assign()
     home = scene.world.home_of(scene.group.primary.name)
     await scene.world.kill_host(home)
@@ -135,7 +135,7 @@
 
 
 @using(scene_of)
-async def test_a_row_that_vanished_or_doubled_is_found(scene: Scene) -> None:
+async def test_missing_and_duplicated_rows_are_detected(scene: Scene) -> None:
     await scene.assign()
     assert scene.broken() == []
     table = DanubeDay.assignments.name
@@ -146,18 +146,18 @@
 
 
 def tamper(group: GroupStandin, sql: str) -> None:
-    """Change the rows of the primary behind everybody's back."""
+    """Change the rows of the primary directly, bypassing the log."""
     group.primary.state.engine.database.execute(sql)
 
 
-def test_callers_keep_away_from_zones_that_do_not_serve_their_workspace() -> None:
+def test_workspace_zones_exclude_unserved_zones() -> None:
     plant = Deployment("plant")
     assert "ispica" in plant.zones
     assert "ispica" in plant.zones_of("gate")
     assert "ispica" not in plant.zones_of("settlement")
 
 
-def test_hosts_spread_evenly_over_zones() -> None:
+def test_hosts_are_spread_evenly_over_zones() -> None:
     zones = list(Deployment("plant").host_zones(9).values())
     counts = {zone: zones.count(zone) for zone in zones}
     assert sorted(counts.values()) == [2, 2, 2, 3]
