--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -194,7 +194,9 @@
     """Apply one edit; return when it came into force at each host."""
     begin = asyncio.get_running_loop().time()
     host = fleet.hosts[edit % len(fleet.hosts)]
-    waits = [asyncio.create_task(wait_for_change(one)) for one in fleet.hosts]
+    waits = [
+        asyncio.create_task(wait_for_change(fleet_host)) for fleet_host in fleet.hosts
+    ]
     await asyncio.sleep(0)
     await host.apply(edit + 10, f"edit-{edit}")
     times = [await wait - begin for wait in waits]
--- a/src/reedhook_standins/history.py
+++ b/src/reedhook_standins/history.py
@@ -237,7 +237,7 @@
     def refusals(self) -> list[str]:
         """Return the reasons of all tries without an answer."""
         of_writes = [attempt.reason for attempt in self.attempts if attempt.reason]
-        return of_writes + [attempt.reason for attempt in self.reads if attempt.reason]
+        return of_writes + [read.reason for read in self.reads if read.reason]
 
     def end(self) -> float:
         """Return when the last answer or refusal came; 0 if there was none."""
@@ -287,17 +287,17 @@
     for attempt in history.attempts:
         tries[attempt.request_id].append(attempt)
     for effect in effects:
-        start_times = [
+        earlier = [
             attempt
             for attempt in tries[effect.request_id]
             if effect.committed is None
             or attempt.started <= effect.committed + CLOCK_STEP_S
         ]
-        if all(attempt.verdict is Verdict.NOT_RUN for attempt in start_times):
+        if all(attempt.verdict is Verdict.NOT_RUN for attempt in earlier):
             yield Violation(
                 Promise.UNTRUE_NOT_RUN,
                 effect.request_id,
-                f"effect at {effect.committed} after {len(start_times)} 'not run' answers",
+                f"effect at {effect.committed} after {len(earlier)} 'not run' answers",
             )
 
 
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -117,14 +117,14 @@
 
     def read(self, viewer: Viewer, row: str, asked: float) -> None:
         """Check that a read saw every commit it must see."""
-        row_content = json.loads(row)
-        log = {Position.from_json(commit) for commit in row_content["log"]}
+        visible = json.loads(row)
+        log = {Position.from_json(commit) for commit in visible["log"]}
         if (
-            row_content["values"] != viewer.settings
-            or row_content["prepared"] != viewer.prepared
+            visible["values"] != viewer.settings
+            or visible["prepared"] != viewer.prepared
         ):
             self.broken(
-                f"{viewer.name} ran with {row_content['values']} {row_content['prepared']}"
+                f"{viewer.name} ran with {visible['values']} {visible['prepared']}"
             )
         for commit in self.acknowledged:
             if commit.position in log or commit.position in self.group.lost:
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -30,9 +30,7 @@
 
 ZONES: Final = ("z0", "z1", "z2")
 SETTLE: Final = 30.0
-"""Seconds in which all databases must be served, before and after the faults; long
-enough for process starts on a busy machine.
-"""
+"""Seconds in which all databases must be served, before and after the faults."""
 
 CALLERS_A_HOST: Final = 2
 MOST_AT_ONCE: Final = 3
--- a/src/reedhook_standins/workload.py
+++ b/src/reedhook_standins/workload.py
@@ -202,7 +202,9 @@
     def roles(self, group: str) -> list[Coroutine[Any, Any, None]]:
         gates = [f"{group}/gate-{number}" for number in range(1, self.gates + 1)]
         digester = f"{group}/digester"
-        viewers = [f"{group}/agronomist-{one}" for one in range(1, self.viewers + 1)]
+        viewers = [
+            f"{group}/agronomist-{index}" for index in range(1, self.viewers + 1)
+        ]
         return [
             *(self.gate(group, gate) for gate in gates),
             self.operator(group, digester),
@@ -302,9 +304,9 @@
 
     def roles(self, group: str) -> list[Coroutine[Any, Any, None]]:
         desks = [f"{group}/desk-{number}" for number in range(1, self.desks + 1)]
-        skippers = [f"{group}/skipper-{one}" for one in range(1, self.skippers + 1)]
+        skippers = [f"{group}/skipper-{index}" for index in range(1, self.skippers + 1)]
         masters = [
-            f"{group}/master-{one}" for one in range(1, self.harbour_masters + 1)
+            f"{group}/master-{index}" for index in range(1, self.harbour_masters + 1)
         ]
         return [
             *(self.desk(group, desk) for desk in desks),
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -74,13 +74,19 @@
 
     def known_hosts(self) -> list[KnownHost]:
         return [
-            KnownHost(one.me.host, one.me.zone, one.me.address, "live", one.version)
-            for one in self.network.sources.values()
+            KnownHost(
+                source.me.host,
+                source.me.zone,
+                source.me.address,
+                "live",
+                source.version,
+            )
+            for source in self.network.sources.values()
         ]
 
     def others(self) -> list[HostRef]:
         sources = self.network.sources.values()
-        return [one.me for one in sources if one is not self]
+        return [source.me for source in sources if source is not self]
 
     def catalog(self) -> Catalog | None:
         return self.known
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -112,10 +112,14 @@
         return home
 
     async def take_home(self, member: str) -> None:
-        found = next(
-            one for one in self.cluster.group.members if one.member_id == member
+        group_member = next(
+            candidate
+            for candidate in self.cluster.group.members
+            if candidate.member_id == member
+        )
+        home = FakeHome(
+            self.cluster.group, group_member, self.cluster.truth.members[member]
         )
-        home = FakeHome(self.cluster.group, found, self.cluster.truth.members[member])
         home.lost = member in self.factory.lost
         self.local[member] = home
         await home.start()
@@ -189,8 +193,8 @@
 
     def cut_zone(self, member: str) -> None:
         """Cut the zone of `member` off from the other zones."""
-        inside = {f"{member}a", f"{member}b"}
-        self.network.isolate(inside, self.hosts.keys() - inside)
+        zone_hosts = {f"{member}a", f"{member}b"}
+        self.network.isolate(zone_hosts, self.hosts.keys() - zone_hosts)
         self.truth.cut({member})
 
     def heal(self) -> None:
@@ -255,13 +259,13 @@
 
     def events(self, kind: EventKind) -> list[Event]:
         """Return the events of a kind on all hosts, ordered by timestamp."""
-        found = [
+        matching = [
             event
             for host in self.hosts.values()
             for event in host.timeline.events
             if event.kind is kind
         ]
-        return sorted(found, key=lambda one: (one.stamp.wall_ms, one.stamp.count))
+        return sorted(matching, key=lambda one: (one.stamp.wall_ms, one.stamp.count))
 
     def counted(self) -> Counter[str]:
         """Return the sums of the hosts' counters."""
@@ -273,16 +277,16 @@
 
         :returns: seconds until the acknowledgement.
         """
-        begun = self.now()
+        started = self.now()
         done = asyncio.Event()
         tries: set[asyncio.Task[None]] = set()
         while not done.is_set():
-            assert self.now() - begun < limit, "writes did not resume"
+            assert self.now() - started < limit, "writes did not resume"
             task = asyncio.create_task(self.try_write(f"probe {next(self.ids)}", done))
             tries.add(task)
             task.add_done_callback(tries.discard)
             await wait_for(done, 0.005)
-        return self.now() - begun
+        return self.now() - started
 
     async def try_write(self, value: str, done: asyncio.Event) -> None:
         """Write at the home of the member that was promoted last."""
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -112,7 +112,7 @@
 
     def some_peers(self, count: int) -> list[HostRef]:
         """Return other hosts at random, alive or not."""
-        others = [one.ref for one in self.fleet.hosts if one is not self]
+        others = [host.ref for host in self.fleet.hosts if host is not self]
         return self.random.sample(others, min(count, len(others)))
 
     async def hear(self, body: Json) -> Json:
@@ -193,9 +193,9 @@
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone off from the other zones and from the store."""
-        inside = [host.ref.host for host in self.zone(zone)]
-        outside = [one.ref.host for one in self.hosts if one.ref.zone != zone]
-        self.network.isolate(inside, outside)
+        zone_hosts = [host.ref.host for host in self.zone(zone)]
+        other_hosts = [other.ref.host for other in self.hosts if other.ref.zone != zone]
+        self.network.isolate(zone_hosts, other_hosts)
         for host in self.zone(zone):
             host.store.down = True
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,9 +17,8 @@
 
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-"""Tests that fail for a known fault, one per line: test, cause, issue, command and
-seed, and observation, separated by ``|``.
-"""
+"""Known failures, one per line: test, cause, issue, command and seed, observation,
+separated by ``|``."""
 
 
 def known_red() -> dict[str, str]:
--- a/tests/fakes_group.py
+++ b/tests/fakes_group.py
@@ -149,12 +149,12 @@
         """Copy the leader's log of the same term; drop entries that it lacks."""
         if self.promised != leader.leader_term or self.leader_term != self.promised:
             return
-        same = self.shared_with(leader)
-        if same == len(self.log) == len(leader.log):
+        common = self.shared_with(leader)
+        if common == len(self.log) == len(leader.log):
             return
-        del self.log[same:]
-        self.applied_count = min(self.applied_count, same)
-        self.log.extend(leader.log[same:])
+        del self.log[common:]
+        self.applied_count = min(self.applied_count, common)
+        self.log.extend(leader.log[common:])
         self.touch()
         self.apply_later()
 
@@ -167,9 +167,9 @@
         if 0 < last <= len(leader.log):
             if leader.log[last - 1].position == self.held:
                 return last
-        for place, (mine, other) in enumerate(zip(self.log, leader.log)):
-            if mine.position != other.position:
-                return place
+        for index, (own_entry, leader_entry) in enumerate(zip(self.log, leader.log)):
+            if own_entry.position != leader_entry.position:
+                return index
         return min(last, len(leader.log))
 
     def apply_later(self) -> None:
@@ -304,15 +304,15 @@
     async def watch(self) -> None:
         """Poll the state; report the target as silent after `lost_after` seconds."""
         while True:
-            asked = self.now()
+            requested_at = self.now()
             if self.silent:
                 await asyncio.sleep(self.lost_after)
                 if self.silent and self.unreachable_since is None:
-                    self.unreachable_since = asked
+                    self.unreachable_since = requested_at
                     self.announce()
                 continue
             self.unreachable_since = None
-            self.merge_state(self.target.state(), asked)
+            self.merge_state(self.target.state(), requested_at)
             await wait_for(self.target.changed, 0.05)
             await asyncio.sleep(TRANSPORT)
 
@@ -365,8 +365,8 @@
         try:
             await self.reach(statement.remaining)
         except TargetNoReplyError as silent:
-            lost = not_run if statement.kind is StatementKind.READ else may_have_run
-            raise lost(RefusalReason.TARGET_LOST, "no answer") from silent
+            refusal = not_run if statement.kind is StatementKind.READ else may_have_run
+            raise refusal(RefusalReason.TARGET_LOST, "no answer") from silent
 
     async def wait_for_state_change(self, revision: int, timeout: float) -> None:
         if self.state is not None and self.state.revision != revision:
@@ -383,11 +383,11 @@
             self.announce()
 
     async def fetch_state(self, timeout: float) -> MemberState:
-        asked = self.now()
+        requested_at = self.now()
         await self.reach(timeout)
         state = self.target.state()
         await self.reach(timeout)
-        self.merge_state(state, asked)
+        self.merge_state(state, requested_at)
         return state
 
     async def raise_term(self, term: int, owner: str, timeout: float) -> MemberState:
@@ -488,7 +488,11 @@
         self.serial = count()
 
     def target(self, member: str, address: str) -> Target:
-        found = next(one for one in self.group.members if one.member_id == member)
-        home = FakeHome(self.group, found, self.truth.members[member])
+        group_member = next(
+            candidate
+            for candidate in self.group.members
+            if candidate.member_id == member
+        )
+        home = FakeHome(self.group, group_member, self.truth.members[member])
         home.lost = member in self.lost
         return FakeTarget(home)
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -151,14 +151,18 @@
             task.cancel()
         results = await asyncio.gather(*self.tasks.values(), return_exceptions=True)
         await self.hosts.stop()
-        faults = [one for one in results if isinstance(one, Exception)]
+        faults = [result for result in results if isinstance(result, Exception)]
         if faults:
             raise ExceptionGroup("homes failed", faults)
 
 
 def members_of(catalog: Catalog) -> list[str]:
     """Return the ids of all targets."""
-    return [one.member_id for group in catalog.groups.values() for one in group.members]
+    return [
+        member.member_id
+        for group in catalog.groups.values()
+        for member in group.members
+    ]
 
 
 def catalog_of(zones: list[str], groups: int, version: int = 1) -> Catalog:
--- a/tests/fakes_hosts.py
+++ b/tests/fakes_hosts.py
@@ -90,12 +90,12 @@
 
     def agree(self) -> bool:
         """Return whether all running hosts have the same set of live hosts."""
-        views = {frozenset(one.live()) for one in self.running()}
-        return views == {frozenset(one.ref.host for one in self.running())}
+        views = {frozenset(host.live()) for host in self.running()}
+        return views == {frozenset(host.ref.host for host in self.running())}
 
     def running(self) -> list[FakeHost]:
         """Return the running hosts."""
-        return [one for one in self.hosts.values() if not one.stopped]
+        return [host for host in self.hosts.values() if not host.stopped]
 
     async def until_agreed(self, limit: float = 30.0) -> float:
         """Wait until all views agree; return the duration in seconds."""
@@ -103,17 +103,17 @@
         started = loop.time()
         while not self.agree():
             if loop.time() - started > limit:
-                views = {one.ref.host: sorted(one.live()) for one in self.running()}
+                views = {host.ref.host: sorted(host.live()) for host in self.running()}
                 raise AssertionError(f"no agreement: {views}")
             await asyncio.sleep(0.01)
         return loop.time() - started
 
     async def stop(self) -> None:
         """Stop all hosts and raise the failures of their tasks."""
-        tasks = [one.task for one in self.hosts.values()]
+        tasks = [host.task for host in self.hosts.values()]
         for task in tasks:
             task.cancel()
         results = await asyncio.gather(*tasks, return_exceptions=True)
-        faults = [one for one in results if isinstance(one, Exception)]
+        faults = [host for host in results if isinstance(host, Exception)]
         if faults or self.network.failures:
             raise ExceptionGroup("hosts failed", faults + self.network.failures)
--- a/tests/fakes_keyspace.py
+++ b/tests/fakes_keyspace.py
@@ -135,10 +135,10 @@
 
     async def list(self, prefix: str, timeout: float) -> Items:
         await self.reach("list", timeout)
-        found = [
+        items = [
             item for key, item in self.store.items.items() if key.startswith(prefix)
         ]
-        return Items(found, self.store.revision)
+        return Items(items, self.store.revision)
 
     async def changes(
         self, prefix: str, after: int, hold: float, margin: float
@@ -154,17 +154,19 @@
                 for item in self.store.history
                 if item.revision > after and item.key.startswith(prefix)
             ]
-            left = deadline - asyncio.get_running_loop().time()
-            if found or left <= 0.0:
+            remaining = deadline - asyncio.get_running_loop().time()
+            if found or remaining <= 0.0:
                 break
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await self.store.changed.wait()
             except TimeoutError:
                 pass
         if self.host in self.store.silent or watches != self.store.watches:
-            late = deadline + margin - asyncio.get_running_loop().time()
-            await asyncio.sleep(max(late, 0.0))
+            remaining_with_margin = (
+                deadline + margin - asyncio.get_running_loop().time()
+            )
+            await asyncio.sleep(max(remaining_with_margin, 0.0))
             raise StoreUnansweredError("silent")
         return Items(found, self.store.revision)
 
--- a/tests/fakes_peers.py
+++ b/tests/fakes_peers.py
@@ -139,15 +139,15 @@
 
     async def exchange(self, there: "FakePeers", path: str, body: bytes) -> bytes:
         """Deliver the call and its answer; the handler outlives a caller's timeout."""
-        here, other = self.me.host, there.me.host
-        await self.network.awake(here)
-        await self.network.carry(here, other, body)
+        caller, callee = self.me.host, there.me.host
+        await self.network.awake(caller)
+        await self.network.carry(caller, callee, body)
         task = asyncio.create_task(there.answer(path, body))
         there.answering.add(task)
         task.add_done_callback(there.answering.discard)
         answer = await asyncio.shield(task)
-        await self.network.awake(other)
-        await self.network.carry(other, here, answer)
+        await self.network.awake(callee)
+        await self.network.carry(callee, caller, answer)
         return answer
 
     async def answer(self, path: str, body: bytes) -> bytes:
--- a/tests/fakes_request.py
+++ b/tests/fakes_request.py
@@ -57,7 +57,7 @@
     return Catalog(
         1,
         "z1",
-        {one.name: one for one in groups},
+        {item.name: item for item in groups},
         Workspaces(workspaces),
         Limits(),
     )
@@ -108,7 +108,7 @@
 
     def __init__(self, group: Group, lag: float = 0.005) -> None:
         self.group = group
-        names = [one.member_id for one in group.members]
+        names = [member.member_id for member in group.members]
         self.primary = names[0]
         self.term = 1
         self.lags = {name: lag for name in names}
@@ -159,9 +159,9 @@
     def view(self, member: str | None = None) -> GroupView:
         """Return the view of the home of `member`, or a complete one if None."""
         view = GroupView(self.group.name, self.term, self.primary)
-        for one in self.group.members:
-            delay = 0.0 if member in (None, one.member_id) else self.view_delay
-            view.merge_member(self.member_view(one.member_id, delay))
+        for group_member in self.group.members:
+            delay = 0.0 if member in (None, group_member.member_id) else self.view_delay
+            view.merge_member(self.member_view(group_member.member_id, delay))
         return view
 
     def member_view(self, name: str, delay: float) -> MemberView:
--- a/tests/fakes_store.py
+++ b/tests/fakes_store.py
@@ -67,9 +67,9 @@
     def read(self, key: str) -> StoreEntry | None:
         """Return the value that a read sees, possibly stale."""
         past = self.platform.past[key]
-        seen = len(past) - min(self.stale(key), len(past))
-        value = past[seen - 1] if seen else None
-        return None if value is None else StoreEntry(key, value, seen)
+        visible_count = len(past) - min(self.stale(key), len(past))
+        value = past[visible_count - 1] if visible_count else None
+        return None if value is None else StoreEntry(key, value, visible_count)
 
     async def put(
         self, key: str, value: bytes, expected: int, timeout: float
--- a/tests/home_support.py
+++ b/tests/home_support.py
@@ -88,9 +88,9 @@
 async def timed(awaitable: Awaitable[T]) -> tuple[T, float]:
     """Return the result and the duration in seconds of virtual time."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started = loop.time()
     result = await awaitable
-    return result, loop.time() - began
+    return result, loop.time() - started
 
 
 def kinds(home: TargetHome) -> list[EventKind]:
--- a/tests/load.py
+++ b/tests/load.py
@@ -98,8 +98,8 @@
         if self.random.random() < self.hangs:
             await asyncio.sleep(TIMEOUT)
             raise TimeoutError
-        middle = math.log(mean) - SPREAD * SPREAD / 2
-        work = min(self.random.lognormvariate(middle, SPREAD), LONGEST * mean)
+        log_mean = math.log(mean) - SPREAD * SPREAD / 2
+        work = min(self.random.lognormvariate(log_mean, SPREAD), LONGEST * mean)
         async with self.slots:
             await asyncio.sleep(work * self.slower)
 
@@ -118,8 +118,10 @@
     def __init__(self, seed: int, ordered: bool = True) -> None:
         self.random = Random(seed)
         self.target = Target(self.random)
-        room = ConnectionAvailability(lambda: True, lambda: 0.0)
-        self.turns = AdmissionQueue("t", SLOTS, room, LoopClock()) if ordered else None
+        availability = ConnectionAvailability(lambda: True, lambda: 0.0)
+        self.turns = (
+            AdmissionQueue("t", SLOTS, availability, LoopClock()) if ordered else None
+        )
         self.connections = asyncio.Semaphore(CONNECTIONS)
         self.asked: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
@@ -130,7 +132,7 @@
     async def arrive(self, load: float, seconds: float) -> None:
         """Generate random arrivals."""
         names = list(CALLERS)
-        shares = [one.share for one in CALLERS.values()]
+        shares = [caller.share for caller in CALLERS.values()]
         until = now() + seconds
         while now() < until:
             await asyncio.sleep(self.random.expovariate(rate(load)))
@@ -145,40 +147,40 @@
         """Run the operation of one caller, up to three times."""
         caller = CALLERS[name]
         self.asked[name] += 1
-        begun = now()
-        held = 0.0
+        started = now()
+        held_seconds = 0.0
         for _ in range(TRIES):
-            tried = now()
+            attempt_started = now()
             rested = await self.operate(name, caller)
             if rested is not None:
                 self.answered[name] += 1
-                if now() - begun - rested <= caller.objective:
+                if now() - started - rested <= caller.objective:
                     self.in_time[name] += 1
                 return
-            held += now() - tried
+            held_seconds += now() - attempt_started
             await asyncio.sleep(self.random.uniform(*COME_BACK))
-        self.held_in_vain += held > TIMEOUT / 2
+        self.held_in_vain += held_seconds > TIMEOUT / 2
 
     async def operate(self, name: str, caller: Caller) -> float | None:
         """Run its statements; return the idle time, or None if it was refused."""
         count = 1
         if self.random.random() < caller.transactions:
             count = self.random.randint(2, 5)
-        begun, rested = now(), 0.0
+        started, rest_seconds = now(), 0.0
         for index in range(count):
             if index:
-                rest = self.random.uniform(*REST)
-                rested += rest
-                await asyncio.sleep(rest)
-            due = begun + rested + caller.objective
+                pause = self.random.uniform(*REST)
+                rest_seconds += pause
+                await asyncio.sleep(pause)
+            deadline = started + rest_seconds + caller.objective
             demand = AdmissionRequest(
-                name, caller.priority, due, now() + TIMEOUT, index > 0
+                name, caller.priority, deadline, now() + TIMEOUT, index > 0
             )
             try:
                 await self.run(demand, caller.work)
             except (RefusalError, TimeoutError):
                 return None
-        return rested
+        return rest_seconds
 
     async def run(self, demand: AdmissionRequest, work: float) -> None:
         """Run one statement after its admission."""
@@ -187,19 +189,23 @@
                 async with self.connections:
                     await self.target.run(work)
             return
-        turn: Admission = await self.turns.admit(demand)
+        admission: Admission = await self.turns.admit(demand)
         sent = now()
         try:
             await self.target.run(work)
             self.turns.record_duration(demand.route, now() - sent)
         finally:
-            self.turns.release(turn)
+            self.turns.release(admission)
 
     def share(self) -> float:
         """Return the value of the answers in time as a fraction of all."""
-        owed = sum(CALLERS[name].worth * count for name, count in self.asked.items())
-        got = sum(CALLERS[name].worth * count for name, count in self.in_time.items())
-        return got / owed
+        total_worth = sum(
+            CALLERS[name].worth * count for name, count in self.asked.items()
+        )
+        earned_worth = sum(
+            CALLERS[name].worth * count for name, count in self.in_time.items()
+        )
+        return earned_worth / total_worth
 
     def share_of(self, name: str) -> float:
         """Return the fraction of one kind that was answered in time."""
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -73,10 +73,10 @@
 
     def without_keys(self, value: bytes) -> bytes:
         message = decode(value)
-        for one in message.get("workspaces", []):
-            one["keys"] = [
+        for workspace in message.get("workspaces", []):
+            workspace["keys"] = [
                 key if key.startswith("#") else f"#{key_digest(key)}"
-                for key in one["keys"]
+                for key in workspace["keys"]
             ]
         return encode(message)
 
@@ -109,7 +109,7 @@
         {SERVICE: ServiceLimits(SERVICE, 16)},
         3.0,
         3.0,
-        Workspaces(read_workspace(one) for one in workspaces or []),
+        Workspaces(read_workspace(workspace) for workspace in workspaces or []),
     )
 
 
@@ -231,7 +231,7 @@
 
     async def restart(self, name: str) -> SessionHost:
         """Kill a process and start it again."""
-        ref = next(one for one in self.refs if one.host == name)
+        ref = next(host_ref for host_ref in self.refs if host_ref.host == name)
         if name in self.hosts:
             await self.kill(name)
         return await self.start_host(ref)
@@ -262,17 +262,17 @@
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone off from the others, and from the store."""
-        inside = {one.host for one in self.refs if one.zone == zone}
-        outside = {one.host for one in self.refs} - inside
-        self.network.isolate(inside, outside)
-        self.store.silent |= inside
+        zone_hosts = {host_ref.host for host_ref in self.refs if host_ref.zone == zone}
+        other_hosts = {host_ref.host for host_ref in self.refs} - zone_hosts
+        self.network.isolate(zone_hosts, other_hosts)
+        self.store.silent |= zone_hosts
         for member in self.group.members.values():
-            far = outside if member.entry.zone == zone else inside
-            for host in far:
+            unreachable = other_hosts if member.entry.zone == zone else zone_hosts
+            for host in unreachable:
                 self.group.cut(host, member.entry.target)
-            for other in self.group.members.values():
-                if (other.entry.zone == zone) != (member.entry.zone == zone):
-                    self.group.cut(member.entry.target, other.entry.target)
+            for peer in self.group.members.values():
+                if (peer.entry.zone == zone) != (member.entry.zone == zone):
+                    self.group.cut(member.entry.target, peer.entry.target)
 
     def heal(self) -> None:
         """Remove all cuts."""
@@ -317,30 +317,32 @@
         """Send one statement and check its answer."""
         self.sent += 1
         id = f"{self.name}-{self.sent}"
-        asked = asyncio.get_running_loop().time()
-        inside = self.session.state is SessionState.OPEN
+        sent_at = asyncio.get_running_loop().time()
+        in_transaction = self.session.state is SessionState.OPEN
         command = SessionCommand(kind, text or KINDS[kind], name, writes)
         if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.transaction = id
         self.world.promises.sent[id] = Sent(
             command.text,
-            self.transaction if inside else "",
+            self.transaction if in_transaction else "",
             dict(self.values),
             dict(self.prepared),
         )
         reply = await self.session.run(id, command)
         done = reply.fault is StatementFault.NONE and reply.refusal is None
         if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
-            self.begun_at, self.wrote = asked, False
+            self.begun_at, self.wrote = sent_at, False
         if done and reply.rows:
-            self.check_read(reply, self.begun_at if inside else asked)
-        if done and kind is SessionCommandKind.WRITE and inside:
+            self.check_read(reply, self.begun_at if in_transaction else sent_at)
+        if done and kind is SessionCommandKind.WRITE and in_transaction:
             self.wrote = True
         commits = kind is SessionCommandKind.COMMIT and self.wrote
-        if done and (commits or (kind is SessionCommandKind.WRITE and not inside)):
+        if done and (
+            commits or (kind is SessionCommandKind.WRITE and not in_transaction)
+        ):
             self.acknowledge(reply)
         if not done and reply.refusal is not None:
-            self.check_refusal(id, kind, reply, inside)
+            self.check_refusal(id, kind, reply, in_transaction)
         return reply
 
     async def read(self) -> SessionReply:
--- a/tests/support.py
+++ b/tests/support.py
@@ -47,9 +47,9 @@
 
             start(main())
 
-        rest = list(signature(test).parameters.values())[1:]
+        parameters = list(signature(test).parameters.values())[1:]
         # The remaining parameters are pytest fixtures and test parameters.
-        run_test.__signature__ = Signature(rest)  # type: ignore[attr-defined]
+        run_test.__signature__ = Signature(parameters)  # type: ignore[attr-defined]
         return run_test
 
     return decorate
--- a/tests/support_group.py
+++ b/tests/support_group.py
@@ -35,9 +35,9 @@
     for member in group.members.values():
         member.statement_time = 0.0
     await group.start()
-    first = await connect(group.primary)
-    await first.write(CREATE, [], None, 1.0)
-    await first.close()
+    connection = await connect(group.primary)
+    await connection.write(CREATE, [], None, 1.0)
+    await connection.close()
     await until(lambda: group.primary.open_connections == 0)
     try:
         yield group
--- a/tests/test_api_docs.py
+++ b/tests/test_api_docs.py
@@ -51,13 +51,13 @@
 
     async def call(self, command: str) -> dict[str, Any]:
         """Send the request of a curl command and return the answer."""
-        words = shlex.split(self.expanded(CURL.findall(command)[0]))
-        url = next(word for word in words if word.startswith("http"))
-        body = words[words.index("-d") + 1] if "-d" in words else None
-        method = "POST" if body or "POST" in words else "GET"
+        arguments = shlex.split(self.expanded(CURL.findall(command)[0]))
+        url = next(word for word in arguments if word.startswith("http"))
+        body = arguments[arguments.index("-d") + 1] if "-d" in arguments else None
+        method = "POST" if body or "POST" in arguments else "GET"
         headers = {}
-        if "-H" in words:
-            name, _, value = words[words.index("-H") + 1].partition(": ")
+        if "-H" in arguments:
+            name, _, value = arguments[arguments.index("-H") + 1].partition(": ")
             headers[name] = value
         async with self.http.request(method, url, data=body, headers=headers) as reply:
             answer: dict[str, Any] = await reply.json()
@@ -98,10 +98,10 @@
             shell = Shell(host, http)
             for example in EXAMPLE.findall(PAGE.read_text()):
                 await shell.run(example)
-            found = await shell.call(after(shell.answers[4]["token"]))
+            result = await shell.call(after(shell.answers[4]["token"]))
     assert len(shell.answers) == EXPECTED + 1
-    read, wrote, begun, step, _, health = shell.answers[:EXPECTED]
+    read, wrote, began, step, _, health = shell.answers[:EXPECTED]
     assert read["rows"] == [[42]]
-    assert wrote["verdict"] == begun["verdict"] == step["verdict"] == "done"
-    assert found["rows"] == [[1, "manure, 12 t"]]
+    assert wrote["verdict"] == began["verdict"] == step["verdict"] == "done"
+    assert result["rows"] == [[1, "manure, 12 t"]]
     assert health["status"] == "ok"
--- a/tests/test_daemon_imports.py
+++ b/tests/test_daemon_imports.py
@@ -6,9 +6,7 @@
 import pytest
 
 HEAVY = ("aiohttp", "aiomisc", "yarl", "jsonschema")
-"""Packages that take 0.05 s or more to import and that a platform host does not need;
-they would delay its restart.
-"""
+"""Packages that take 0.05 s or more to import, which would delay a host's restart."""
 
 
 APART = [
--- a/tests/test_demo_caller.py
+++ b/tests/test_demo_caller.py
@@ -101,12 +101,12 @@
     host = ScriptedHost(refusal("not run", 1), refusal("may have run", 1), DONE)
     history = play(lambda caller: caller.write(ORDER, 5.0), host)
     assert len({body["request_id"] for body in host.seen}) == 1
-    assert [one.verdict for one in history.attempts] == [
+    assert [attempt.verdict for attempt in history.attempts] == [
         Verdict.NOT_RUN,
         Verdict.MAY_HAVE_RUN,
         Verdict.DONE,
     ]
-    assert {one.version for one in history.attempts} == {7}
+    assert {attempt.version for attempt in history.attempts} == {7}
 
 
 def test_retry_waits_for_the_hinted_delay() -> None:
@@ -126,7 +126,7 @@
 def test_missed_deadline_is_retried_without_hint() -> None:
     host = ScriptedHost(refusal("may have run", None, "deadline"), DONE)
     history = play(lambda caller: caller.write(ORDER, 5.0), host)
-    assert [one.verdict for one in history.attempts] == [
+    assert [attempt.verdict for attempt in history.attempts] == [
         Verdict.MAY_HAVE_RUN,
         Verdict.DONE,
     ]
@@ -158,16 +158,16 @@
 
     history = play(write_and_look, first, second)
     assert second.seen[0]["token"] == "t1"
-    (look,) = history.reads
-    assert look.versions == {"gate": 9}
-    assert look.echoed == look.mark == "gate/1"
+    (read,) = history.reads
+    assert read.versions == {"gate": 9}
+    assert read.echoed == read.mark == "gate/1"
 
 
 def test_answer_with_foreign_mark_is_recorded() -> None:
     host = ScriptedHost({**DONE, "rows": [["skipper/4", "gate", 9]]})
     history = play(lambda caller: caller.read(LOOK, 5.0), host)
-    (look,) = history.reads
-    assert (look.mark, look.echoed) == ("gate/1", "skipper/4")
+    (read,) = history.reads
+    assert (read.mark, read.echoed) == ("gate/1", "skipper/4")
 
 
 def test_unreachable_host_is_recorded_as_not_run() -> None:
@@ -182,4 +182,7 @@
         return await caller.write(ORDER, 5.0)
 
     history = play(from_nowhere, host)
-    assert [one.verdict for one in history.attempts] == [Verdict.NOT_RUN, Verdict.DONE]
+    assert [attempt.verdict for attempt in history.attempts] == [
+        Verdict.NOT_RUN,
+        Verdict.DONE,
+    ]
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -37,13 +37,13 @@
     world = ThinWorld(hosts=96, zones=6, rate=rate * MEGABIT, seed=1)
     await world.start()
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started = loop.time()
     for _ in range(VERSIONS):
         world.write_table(routes)
         await asyncio.sleep(GAP)
     ended = loop.time()
     await asyncio.sleep(20.0)
-    assert world.served(begun, ended + BACK) > SERVED
+    assert world.served(started, ended + BACK) > SERVED
     assert world.served(ended + BACK, loop.time() - 1.0) > SERVED
     if rate > 1:
         # At 1 Mbit/s the store's answer takes 3 s; two of them exceed `IN_FORCE`.
@@ -78,11 +78,13 @@
     await asyncio.sleep(4.0)
     world.write_table(30)
     await asyncio.sleep(15.0)
-    reached = [one for one in world.hosts.values() if one.announcements.store_reached]
-    others = [one for one in world.hosts.values() if one.ref not in cut]
+    reached = [
+        host for host in world.hosts.values() if host.announcements.store_reached
+    ]
+    others = [host for host in world.hosts.values() if host.ref not in cut]
     if silent == "relays":
         assert world.lateness(world.version) < IN_FORCE
-    assert {one.ref.host for one in others} <= {one.ref.host for one in reached}
+    assert {host.ref.host for host in others} <= {host.ref.host for host in reached}
     world.stop()
 
 
@@ -93,9 +95,9 @@
     await world.start()
     before = world.calls()["changes"]
     await asyncio.sleep(30.0)
-    asked = world.calls()["changes"] - before
+    calls = world.calls()["changes"] - before
     # Two hosts of each of 6 zones poll about every 2 s.
-    assert asked < 6 * 2 * 30.0 / 1.5
+    assert calls < 6 * 2 * 30.0 / 1.5
     world.stop()
 
 
--- a/tests/test_docstrings.py
+++ b/tests/test_docstrings.py
@@ -16,9 +16,11 @@
     """Import every module of the program and of its stand-ins."""
     for package in (reedhook, reedhook_standins):
         yield package
-        for found in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
-            if not found.name.endswith("__main__"):
-                yield importlib.import_module(found.name)
+        for module_info in pkgutil.walk_packages(
+            package.__path__, f"{package.__name__}."
+        ):
+            if not module_info.name.endswith("__main__"):
+                yield importlib.import_module(module_info.name)
 
 
 def undocumented(module: ModuleType) -> list[str]:
--- a/tests/test_failover_gap.py
+++ b/tests/test_failover_gap.py
@@ -9,10 +9,8 @@
 from .test_session_world import first_success, traffic
 
 MEAN = 1.08
-"""Seconds on average: 0.2 until the primary counts as quiet, half a tick of 0.1, 0.1
-for a liveness probe, 0.4 for new connections, 0.3 for the promotion, 0.03 for ten
-calls.
-"""
+"""Seconds on average: 0.25 to detect a quiet primary, 0.1 for a probe, 0.4 for new
+connections, 0.3 for the promotion, 0.03 for calls."""
 
 LONGEST = 1.13
 """Seconds, of which the promotion takes 0.3."""
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -98,13 +98,13 @@
 
 
 def test_write_in_doubt_may_be_missing() -> None:
-    doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
-    assert found([FIRST, doubt], [], EFFECTS[:1]) == []
+    in_doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
+    assert found([FIRST, in_doubt], [], EFFECTS[:1]) == []
 
 
 def test_write_with_two_effects_is_reported_as_doubled() -> None:
-    again = [*EFFECTS, effect("b", 2, 2.4)]
-    assert found([FIRST, SECOND], [], again) == [Promise.DOUBLED]
+    effects = [*EFFECTS, effect("b", 2, 2.4)]
+    assert found([FIRST, SECOND], [], effects) == [Promise.DOUBLED]
 
 
 def test_effect_of_write_answered_not_run_is_reported() -> None:
@@ -116,17 +116,17 @@
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
     retry = attempt("b", 2, 3.0, 3.2)
     early = [EFFECTS[0], effect("b", 2, 2.1)]
-    late = [EFFECTS[0], effect("b", 2, 3.1)]
+    effects = [EFFECTS[0], effect("b", 2, 3.1)]
     assert found([FIRST, refused, retry], [], early) == [Promise.UNTRUE_NOT_RUN]
-    assert found([FIRST, refused, retry], [], late) == []
+    assert found([FIRST, refused, retry], [], effects) == []
 
 
 def test_repeated_answer_does_not_explain_earlier_effect() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
-    doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
+    in_doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
     retry = attempt("b", 2, 3.0, 3.2, repeated=True)
     assert found([FIRST, refused, retry], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
-    assert found([FIRST, doubt, retry], [], EFFECTS) == []
+    assert found([FIRST, in_doubt, retry], [], EFFECTS) == []
 
 
 def test_repeated_answer_may_explain_effect_during_its_attempt() -> None:
@@ -154,8 +154,8 @@
 
 
 def test_session_read_may_miss_writes_of_other_sessions() -> None:
-    other = read(1, 2.3, Consistency.SESSION, session="skipper")
-    assert found([FIRST, SECOND], [other], EFFECTS) == []
+    other_read = read(1, 2.3, Consistency.SESSION, session="skipper")
+    assert found([FIRST, SECOND], [other_read], EFFECTS) == []
 
 
 def test_session_reads_are_monotonic() -> None:
@@ -168,14 +168,14 @@
 
 @pytest.mark.parametrize(("age", "broken"), [(0.1, [Promise.AGE]), (0.95, [])])
 def test_reported_age_is_an_upper_bound(age: float, broken: list[Promise]) -> None:
-    bounded = read(1, 3.0, Consistency.MAX_AGE, age=age, session="clerk")
-    assert found([FIRST, SECOND], [bounded], EFFECTS) == broken
+    bounded_read = read(1, 3.0, Consistency.MAX_AGE, age=age, session="clerk")
+    assert found([FIRST, SECOND], [bounded_read], EFFECTS) == broken
 
 
 def test_age_is_checked_by_acknowledgement_without_commit_time() -> None:
     effects = [effect("a", 1, None), effect("b", 2, None)]
-    bounded = read(1, 3.0, Consistency.MAX_AGE, age=0.5, session="clerk")
-    assert found([FIRST, SECOND], [bounded], effects) == [Promise.AGE]
+    bounded_read = read(1, 3.0, Consistency.MAX_AGE, age=0.5, session="clerk")
+    assert found([FIRST, SECOND], [bounded_read], effects) == [Promise.AGE]
 
 
 def test_answer_to_another_request_is_reported() -> None:
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -62,86 +62,86 @@
     kind: RouteConsistency, max_age: float | None, age: float, session: str, stale: bool
 ) -> None:
     async def run() -> None:
-        one = Case()
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, session)
-        behind = one.session("db-1").run(one.sent("r", "READ a"))
-        one.at += age
-        one.promises.read(viewer(kind, max_age), behind.rows[0], one.at)
-        assert ("a log without" in one.broken()) is stale
+        case = Case()
+        position = await a_write(case)
+        case.promises.acknowledge("c", position, session)
+        reply = case.session("db-1").run(case.sent("r", "READ a"))
+        case.at += age
+        case.promises.read(viewer(kind, max_age), reply.rows[0], case.at)
+        assert ("a log without" in case.broken()) is stale
 
     asyncio.run(run())
 
 
 def test_read_may_miss_commit_rolled_back_by_promotion() -> None:
     async def run() -> None:
-        one = Case()
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, "s")
-        one.group.members["db-2"].deaf = True
-        await one.group.promote("db-2")
-        one.at += 1.0
-        row = one.session("db-2").run(one.sent("r", "READ a")).rows[0]
-        one.promises.read(viewer(RouteConsistency.PRIMARY, None), row, one.at)
-        assert not one.promises.violations
+        case = Case()
+        position = await a_write(case)
+        case.promises.acknowledge("c", position, "s")
+        case.group.members["db-2"].deaf = True
+        await case.group.promote("db-2")
+        case.at += 1.0
+        row = case.session("db-2").run(case.sent("r", "READ a")).rows[0]
+        case.promises.read(viewer(RouteConsistency.PRIMARY, None), row, case.at)
+        assert not case.promises.violations
 
     asyncio.run(run())
 
 
 def test_acknowledged_commit_at_former_primary_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        await one.group.promote("db-2")
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, "s")
-        assert "committed too late" in one.broken()
+        case = Case()
+        await case.group.promote("db-2")
+        position = await a_write(case)
+        case.promises.acknowledge("c", position, "s")
+        assert "committed too late" in case.broken()
 
     asyncio.run(run())
 
 
 def test_statement_that_was_not_sent_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        one.session().run(TargetQuery("x", "READ a"))
-        one.session().run(TargetQuery(one.sent("y", "READ a").id, "READ b"))
-        assert one.broken().count("which nobody sent") == 2
+        case = Case()
+        case.session().run(TargetQuery("x", "READ a"))
+        case.session().run(TargetQuery(case.sent("y", "READ a").id, "READ b"))
+        assert case.broken().count("which nobody sent") == 2
 
     asyncio.run(run())
 
 
 def test_statement_outside_its_transaction_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        one.session().run(one.sent("a", "READ a", "t1"))
-        assert "runs elsewhere" in one.broken()
-        first, second = one.session(), one.session()
+        case = Case()
+        case.session().run(case.sent("a", "READ a", "t1"))
+        assert "runs elsewhere" in case.broken()
+        first, second = case.session(), case.session()
         for session in (first, second):
             session.run(TargetQuery("", "BEGIN"))
-        first.run(one.sent("b", "READ a", "t2"))
-        second.run(one.sent("c", "READ a", "t2"))
-        assert "another connection" in one.broken()
+        first.run(case.sent("b", "READ a", "t2"))
+        second.run(case.sent("c", "READ a", "t2"))
+        assert "another connection" in case.broken()
 
     asyncio.run(run())
 
 
 def test_statement_with_settings_of_another_session_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        session = one.session()
+        case = Case()
+        session = case.session()
         session.run(TargetQuery("", "SET v 1"))
-        session.run(one.sent("a", "READ a"))
-        assert "runs with {'v': '1'}" in one.broken()
+        session.run(case.sent("a", "READ a"))
+        assert "runs with {'v': '1'}" in case.broken()
 
     asyncio.run(run())
 
 
 def test_write_with_two_effects_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        query = one.sent("w", "WRITE a b")
-        one.session().run(query)
-        one.session().run(query)
-        assert "took effect twice" in one.broken()
+        case = Case()
+        query = case.sent("w", "WRITE a b")
+        case.session().run(query)
+        case.session().run(query)
+        assert "took effect twice" in case.broken()
 
     asyncio.run(run())
 
@@ -149,13 +149,13 @@
 @pytest.mark.parametrize("promised_first", [True, False])
 def test_effect_of_write_answered_not_run_is_reported(promised_first: bool) -> None:
     async def run() -> None:
-        one = Case()
-        query = one.sent("w", "WRITE a b")
+        case = Case()
+        query = case.sent("w", "WRITE a b")
         if promised_first:
-            one.promises.promise("c", ["w"])
-        one.session().run(query)
+            case.promises.promise("c", ["w"])
+        case.session().run(query)
         if not promised_first:
-            one.promises.promise("c", ["w"])
-        assert "said not to be kept" in one.broken()
+            case.promises.promise("c", ["w"])
+        assert "said not to be kept" in case.broken()
 
     asyncio.run(run())
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -58,19 +58,19 @@
     """Return a host whose processes are fakes."""
     launches = Launches()
     monkeypatch.setattr(asyncio, "create_subprocess_exec", launches.launch)
-    one = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
-    one.log_file.touch()
-    return one, launches
+    process_host = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
+    process_host.log_file.touch()
+    return process_host, launches
 
 
 async def started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[HostProcess, Launches]:
     """Return a host whose first process runs."""
-    one, launches = host(tmp_path, monkeypatch)
+    process_host, launches = host(tmp_path, monkeypatch)
     launches.ready.set()
-    await one.start()
-    return one, launches
+    await process_host.start()
+    return process_host, launches
 
 
 async def settled() -> None:
@@ -83,15 +83,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
-        await one.kill()
+        process_host, launches = await started(tmp_path, monkeypatch)
+        await process_host.kill()
         launches.ready.clear()
-        again = asyncio.ensure_future(one.start())
+        restart = asyncio.ensure_future(process_host.start())
         await settled()
-        assert one.ended_by_itself() == ""
+        assert process_host.ended_by_itself() == ""
         launches.ready.set()
-        await again
-        assert one.ended_by_itself() == ""
+        await restart
+        assert process_host.ended_by_itself() == ""
 
     asyncio.run(scenario())
 
@@ -100,9 +100,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
+        process_host, launches = await started(tmp_path, monkeypatch)
         launches.processes[0].finish(1)
-        assert one.ended_by_itself().startswith("h0 ended by itself with 1")
+        assert process_host.ended_by_itself().startswith("h0 ended by itself with 1")
 
     asyncio.run(scenario())
 
@@ -111,9 +111,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = host(tmp_path, monkeypatch)
-        first = asyncio.ensure_future(one.start())
-        second = asyncio.ensure_future(one.start())
+        process_host, launches = host(tmp_path, monkeypatch)
+        first = asyncio.ensure_future(process_host.start())
+        second = asyncio.ensure_future(process_host.start())
         await settled()
         launches.ready.set()
         await asyncio.gather(first, second)
@@ -127,14 +127,14 @@
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr("reedhook_standins.soak.hosts.GRACE", 0.0)
-        one, launches = await started(tmp_path, monkeypatch)
-        ending = asyncio.ensure_future(one.end())
+        process_host, launches = await started(tmp_path, monkeypatch)
+        ending = asyncio.ensure_future(process_host.end())
         await asyncio.sleep(0)
         launches.processes[0].finish(0)
-        await one.start()
+        await process_host.start()
         await ending
         assert launches.processes[1].returncode is None
-        assert one.running
+        assert process_host.running
 
     asyncio.run(scenario())
 
@@ -143,15 +143,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
-        ending = asyncio.ensure_future(one.end())
+        process_host, launches = await started(tmp_path, monkeypatch)
+        ending = asyncio.ensure_future(process_host.end())
         await settled()
-        starting = asyncio.ensure_future(one.start())
+        starting = asyncio.ensure_future(process_host.start())
         await settled()
         launches.processes[0].finish(0)
         await asyncio.gather(ending, starting)
-        assert one.ended_by_itself() == ""
+        assert process_host.ended_by_itself() == ""
         assert len(launches.processes) == 2
-        assert one.running
+        assert process_host.running
 
     asyncio.run(scenario())
--- a/tests/test_standin_control.py
+++ b/tests/test_standin_control.py
@@ -80,7 +80,7 @@
     await hand.call(
         "list", host="h1", zone="comiso", address="127.0.0.1:1", state="live"
     )
-    listed = {one.host: one.state for one in platform.hostlist.visible()}
+    listed = {entry.host: entry.state for entry in platform.hostlist.visible()}
     assert listed["h1"] is ListedState.LIVE
     assert listed[member.name] is ListedState.LEAVING
     await hand.call("list", host="h1", state=None)
--- a/tests/test_standin_group.py
+++ b/tests/test_standin_group.py
@@ -37,29 +37,29 @@
 async def test_ship_lag_delays_held_and_apply_lag_delays_visible_entries(
     group: GroupStandin,
 ) -> None:
-    one = await connect(group.primary)
-    other = await connect(group.members["m2"])
+    primary = await connect(group.primary)
+    lagging = await connect(group.members["m2"])
     group.members["m2"].ship_lag = 60.0
     group.members["m2"].apply_lag = 60.0
-    written = await one.write(INSERT, ["pomace"], None, 1.0)
-    near = await connect(group.members["m3"])
-    await applied(near, written.position)
-    assert not (await other.state(1.0)).held.covers(written.position)
+    written = await primary.write(INSERT, ["pomace"], None, 1.0)
+    replica = await connect(group.members["m3"])
+    await applied(replica, written.position)
+    assert not (await lagging.state(1.0)).held.covers(written.position)
     group.members["m2"].ship_lag = 0.0
-    await held(other, written.position)
-    assert (await other.read(SELECT, [], 1.0)).rows == []
+    await held(lagging, written.position)
+    assert (await lagging.read(SELECT, [], 1.0)).rows == []
     group.members["m2"].apply_lag = 0.0
-    await applied(other, written.position)
-    assert (await other.read(SELECT, [], 1.0)).rows == [["pomace"]]
+    await applied(lagging, written.position)
+    assert (await lagging.read(SELECT, [], 1.0)).rows == [["pomace"]]
 
 
 @using(group_of)
 async def test_ship_and_apply_lag_add_up(group: GroupStandin) -> None:
     group.set_lag(0.1, 0.15)
-    one = await connect(group.primary)
-    other = await connect(group.members["m2"])
-    written = await one.write(INSERT, ["pomace"], None, 1.0)
-    await applied(other, written.position)
+    primary = await connect(group.primary)
+    replica = await connect(group.members["m2"])
+    written = await primary.write(INSERT, ["pomace"], None, 1.0)
+    await applied(replica, written.position)
     age = group.clock.monotonic() - group.truth.entries[-1].written
     assert age >= 0.25
 
@@ -68,15 +68,15 @@
 async def test_partition_stops_replication_until_healed(
     group: GroupStandin,
 ) -> None:
-    one = await connect(group.primary)
-    near = await connect(group.members["m2"])
-    far = await connect(group.members["m3"])
+    primary = await connect(group.primary)
+    connected_replica = await connect(group.members["m2"])
+    isolated_replica = await connect(group.members["m3"])
     group.partition("m3")
-    written = await one.write(INSERT, ["pomace"], None, 1.0)
-    await applied(near, written.position)
-    assert not (await far.state(1.0)).held.covers(written.position)
+    written = await primary.write(INSERT, ["pomace"], None, 1.0)
+    await applied(connected_replica, written.position)
+    assert not (await isolated_replica.state(1.0)).held.covers(written.position)
     group.heal()
-    await applied(far, written.position)
+    await applied(isolated_replica, written.position)
 
 
 @using(group_of)
@@ -138,12 +138,12 @@
     group: GroupStandin,
 ) -> None:
     writer = await connect(group.primary)
-    near = await connect(group.members["m2"])
-    far = await connect(group.members["m3"])
-    await far.raise_term(2, "h1", 1.0)
+    connected_replica = await connect(group.members["m2"])
+    promised_replica = await connect(group.members["m3"])
+    await promised_replica.raise_term(2, "h1", 1.0)
     written = await writer.write(INSERT, ["pomace"], None, 1.0)
-    await applied(near, written.position)
-    state = await far.state(1.0)
+    await applied(connected_replica, written.position)
+    state = await promised_replica.state(1.0)
     assert state.role is Role.FENCED
     assert not state.held.covers(written.position)
 
@@ -170,8 +170,8 @@
     read = await old.read(SELECT, [], 1.0)
     assert read.rows == [["pomace"], ["citrus"]]
     # The id of the dropped request may run now, the kept one may not run again.
-    again = await new.write(INSERT, ["manure"], request_id(2), 1.0)
-    assert not again.repeated
+    repeated = await new.write(INSERT, ["manure"], request_id(2), 1.0)
+    assert not repeated.repeated
     once = await new.write(INSERT, ["pomace"], request_id(1), 1.0)
     assert once.repeated
 
@@ -201,10 +201,10 @@
     await group.members["m1"].kill()
     await change_primary(group, "m2", 2, ["m2", "m3"])
     new = await connect(group.members["m2"])
-    again = await new.write(INSERT, ["pomace"], request_id(1), 1.0)
-    assert again.repeated
-    assert again.rowcount == first.rowcount
-    assert again.position == Position(2, first.position.index + 1)
+    repeated = await new.write(INSERT, ["pomace"], request_id(1), 1.0)
+    assert repeated.repeated
+    assert repeated.rowcount == first.rowcount
+    assert repeated.position == Position(2, first.position.index + 1)
     assert group.truth.count(request_id(1)) == 1
 
 
@@ -229,12 +229,12 @@
 ) -> None:
     writer = await connect(group.primary)
     watcher = await connect(group.members["m2"])
-    known = await watcher.state(1.0)
-    same = await watcher.wait_state(known.revision, 0.1)
-    assert same == known
-    waiting = asyncio.create_task(watcher.wait_state(known.revision, 5.0))
+    known_state = await watcher.state(1.0)
+    unchanged = await watcher.wait_state(known_state.revision, 0.1)
+    assert unchanged == known_state
+    waiting = asyncio.create_task(watcher.wait_state(known_state.revision, 5.0))
     await writer.write(INSERT, ["pomace"], None, 1.0)
-    assert (await waiting).revision > known.revision
+    assert (await waiting).revision > known_state.revision
 
 
 @using(group_of)
@@ -245,10 +245,10 @@
     truth = group.truth
     before = truth.entries[-1].position
     await writer.write(INSERT, ["pomace"], None, 1.0)
-    first = truth.entries[-1]
+    first_entry = truth.entries[-1]
     await writer.write(INSERT, ["manure"], None, 1.0)
     second = truth.entries[-1]
     now = second.written + 5.0
-    assert truth.truth_age(before, now) == now - first.written
-    assert truth.truth_age(first.position, now) == 5.0
+    assert truth.truth_age(before, now) == now - first_entry.written
+    assert truth.truth_age(first_entry.position, now) == 5.0
     assert truth.truth_age(second.position, now) == 0.0
--- a/tests/test_standin_member.py
+++ b/tests/test_standin_member.py
@@ -58,25 +58,25 @@
     assert code == "statement_failed"
     assert (await connection.state(1.0)).held == before.held
     # A failed request leaves its id free for a retry.
-    again = await connection.write(INSERT, ["manure"], request_id(1), 1.0)
-    assert not again.repeated
+    retried = await connection.write(INSERT, ["manure"], request_id(1), 1.0)
+    assert not retried.repeated
 
 
 @using(group_of)
 async def test_repeated_request_id_returns_first_result(
     group: GroupStandin,
 ) -> None:
-    one = await connect(group.primary)
-    other = await connect(group.primary)
+    first_connection = await connect(group.primary)
+    second_connection = await connect(group.primary)
     results = await asyncio.gather(
-        one.write(INSERT, ["pomace"], request_id(1), 1.0),
-        other.write(INSERT, ["pomace"], request_id(1), 1.0),
+        first_connection.write(INSERT, ["pomace"], request_id(1), 1.0),
+        second_connection.write(INSERT, ["pomace"], request_id(1), 1.0),
     )
     assert sorted(result.repeated for result in results) == [False, True]
     assert [result.rowcount for result in results] == [1, 1]
     assert group.truth.count(request_id(1)) == 1
-    last = await one.write(INSERT, ["manure"], None, 1.0)
-    third = await one.write(INSERT, ["pomace"], request_id(1), 1.0)
+    last = await first_connection.write(INSERT, ["manure"], None, 1.0)
+    third = await first_connection.write(INSERT, ["pomace"], request_id(1), 1.0)
     assert third.repeated
     assert third.position == last.position
 
@@ -121,20 +121,20 @@
 async def test_uncommitted_transaction_is_invisible_to_others(
     group: GroupStandin,
 ) -> None:
-    one = await connect(group.primary)
-    other = await connect(group.primary)
-    await one.begin(request_id(1), 1.0)
-    await one.step(INSERT, ["pomace"], 1.0)
-    assert (await one.step(SELECT, [], 1.0)).rows == [["pomace"]]
-    assert (await other.read(SELECT, [], 1.0)).rows == []
-    committed = await one.commit(1.0)
-    assert (await other.read(SELECT, [], 1.0)).rows == [["pomace"]]
+    writer = await connect(group.primary)
+    reader = await connect(group.primary)
+    await writer.begin(request_id(1), 1.0)
+    await writer.step(INSERT, ["pomace"], 1.0)
+    assert (await writer.step(SELECT, [], 1.0)).rows == [["pomace"]]
+    assert (await reader.read(SELECT, [], 1.0)).rows == []
+    committed = await writer.commit(1.0)
+    assert (await reader.read(SELECT, [], 1.0)).rows == [["pomace"]]
     replica = await connect(group.members["m2"])
     await applied(replica, committed.position)
     assert (await replica.read(SELECT, [], 1.0)).rows == [["pomace"]]
-    repeated = await one.begin(request_id(1), 1.0)
+    repeated = await writer.begin(request_id(1), 1.0)
     assert repeated.repeated
-    code = await refusal_code(one.step(INSERT, ["manure"], 1.0))
+    code = await refusal_code(writer.step(INSERT, ["manure"], 1.0))
     assert code == "unknown_transaction"
 
 
@@ -142,14 +142,14 @@
 async def test_closed_connection_rolls_back_and_releases_lock(
     group: GroupStandin,
 ) -> None:
-    one = await connect(group.primary)
-    other = await connect(group.primary)
-    await one.begin(request_id(1), 1.0)
-    await one.step(INSERT, ["pomace"], 1.0)
-    assert await refusal_code(other.write(INSERT, ["manure"], None, 0.1)) == "busy"
-    await one.close()
-    await other.write(INSERT, ["citrus"], None, 1.0)
-    assert (await other.read(SELECT, [], 1.0)).rows == [["citrus"]]
+    closing = await connect(group.primary)
+    writer = await connect(group.primary)
+    await closing.begin(request_id(1), 1.0)
+    await closing.step(INSERT, ["pomace"], 1.0)
+    assert await refusal_code(writer.write(INSERT, ["manure"], None, 0.1)) == "busy"
+    await closing.close()
+    await writer.write(INSERT, ["citrus"], None, 1.0)
+    assert (await writer.read(SELECT, [], 1.0)).rows == [["citrus"]]
     assert not group.truth.contains(request_id(1))
 
 
@@ -158,23 +158,23 @@
     group: GroupStandin,
 ) -> None:
     group.primary.idle_limit = 0.1
-    one = await connect(group.primary)
-    await one.begin(None, 1.0)
-    await one.step(INSERT, ["pomace"], 1.0)
+    idle = await connect(group.primary)
+    await idle.begin(None, 1.0)
+    await idle.step(INSERT, ["pomace"], 1.0)
     group.primary.silence_connections()
-    other = await connect(group.primary)
-    await other.write(INSERT, ["manure"], None, 2.0)
-    assert (await other.read(SELECT, [], 1.0)).rows == [["manure"]]
+    writer = await connect(group.primary)
+    await writer.write(INSERT, ["manure"], None, 2.0)
+    assert (await writer.read(SELECT, [], 1.0)).rows == [["manure"]]
 
 
 @using(group_of)
-async def test_a_failed_step_leaves_the_transaction_open(group: GroupStandin) -> None:
-    one = await connect(group.primary)
-    await one.begin(None, 1.0)
-    await one.step(INSERT, ["pomace"], 1.0)
+async def test_failed_step_leaves_transaction_open(group: GroupStandin) -> None:
+    connection = await connect(group.primary)
+    await connection.begin(None, 1.0)
+    await connection.step(INSERT, ["pomace"], 1.0)
     with pytest.raises(TargetRefusedError):
-        await one.step(INSERT, ["pomace"], 1.0)
-    committed = await one.commit(1.0)
+        await connection.step(INSERT, ["pomace"], 1.0)
+    committed = await connection.commit(1.0)
     replica = await connect(group.members["m2"])
     await applied(replica, committed.position)
     assert (await replica.read(SELECT, [], 1.0)).rows == [["pomace"]]
@@ -187,11 +187,12 @@
     group.primary.statement_time = 60.0
     connections = [await connect(group.primary) for _ in range(3)]
     running = [
-        asyncio.create_task(one.read(SELECT, [], 90.0)) for one in connections[:2]
+        asyncio.create_task(connection.read(SELECT, [], 90.0))
+        for connection in connections[:2]
     ]
     await until(group.primary.slots.locked)
     assert await refusal_code(connections[2].read(SELECT, [], 0.5)) == "busy"
-    assert not any(one.done() for one in running)
+    assert not any(task.done() for task in running)
 
 
 @using(group_of)
@@ -281,14 +282,14 @@
 async def test_cut_client_is_isolated_while_others_work(
     group: GroupStandin, cut: Cut
 ) -> None:
-    one = await connect(group.primary, "h1")
-    other = await connect(group.primary, "h2")
+    cut_connection = await connect(group.primary, "h1")
+    connection = await connect(group.primary, "h2")
     group.primary.cuts["h1"] = cut
     with pytest.raises(TargetNoReplyError):
-        await one.write(INSERT, ["pomace"], request_id(1), 0.2)
+        await cut_connection.write(INSERT, ["pomace"], request_id(1), 0.2)
     with pytest.raises(TargetUnreachableError):
         await connect(group.primary, "h1")
-    assert (await other.read(SELECT, [], 1.0)).rows == []
+    assert (await connection.read(SELECT, [], 1.0)).rows == []
     group.primary.cuts.clear()
     healed = await connect(group.primary, "h1")
     assert (await healed.read(SELECT, [], 1.0)).rows == []
--- a/tests/test_standin_replicated.py
+++ b/tests/test_standin_replicated.py
@@ -63,14 +63,14 @@
         """Promote the best voter of the owner's last term, given a majority."""
         won = [
             term
-            for (term, one), granted in self.granted.items()
-            if one == owner and len(granted) >= MAJORITY
+            for (term, candidate), granted in self.granted.items()
+            if candidate == owner and len(granted) >= MAJORITY
         ]
         if not won:
             return
         bid = (max(won), owner)
         grants = self.granted[bid]
-        best = max(sorted(grants), key=lambda one: grants[one])
+        best = max(sorted(grants), key=lambda candidate: grants[candidate])
         state = self.group.members[self.led.setdefault(bid, best)].state
         state.promote(*bid)
         self.group.truth.lead(state.leader_term, state.log)
@@ -86,7 +86,9 @@
 
     def write(self, number: int) -> None:
         """Write on one of the members that act as primary."""
-        leaders = [one for one in self.members if one.state.leader == one.name]
+        leaders = [
+            member for member in self.members if member.state.leader == member.name
+        ]
         change = Change("CREATE TABLE IF NOT EXISTS t (a)", [])
         leaders[number % len(leaders)].state.write(change, None)
 
@@ -106,9 +108,10 @@
                 continue
             held = state.held
             holders = [
-                one
-                for one in self.members
-                if one.state.leader_term == held.term and one.state.held.covers(held)
+                member
+                for member in self.members
+                if member.state.leader_term == held.term
+                and member.state.held.covers(held)
             ]
             if held.term == state.leader_term and len(holders) >= MAJORITY:
                 self.acknowledged.add(held)
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -45,7 +45,7 @@
     async def tell(self) -> None:
         """Pass the addresses announced so far to all announced hosts."""
         for host in list(self.refs):
-            known = [one.ref for one in self.refs]
+            known = [announced_host.ref for announced_host in self.refs]
             self.random.shuffle(known)
             known.sort(key=lambda ref: ref.zone != host.ref.zone)
             host.heartbeats.discovery.update_listed_addresses(
@@ -58,7 +58,7 @@
 async def test_hosts_starting_together_limit_control_traffic(count: int) -> None:
     hosts = FakeHosts({})
     announced = Announced(hosts, count)
-    starting = [asyncio.create_task(announced.start(one)) for one in range(count)]
+    starting = [asyncio.create_task(announced.start(number)) for number in range(count)]
     for _ in range(int(KNOWN_WITHIN / 0.1)):
         await asyncio.sleep(0.1)
         await announced.tell()
--- a/tests/test_tls_world.py
+++ b/tests/test_tls_world.py
@@ -23,8 +23,8 @@
     def make_settings(self) -> dict[str, Settings]:
         """Return settings with the certificate files."""
         made = super().make_settings()
-        for one in made.values():
-            one.tls = self.tls
+        for host_settings in made.values():
+            host_settings.tls = self.tls
         return made
 
 
@@ -39,8 +39,8 @@
     issue(authority, tmp_path)
     world = TlsWorld(Deployment("danube"), hosts=3)
     world.tls = settings_in(tmp_path)
-    trusting = ssl.create_default_context()
-    authority.configure_trust(trusting)
+    client_context = ssl.create_default_context()
+    authority.configure_trust(client_context)
     async with world, aiohttp.ClientSession() as http:
         settings = next(iter(world.settings.values()))
         group = next(iter(world.platform.groups))
@@ -48,12 +48,12 @@
         url = f"//{settings.listen}/v1/read"
         desk = bearer(credential("desk"))
         async with http.post(
-            f"https:{url}", json=body, headers=desk, ssl=trusting
+            f"https:{url}", json=body, headers=desk, ssl=client_context
         ) as response:
             assert (await response.json())["rows"] == [[1]]
         operator = bearer(OPERATOR_CREDENTIAL)
         status = f"https://{settings.admin_listen}/admin/config/status"
-        async with http.get(status, headers=operator, ssl=trusting) as response:
+        async with http.get(status, headers=operator, ssl=client_context) as response:
             message = await response.json()
             assert len(message["hosts"]) == 3
         with pytest.raises(aiohttp.ClientError):
@@ -61,5 +61,5 @@
         peer = f"https://{settings.peer_listen}/peer/status"
         # Peers must present a certificate of the same authority.
         with pytest.raises(aiohttp.ClientError):
-            async with http.post(peer, json={}, ssl=trusting) as response:
+            async with http.post(peer, json={}, ssl=client_context) as response:
                 await response.read()
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -61,8 +61,10 @@
 
     def broken(self) -> list[Promise]:
         """Return the violated guarantees so far."""
-        held = effects(self.group, DanubeDay)
-        return [one.promise for one in violations(self.history, held)]
+        group_effects = effects(self.group, DanubeDay)
+        return [
+            violation.promise for violation in violations(self.history, group_effects)
+        ]
 
 
 @asynccontextmanager
@@ -90,11 +92,11 @@
 @using(scene_of)
 async def test_failover_from_isolated_primary_loses_no_writes(scene: Scene) -> None:
     await scene.assign()
-    lost = scene.group.primary.name
-    scene.world.cut_target_off(lost)
+    old_primary = scene.group.primary.name
+    scene.world.cut_target_off(old_primary)
     await scene.assign()
-    assert scene.group.primary.name != lost
-    scene.world.heal_target(lost)
+    assert scene.group.primary.name != old_primary
+    scene.world.heal_target(old_primary)
     assert await scene.look(Consistency.FRESH) == 2
     assert scene.broken() == []
 
@@ -104,19 +106,21 @@
     scene: Scene,
 ) -> None:
     await scene.assign()
-    lost = scene.group.primary.name
-    zone = scene.world.target_zones()[lost]
+    old_primary = scene.group.primary.name
+    zone = scene.world.target_zones()[old_primary]
     scene.world.cut_zone_off(zone)
     await scene.assign()
-    assert scene.group.primary.name != lost
-    (inside,) = (
-        one.listen for one in scene.world.settings.values() if one.zone == zone
+    assert scene.group.primary.name != old_primary
+    (isolated_address,) = (
+        settings.listen
+        for settings in scene.world.settings.values()
+        if settings.zone == zone
     )
     scene.desk.forget()
-    assert await scene.look(Consistency.FRESH, through=inside) == 2
+    assert await scene.look(Consistency.FRESH, through=isolated_address) == 2
     refused, *_, answered = scene.history.reads
-    assert refused.host == inside
-    assert answered.host != inside
+    assert refused.host == isolated_address
+    assert answered.host != isolated_address
     scene.world.heal_zone(zone)
     await scene.assign()
     assert scene.broken() == []
--- a/tests/thin_links.py
+++ b/tests/thin_links.py
@@ -48,9 +48,8 @@
 
 
 WINDOW = 8192
-"""Bytes of one message in flight at a time; small windows let long messages share a
-link with short ones.
-"""
+"""Bytes of one message in flight; small, so that long messages share a link with
+short ones."""
 
 
 class ThinLink:
@@ -112,10 +111,10 @@
 
     async def arrived(self, found: Items) -> Items:
         """Return items once they have passed the link."""
-        asked = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         await self.link.carry(HEAD + sum(map(stored_size, found.items)))
         now = asyncio.get_running_loop().time()
-        return Items(found.items, found.revision, now - asked)
+        return Items(found.items, found.revision, now - requested_at)
 
 
 def stored_size(item: object) -> int:
@@ -309,8 +308,12 @@
         written = self.written[version]
         latest = 0.0
         for host in self.hosts.values():
-            came = [at for had, at in host.in_force.items() if had >= version]
-            latest = max(latest, min(came, default=float("inf")) - written)
+            times = [
+                at
+                for host_version, at in host.in_force.items()
+                if host_version >= version
+            ]
+            latest = max(latest, min(times, default=float("inf")) - written)
         return latest
 
     def calls(self) -> Counter[str]:
--- a/tests/trace_replay.py
+++ b/tests/trace_replay.py
@@ -49,8 +49,8 @@
 
 def load(name: str) -> Trace:
     """Load a trace by name."""
-    found: Trace = yaml.safe_load((FOLDER / f"{name}.yaml").read_text())
-    return found
+    trace: Trace = yaml.safe_load((FOLDER / f"{name}.yaml").read_text())
+    return trace
 
 
 class Replay:
@@ -222,7 +222,7 @@
 
     def acknowledged(self, name: str, term: int) -> None:
         """Record an acknowledgement; none may come from a superseded primary."""
-        later = [one for one in self.terms if one > term]
+        later = [later_term for later_term in self.terms if later_term > term]
         if later:
             self.problems.append(f"{name}: acknowledged in {term}, after {later}")
         self.terms.setdefault(term, self.now())
@@ -252,8 +252,8 @@
             name = f"{event['name']}-{number}"
             through = entries[number % len(entries)]
             number += 1
-            one = {**event, "name": name, "through": through}
-            self.works[event["name"]].append(self.spawn(self.do_read(one)))
+            read_event = {**event, "name": name, "through": through}
+            self.works[event["name"]].append(self.spawn(self.do_read(read_event)))
             await asyncio.sleep(event["every"])
 
     async def do_read(self, event: Json) -> None:
@@ -335,8 +335,11 @@
         allowed = event["expect"]
         allowed = allowed if isinstance(allowed, list) else [allowed]
         told = self.told[name]
-        fits = any(told == [one] or told[0].startswith(f"{one}:") for one in allowed)
-        self.expect(len(told) == 1 and fits, f"{name}: {told}")
+        matches = any(
+            told == [expected] or told[0].startswith(f"{expected}:")
+            for expected in allowed
+        )
+        self.expect(len(told) == 1 and matches, f"{name}: {told}")
         answer = self.answers.get(name, {})
         seen = {row[0] for row in answer.get("rows", ())}
         self.expect(seen >= set(event.get("sees", ())), f"{name} saw {seen}")
@@ -358,7 +361,11 @@
 
     def check_always(self) -> None:
         """Check the answers to callers against the executed writes."""
-        written = [one for each in self.world.servers.values() for one in each.effects]
+        written = [
+            effect
+            for server_state in self.world.servers.values()
+            for effect in server_state.effects
+        ]
         times = dict(written)
         effects = [
             Effect(row, GROUP, row, 1, times.get(row))
@@ -378,7 +385,10 @@
         """Return lines for a review: the answers and the main events."""
         shown = [event for event in self.world.events() if event.kind in SHOWN]
         told = [f"{name}: {', '.join(self.told[name])}" for name in self.named()]
-        lines = [f"{one.host} {one.kind.value} {one.subject}" for one in shown]
+        lines = [
+            f"{shown_event.host} {shown_event.kind.value} {shown_event.subject}"
+            for shown_event in shown
+        ]
         return [*told, "", *lines]
 
     def named(self) -> list[str]:
@@ -396,8 +406,10 @@
 def check_leaders(replay: Replay, stated: dict[int, list[str]]) -> None:
     """Check who led in which term, and that no other term had a leader."""
     led = replay.world.truth.leaders
-    fits = led.keys() == stated.keys() and all(led[one] in stated[one] for one in led)
-    replay.expect(fits, f"leaders {led}")
+    matches = led.keys() == stated.keys() and all(
+        led[term] in stated[term] for term in led
+    )
+    replay.expect(matches, f"leaders {led}")
 
 
 def check_terms(replay: Replay, most: int) -> None:
@@ -407,13 +419,13 @@
 
 
 def check_once(replay: Replay, rows: list[str]) -> None:
-    found = replay.final_rows()
-    replay.expect(all(found.count(row) == 1 for row in rows), f"rows {found}")
+    final = replay.final_rows()
+    replay.expect(all(final.count(row) == 1 for row in rows), f"rows {final}")
 
 
 def check_absent(replay: Replay, rows: list[str]) -> None:
-    found = replay.final_rows()
-    replay.expect(not set(rows) & set(found), f"rows {found}")
+    final = replay.final_rows()
+    replay.expect(not set(rows) & set(final), f"rows {final}")
 
 
 def check_gap(replay: Replay, limit: float) -> None:
@@ -422,7 +434,7 @@
     times = sorted(
         at for row, at in replay.times.items() if row.rsplit("-", 1)[0] in working
     )
-    gap = max(later - one for one, later in zip(times, times[1:]))
+    gap = max(later - earlier for earlier, later in zip(times, times[1:]))
     replay.expect(gap <= limit, f"no write was acknowledged for {gap:.3f} s")
 
 
@@ -459,8 +471,8 @@
 def check_silent(replay: Replay, members: list[str]) -> None:
     """Check which members had a connection that was found silent."""
     kinds = (EventKind.CONNECTION_SILENT,)
-    found = {one.subject for one in replay.world.events() if one.kind in kinds}
-    replay.expect(found == set(members), f"silent connections at {found}")
+    silent = {event.subject for event in replay.world.events() if event.kind in kinds}
+    replay.expect(silent == set(members), f"silent connections at {silent}")
 
 
 def check_idle(replay: Replay, members: dict[str, float]) -> None:
@@ -531,11 +543,11 @@
         await network.awake(host)
 
     for host in replay.world.hosts.values():
-        keeper = host.group_managers.get(GROUP)
-        if keeper is None:
+        manager = host.group_managers.get(GROUP)
+        if manager is None:
             continue
-        stepped = SteppedController(host.me.host, keeper.controller, before, None)
-        keeper.controller = keeper.coordinator.controller = stepped
+        stepped = SteppedController(host.me.host, manager.controller, before, None)
+        manager.controller = manager.coordinator.controller = stepped
 
 
 def set_lag(replay: Replay, event: Json) -> None:
--- a/tests/trace_target.py
+++ b/tests/trace_target.py
@@ -78,7 +78,9 @@
 
     def host_died(self, host: str) -> None:
         """Handle the death of a host process: roll back its transactions."""
-        self.end([one for one in self.connections if one.host == host])
+        self.end(
+            [connection for connection in self.connections if connection.host == host]
+        )
 
     def end(self, connections: list["TraceConnection"]) -> None:
         for connection in connections:
@@ -230,10 +232,10 @@
         self, effect: Callable[[], TargetResult], timeout: float
     ) -> TargetResult:
         """Run a statement with an effect; its answer may be lost."""
-        lost = self.server.lose_answers > 0
-        if lost:
+        lose_answer = self.server.lose_answers > 0
+        if lose_answer:
             self.server.lose_answers -= 1
-        return await self.ask(effect, timeout, True, lost)
+        return await self.ask(effect, timeout, True, lose_answer)
 
     async def ask(
         self,
--- a/tests/trace_world.py
+++ b/tests/trace_world.py
@@ -111,8 +111,8 @@
         for ref in self.refs:
             self.list_as(ref.host, ref.zone, ListedState.LIVE)
         await asyncio.gather(*(self.start_host(ref) for ref in self.refs))
-        first = self.hosts[self.refs[0].host]
-        await first.editor.apply(self.documents(), 0, "ana", "first", "edit-1")
+        first_host = self.hosts[self.refs[0].host]
+        await first_host.editor.apply(self.documents(), 0, "ana", "first", "edit-1")
         await asyncio.sleep(SETTLE)
 
     def list_as(
@@ -126,9 +126,11 @@
         self.listed[name] = HostListEntry(name, zone, self.address(name), state, kind)
 
     def address(self, name: str) -> str:
-        found = [ref.address for ref in self.refs if ref.host == name]
+        addresses = [ref.address for ref in self.refs if ref.host == name]
         return (
-            found[0] if found else f"127.0.0.1:{18001 + list(self.homes).index(name)}"
+            addresses[0]
+            if addresses
+            else f"127.0.0.1:{18001 + list(self.homes).index(name)}"
         )
 
     async def start_host(self, ref: HostRef) -> None:
@@ -169,7 +171,7 @@
             peer_credential="peers-peers-peers",
             token_secret="tokens-tokens-tokens",
             admins={},
-            seeds=tuple(one.address for one in self.refs[:3]),
+            seeds=tuple(seed_ref.address for seed_ref in self.refs[:3]),
         )
 
     def documents(self) -> ConfigurationDocuments:
@@ -216,13 +218,15 @@
 
     def cut_zones(self, zones: list[str]) -> None:
         """Cut some zones off from the other zones and from the platform."""
-        inside = {ref.host for ref in self.refs if ref.zone in zones}
-        outside = {ref.host for ref in self.refs if ref.zone not in zones}
-        self.network.isolate(inside, outside)
+        cut_hosts = {ref.host for ref in self.refs if ref.zone in zones}
+        other_hosts = {ref.host for ref in self.refs if ref.zone not in zones}
+        self.network.isolate(cut_hosts, other_hosts)
         self.truth.cut({name for name, home in self.homes.items() if home in zones})
         for name, home in self.homes.items():
-            self.servers[name].unreachable |= outside if home in zones else inside
-        for host in inside:
+            self.servers[name].unreachable |= (
+                other_hosts if home in zones else cut_hosts
+            )
+        for host in cut_hosts:
             self.stores[host].down = True
 
     def heal(self) -> None:
