--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -112,7 +112,9 @@
     def acknowledge(self, name: str, position: Position, session: str) -> None:
         """Record a commit that a caller was just told of."""
         if position in self.group.superseded:
-            self.broken(f"{name} was told of {position}, committed too late")
+            self.broken(
+                f"{name}: acknowledged {position} committed at a superseded primary"
+            )
         self.acknowledged.append(Acknowledged(position, self.now(), session))
 
     def read(self, viewer: Viewer, row: str, asked: float) -> None:
@@ -140,7 +142,7 @@
         self.without_trace.update(ids)
         for id in ids:
             if id in self.committed:
-                self.broken(f"{name}: {id} was committed and said not to be kept")
+                self.broken(f"{name}: {id} was committed but answered as not run")
 
     # Events at targets
 
@@ -148,10 +150,10 @@
         """Check a running statement against the one that was sent."""
         sent = self.sent.get(id)
         if sent is None or sent.text != text:
-            self.broken(f"{id} runs as {text!r}, which nobody sent")
+            self.broken(f"{id} runs as {text!r}, which no caller sent")
             return
         if bool(session.open) != bool(sent.transaction):
-            self.broken(f"{id} of transaction {sent.transaction!r} runs elsewhere")
+            self.broken(f"{id} of transaction {sent.transaction!r} runs outside it")
         if sent.transaction:
             if self.pinned.setdefault(sent.transaction, session) is not session:
                 self.broken(f"{id} runs on another connection than its transaction")
@@ -164,5 +166,5 @@
             if id in self.committed:
                 self.broken(f"{id} took effect twice")
             if id in self.without_trace:
-                self.broken(f"{id} took effect and was said not to be kept")
+                self.broken(f"{id} took effect but was answered as not run")
             self.committed.add(id)
--- a/src/reedhook_standins/soak/hosts.py
+++ b/src/reedhook_standins/soak/hosts.py
@@ -168,7 +168,10 @@
         if self.process is None or self.running or self.process is self.told:
             return ""
         log_tail = self.log_file.read_bytes()[-TAIL:].decode(errors="replace")
-        return f"{self.name} ended by itself with {self.process.returncode}: {log_tail}"
+        return (
+            f"{self.name} exited unexpectedly with "
+            f"{self.process.returncode}: {log_tail}"
+        )
 
 
 async def killed(process: asyncio.subprocess.Process) -> None:
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -219,7 +219,7 @@
         violations = asyncio.run(soak.run())
         failed += bool(violations)
         report(soak, violations)
-    print(f"{arguments['--seeds']} seeds, {failed} with a broken promise")
+    print(f"{arguments['--seeds']} seeds, {failed} with violations")
     return 1 if failed else 0
 
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -94,7 +94,7 @@
         await case.group.promote("db-2")
         position = await a_write(case)
         case.promises.acknowledge("c", position, "s")
-        assert "committed too late" in case.broken()
+        assert "committed at a superseded primary" in case.broken()
 
     asyncio.run(run())
 
@@ -104,7 +104,7 @@
         case = Case()
         case.session().run(TargetQuery("x", "READ a"))
         case.session().run(TargetQuery(case.sent("y", "READ a").id, "READ b"))
-        assert case.broken().count("which nobody sent") == 2
+        assert case.broken().count("which no caller sent") == 2
 
     asyncio.run(run())
 
@@ -113,7 +113,7 @@
     async def run() -> None:
         case = Case()
         case.session().run(case.sent("a", "READ a", "t1"))
-        assert "runs elsewhere" in case.broken()
+        assert "runs outside it" in case.broken()
         first, second = case.session(), case.session()
         for session in (first, second):
             session.run(TargetQuery("", "BEGIN"))
@@ -156,6 +156,6 @@
         case.session().run(query)
         if not promised_first:
             case.promises.promise("c", ["w"])
-        assert "said not to be kept" in case.broken()
+        assert "answered as not run" in case.broken()
 
     asyncio.run(run())
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -102,7 +102,9 @@
     async def scenario() -> None:
         process_host, launches = await started(tmp_path, monkeypatch)
         launches.processes[0].finish(1)
-        assert process_host.ended_by_itself().startswith("h0 ended by itself with 1")
+        assert process_host.ended_by_itself().startswith(
+            "h0 exited unexpectedly with 1"
+        )
 
     asyncio.run(scenario())
 
