--- a/src/reedhook_standins/outcome.py
+++ b/src/reedhook_standins/outcome.py
@@ -169,7 +169,7 @@
 
 
 def gap_after(history: History, fault: Fault) -> Gap | None:
-    """Return how long writes stood still after a fault of a primary."""
+    """Return how long a group took no writes after a fault of its primary."""
     if fault.group is None:
         return None
     acks = [
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -110,7 +110,7 @@
     # Answers to callers
 
     def acknowledge(self, name: str, position: Position, session: str) -> None:
-        """Record a commit that a caller was just told of."""
+        """Record an acknowledged commit."""
         if position in self.group.superseded:
             self.broken(
                 f"{name}: acknowledged {position} committed at a superseded primary"
--- a/src/reedhook_standins/soak/hosts.py
+++ b/src/reedhook_standins/soak/hosts.py
@@ -150,7 +150,7 @@
             await killed(process)
 
     async def ending(self) -> asyncio.subprocess.Process | None:
-        """Return the process, recorded as one that is told to end."""
+        """Return the process, recorded as told to end."""
         async with self.starting:
             self.told = self.process
         return self.process
--- a/tests/daemon_fakes.py
+++ b/tests/daemon_fakes.py
@@ -21,7 +21,7 @@
     """Record the lifecycle calls.
 
     :ivar steps: the calls, in order.
-    :ivar drained: set by the test to let the drain end.
+    :ivar drained: set by the test to end the drain.
     """
 
     def __init__(self) -> None:
--- a/tests/test_demo_caller.py
+++ b/tests/test_demo_caller.py
@@ -76,7 +76,7 @@
 Act = Callable[[Caller], Awaitable[Json]]
 
 
-def play(act: Act, *hosts: ScriptedHost, clock: Clock | None = None) -> History:
+def run_caller(act: Act, *hosts: ScriptedHost, clock: Clock | None = None) -> History:
     async def main() -> History:
         history = History()
         async with hosts[0], hosts[-1], aiohttp.ClientSession() as http:
@@ -99,7 +99,7 @@
 
 def test_refused_write_is_retried_with_same_id() -> None:
     host = ScriptedHost(refusal("not run", 1), refusal("may have run", 1), DONE)
-    history = play(lambda caller: caller.write(ORDER, 5.0), host)
+    history = run_caller(lambda caller: caller.write(ORDER, 5.0), host)
     assert len({body["request_id"] for body in host.seen}) == 1
     assert [attempt.verdict for attempt in history.attempts] == [
         Verdict.NOT_RUN,
@@ -112,20 +112,20 @@
 def test_retry_waits_for_the_hinted_delay() -> None:
     clock = SleeplessClock()
     host = ScriptedHost(refusal("not run", 80), DONE)
-    play(lambda caller: caller.write(ORDER, 5.0), host, clock=clock)
+    run_caller(lambda caller: caller.write(ORDER, 5.0), host, clock=clock)
     assert [slept for slept in clock.sleeps if slept] == [0.08]
 
 
 def test_refusal_without_hint_is_not_retried() -> None:
     host = ScriptedHost(refusal("not run", None, "statement_failed"))
     with pytest.raises(GaveUp, match="statement_failed"):
-        play(lambda caller: caller.write(ORDER, 5.0), host)
+        run_caller(lambda caller: caller.write(ORDER, 5.0), host)
     assert len(host.seen) == 1
 
 
 def test_missed_deadline_is_retried_without_hint() -> None:
     host = ScriptedHost(refusal("may have run", None, "deadline"), DONE)
-    history = play(lambda caller: caller.write(ORDER, 5.0), host)
+    history = run_caller(lambda caller: caller.write(ORDER, 5.0), host)
     assert [attempt.verdict for attempt in history.attempts] == [
         Verdict.MAY_HAVE_RUN,
         Verdict.DONE,
@@ -135,12 +135,12 @@
 def test_caller_gives_up_after_time_limit() -> None:
     host = ScriptedHost(refusal("not run", 2000))
     with pytest.raises(GaveUp, match="still no_primary"):
-        play(lambda caller: caller.write(ORDER, 1.0), host)
+        run_caller(lambda caller: caller.write(ORDER, 1.0), host)
 
 
 def test_lost_answer_is_in_doubt_and_retried_at_another_host() -> None:
     first, second = ScriptedHost(CUT), ScriptedHost({**DONE, "repeated": True})
-    history = play(lambda caller: caller.write(ORDER, 5.0), first, second)
+    history = run_caller(lambda caller: caller.write(ORDER, 5.0), first, second)
     assert first.seen[0]["request_id"] == second.seen[0]["request_id"]
     broken, answered = history.attempts
     assert broken.verdict is Verdict.MAY_HAVE_RUN
@@ -156,7 +156,7 @@
         caller.roam()
         return await caller.read(LOOK, 5.0)
 
-    history = play(write_and_look, first, second)
+    history = run_caller(write_and_look, first, second)
     assert second.seen[0]["token"] == "t1"
     (read,) = history.reads
     assert read.versions == {"gate": 9}
@@ -165,7 +165,7 @@
 
 def test_answer_with_foreign_mark_is_recorded() -> None:
     host = ScriptedHost({**DONE, "rows": [["skipper/4", "gate", 9]]})
-    history = play(lambda caller: caller.read(LOOK, 5.0), host)
+    history = run_caller(lambda caller: caller.read(LOOK, 5.0), host)
     (read,) = history.reads
     assert (read.mark, read.echoed) == ("gate/1", "skipper/4")
 
@@ -181,7 +181,7 @@
         caller.host = f"127.0.0.1:{port}"
         return await caller.write(ORDER, 5.0)
 
-    history = play(from_nowhere, host)
+    history = run_caller(from_nowhere, host)
     assert [attempt.verdict for attempt in history.attempts] == [
         Verdict.NOT_RUN,
         Verdict.DONE,
--- a/tests/test_demo_outcome.py
+++ b/tests/test_demo_outcome.py
@@ -40,7 +40,7 @@
     )
 
 
-def day(history: History) -> tuple[list[Effect], History]:
+def failover_history(history: History) -> tuple[list[Effect], History]:
     history.attempts.extend(
         [write(1, 1.0), write(2, 1.8, Verdict.NOT_RUN), write(2, 2.6)]
     )
@@ -54,7 +54,7 @@
 
 
 def test_run_with_failover_passes() -> None:
-    effects, history = day(History())
+    effects, history = failover_history(History())
     outcome = judge("plant", 3.0, history, effects, [])
     assert outcome.good
     assert outcome.acknowledged == 2
@@ -68,7 +68,7 @@
 
 
 def test_violation_is_reported_and_fails_the_run() -> None:
-    effects, history = day(History())
+    effects, history = failover_history(History())
     outcome = judge("plant", 3.0, history, effects[:1], [])
     assert not outcome.good
     assert outcome.to_json()["promises"]["acknowledged writes lost"] == 1
@@ -76,7 +76,7 @@
 
 
 def test_run_without_expected_events_fails() -> None:
-    effects, history = day(History())
+    effects, history = failover_history(History())
     history.attempts.pop()
     history.reads = [view(1.0, "primary")]
     outcome = judge("plant", 3.0, history, effects[:1], ["gate: still no_primary"])
@@ -88,7 +88,7 @@
 
 
 def test_run_without_faults_fails() -> None:
-    effects, history = day(History())
+    effects, history = failover_history(History())
     history.faults.clear()
     outcome = judge("plant", 3.0, history, effects, [])
     assert outcome.missing == ["no primary was lost"]
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -39,7 +39,7 @@
     return Viewer("c1", session, kind, max_age, {}, {})
 
 
-async def a_write(one: Case) -> Position:
+async def run_write(one: Case) -> Position:
     """Run a write and return its position."""
     reply = one.session().run(one.sent("w", "WRITE a b"))
     assert reply.position is not None
@@ -63,7 +63,7 @@
 ) -> None:
     async def run() -> None:
         case = Case()
-        position = await a_write(case)
+        position = await run_write(case)
         case.promises.acknowledge("c", position, session)
         reply = case.session("db-1").run(case.sent("r", "READ a"))
         case.at += age
@@ -76,7 +76,7 @@
 def test_read_may_miss_commit_rolled_back_by_promotion() -> None:
     async def run() -> None:
         case = Case()
-        position = await a_write(case)
+        position = await run_write(case)
         case.promises.acknowledge("c", position, "s")
         case.group.members["db-2"].deaf = True
         await case.group.promote("db-2")
@@ -92,7 +92,7 @@
     async def run() -> None:
         case = Case()
         await case.group.promote("db-2")
-        position = await a_write(case)
+        position = await run_write(case)
         case.promises.acknowledge("c", position, "s")
         assert "committed at a superseded primary" in case.broken()
 
