--- a/bench/share.py
+++ b/bench/share.py
@@ -1,4 +1,4 @@
-"""Share of reads that replicas serve, beside an oracle's, by replica lag.
+"""Measure the fraction of reads that replicas serve, against an oracle, by lag.
 
 Usage:
     share [--deployment NAME] [--seconds N] [--lag MS]...
@@ -9,10 +9,10 @@
     --lag MS           lag of all replicas' reads in ms; by default 5, 50, 500
                        and 5000
 
-Real hosts and stand-ins on loopback, the deployment's day without faults. The
-oracle knows every member's position while a request is under way, and sends it
-to a replica whenever one meets the demand when it is sent or when its answer
-is in. The baseline sends all reads to the primary.
+Real hosts and stand-ins on loopback, the deployment's workload without faults.
+The oracle knows every member's position during a request, and sends it to a
+replica whenever one meets the demand when it is sent or when its answer
+arrives. The baseline sends all reads to the primary.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 class Tally:
-    """Count reads by consistency, by who served and by what was possible.
+    """Count reads by consistency, serving role and whether a replica was eligible.
 
     :ivar counts: by consistency, role that served and whether a replica could.
     """
@@ -56,15 +56,22 @@
         """Return whether some replica meets the demand of a read now."""
         group = self.world.platform.groups[body["group"]]
         primary = group.primary
-        replicas = [one for one in group.members.values() if one is not primary]
+        replicas = [
+            member for member in group.members.values() if member is not primary
+        ]
         return any(
-            meets(group, one.state.visible, body, covers, self.world.clock.monotonic())
-            for one in replicas
+            meets(
+                group, member.state.visible, body, covers, self.world.clock.monotonic()
+            )
+            for member in replicas
         )
 
     def to_json(self) -> Json:
         """Return the shares, of all reads and of each consistency."""
-        shares = {one.value: self.shares(one.value) for one in Consistency}
+        shares = {
+            consistency.value: self.shares(consistency.value)
+            for consistency in Consistency
+        }
         return {"all": self.shares(None), **shares}
 
     def shares(self, consistency: str | None) -> Json | None:
@@ -106,7 +113,7 @@
 
 
 class ObservedCaller(Caller):
-    """Ask the oracle before and after each read."""
+    """Query the oracle before and after each read."""
 
     __slots__ = ("tally", "covers")
 
@@ -114,15 +121,15 @@
     covers: dict[str, Position]
 
     async def call(self, path: str, body: Json) -> Reply:
-        """Send one request, and count it with what the oracle says of it."""
+        """Send one request, and count it with the oracle's result."""
         covers = self.covers.get(body["group"], ORIGIN)
         could = path == READ_PATH and self.tally.possible(body, covers)
         reply = await super().call(path, body)
         could = could or path == READ_PATH and self.tally.possible(body, covers)
         if reply.reason is not None:
             return reply
-        seen = Position(*reply.body["position"])
-        self.covers[body["group"]] = max(covers, seen)
+        position = Position(*reply.body["position"])
+        self.covers[body["group"]] = max(covers, position)
         if path == READ_PATH:
             key = (body["consistency"], str(reply.body["role"]), could)
             self.tally.counts[key] += 1
@@ -130,7 +137,7 @@
 
 
 async def measure(name: str, lag: float, seconds: float) -> Json:
-    """Return the shares of one deployment's day at one lag, in seconds."""
+    """Return the shares of one deployment's workload at one lag, in seconds."""
     rng = random.Random(SEED)
     async with World(Deployment(name), SystemClock(), rng) as world:
         tally = Tally(world)
@@ -162,13 +169,13 @@
             tally.counts.clear()
             await world.clock.sleep(seconds)
             day.stop()
-        for complaint in day.gave_up:
-            print(complaint, file=sys.stderr)
+        for message in day.gave_up:
+            print(message, file=sys.stderr)
         return tally.to_json()
 
 
 def main(argv: list[str] | None = None) -> dict[str, Any]:
-    """Run as told by the command line; return the figures."""
+    """Run with command-line options; return the figures."""
     options = docopt.docopt(__doc__, argv)
     name, seconds = options["--deployment"], float(options["--seconds"])
     return {
--- a/src/reedhook_standins/hostlist.py
+++ b/src/reedhook_standins/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of entry hosts and targets."""
+"""Stand-in of the platform's list of entry hosts and targets, with a delay."""
 
 from reedhook.clock import Clock, SystemClock
 from reedhook.process.fleet.hostlist import HostListEntry, ListedKind, ListedState
@@ -9,7 +9,7 @@
 
 
 class ListChange(Record):
-    """Carry a change of the list; `listed` is None for a removal.
+    """Represent a change of the list; `listed` is None for a removal.
 
     :param at: clock time in seconds.
     """
@@ -25,7 +25,7 @@
 class HostListStandin(Service):
     """Serve a list that shows each change `lag` seconds late.
 
-    :ivar down: whether each call ends without an answer.
+    :ivar down: whether connections close without an answer.
     """
 
     def __init__(self, clock: Clock | None = None, lag: float = 0.0) -> None:
@@ -44,23 +44,23 @@
         state: ListedState = ListedState.LIVE,
         kind: ListedKind = ListedKind.HOST,
     ) -> None:
-        """Add a host or change its line."""
+        """Add a host or replace its entry."""
         listed = HostListEntry(host, zone, address, state, kind)
         self.changes.append(ListChange(self.clock.monotonic(), host, listed))
 
     def leave(self, host: str) -> None:
         """Mark a listed host as leaving."""
-        known = [one for one in self.changes if one.host == host]
-        listed = known[-1].listed
+        host_changes = [change for change in self.changes if change.host == host]
+        listed = host_changes[-1].listed
         assert listed is not None, host
         self.put(host, listed.zone, listed.address, ListedState.LEAVING, listed.kind)
 
     def remove(self, host: str) -> None:
-        """Take a host off the list."""
+        """Remove a host from the list."""
         self.changes.append(ListChange(self.clock.monotonic(), host, None))
 
     def visible(self) -> list[HostListEntry]:
-        """Return the list as it stood `lag` seconds ago."""
+        """Return the list as of `lag` seconds ago."""
         newest = self.clock.monotonic() - self.lag
         lines: dict[str, HostListEntry] = {}
         for change in self.changes:
@@ -84,7 +84,7 @@
         if name != "hosts":
             raise ServiceRefusal("bad_request", f"unknown call {name}", 404)
         lines = [
-            [one.host, one.zone, one.address, one.state.value, one.kind.value]
-            for one in self.visible()
+            [entry.host, entry.zone, entry.address, entry.state.value, entry.kind.value]
+            for entry in self.visible()
         ]
         return {"hosts": lines}
--- a/tests/load.py
+++ b/tests/load.py
@@ -1,8 +1,8 @@
-"""Statements that arrive at one simulated target, whatever it can bear.
+"""An open-loop load on one simulated target.
 
-Three kinds of callers as the deployments have them: short ones that go first, some
-long ones, and many of a middle length. Each comes back twice when it is refused, as
-if it were new, and takes a late answer for little.
+Three kinds of callers: short statements with high priority, some long ones, and many of
+medium length. A refused caller retries up to twice as a new request; a late answer
+counts little.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 SLOTS: Final = 3
 SPREAD: Final = 0.7
 LONGEST: Final = 7.5
-"""Work times are lognormal with this spread, up to so many times their mean."""
+"""Work times are lognormal, truncated at this multiple of their mean."""
 
 TRIES: Final = 3
 COME_BACK: Final = (0.02, 0.08)
-"""Seconds after which a caller that was refused comes back."""
+"""Seconds after which a refused caller retries."""
 
 REST: Final = (0.01, 0.06)
 """Seconds between two statements of a transaction."""
@@ -37,11 +37,11 @@
 class Caller:
     """Describe one kind of caller.
 
-    :param share: of all arrivals.
-    :param work: seconds that a statement takes on average.
-    :param objective: seconds in which an answer is in time.
-    :param worth: of an answer in time.
-    :param transactions: share that runs two to five statements.
+    :param share: fraction of all arrivals.
+    :param work: mean seconds per statement.
+    :param objective: seconds within which an answer is in time.
+    :param worth: value of an answer in time.
+    :param transactions: fraction that runs two to five statements.
     """
 
     __slots__ = ("share", "work", "objective", "priority", "worth", "transactions")
@@ -70,22 +70,21 @@
 }
 
 OFFERED: Final = 0.0237
-"""Seconds of a slot that one caller asks for on average, its transactions
-included."""
+"""Mean slot seconds of one caller, transactions included."""
 
 TIMEOUT: Final = 0.8
 CONNECTIONS: Final = 15
 
 
 def rate(load: float) -> float:
-    """Return the callers a second that ask for `load` times what the slots bear."""
+    """Return the callers per second that offer `load` times the capacity."""
     return load * SLOTS / OFFERED
 
 
 class Target:
     """Run statements in its slots, in the order of their arrival.
 
-    :ivar hangs: share of the statements that never end and hold no slot.
+    :ivar hangs: fraction of statements that never end and hold no slot.
     """
 
     def __init__(self, random: Random) -> None:
@@ -99,27 +98,30 @@
         if self.random.random() < self.hangs:
             await asyncio.sleep(TIMEOUT)
             raise TimeoutError
-        middle = math.log(mean) - SPREAD * SPREAD / 2
-        work = min(self.random.lognormvariate(middle, SPREAD), LONGEST * mean)
+        log_mean = math.log(mean) - SPREAD * SPREAD / 2
+        work = min(self.random.lognormvariate(log_mean, SPREAD), LONGEST * mean)
         async with self.slots:
             await asyncio.sleep(work * self.slower)
 
 
 class Load:
-    """Let callers arrive for a while and count what becomes of them.
+    """Generate callers for a while and count their results.
 
-    :param turns: None for the order of arrival on `CONNECTIONS` connections.
+    :param ordered: whether admission is ordered; if not, statements run in the order of
+        arrival on `CONNECTIONS` connections.
     :ivar asked: callers by kind.
-    :ivar in_time: those of them who were answered in time.
-    :ivar answered: those of them who were answered at all.
-    :ivar held_in_vain: those of the others who waited for half of their time.
+    :ivar in_time: callers answered in time.
+    :ivar answered: callers answered at all.
+    :ivar held_in_vain: callers without an answer that waited for half of their time.
     """
 
     def __init__(self, seed: int, ordered: bool = True) -> None:
         self.random = Random(seed)
         self.target = Target(self.random)
-        room = ConnectionAvailability(lambda: True, lambda: 0.0)
-        self.turns = AdmissionQueue("t", SLOTS, room, LoopClock()) if ordered else None
+        availability = ConnectionAvailability(lambda: True, lambda: 0.0)
+        self.turns = (
+            AdmissionQueue("t", SLOTS, availability, LoopClock()) if ordered else None
+        )
         self.connections = asyncio.Semaphore(CONNECTIONS)
         self.asked: Counter[str] = Counter()
         self.in_time: Counter[str] = Counter()
@@ -128,9 +130,9 @@
         self.calls: list[asyncio.Task[None]] = []
 
     async def arrive(self, load: float, seconds: float) -> None:
-        """Let callers arrive at random."""
+        """Generate random arrivals."""
         names = list(CALLERS)
-        shares = [one.share for one in CALLERS.values()]
+        shares = [caller.share for caller in CALLERS.values()]
         until = now() + seconds
         while now() < until:
             await asyncio.sleep(self.random.expovariate(rate(load)))
@@ -145,64 +147,68 @@
         """Run the operation of one caller, up to three times."""
         caller = CALLERS[name]
         self.asked[name] += 1
-        begun = now()
-        held = 0.0
+        started = now()
+        held_seconds = 0.0
         for _ in range(TRIES):
-            tried = now()
+            attempt_started = now()
             rested = await self.operate(name, caller)
             if rested is not None:
                 self.answered[name] += 1
-                if now() - begun - rested <= caller.objective:
+                if now() - started - rested <= caller.objective:
                     self.in_time[name] += 1
                 return
-            held += now() - tried
+            held_seconds += now() - attempt_started
             await asyncio.sleep(self.random.uniform(*COME_BACK))
-        self.held_in_vain += held > TIMEOUT / 2
+        self.held_in_vain += held_seconds > TIMEOUT / 2
 
     async def operate(self, name: str, caller: Caller) -> float | None:
-        """Run its statements; return how long it rested, None if it was refused."""
+        """Run its statements; return the idle time, or None if it was refused."""
         count = 1
         if self.random.random() < caller.transactions:
             count = self.random.randint(2, 5)
-        begun, rested = now(), 0.0
+        started, rest_seconds = now(), 0.0
         for index in range(count):
             if index:
-                rest = self.random.uniform(*REST)
-                rested += rest
-                await asyncio.sleep(rest)
-            due = begun + rested + caller.objective
+                pause = self.random.uniform(*REST)
+                rest_seconds += pause
+                await asyncio.sleep(pause)
+            deadline = started + rest_seconds + caller.objective
             demand = AdmissionRequest(
-                name, caller.priority, due, now() + TIMEOUT, index > 0
+                name, caller.priority, deadline, now() + TIMEOUT, index > 0
             )
             try:
                 await self.run(demand, caller.work)
             except (RefusalError, TimeoutError):
                 return None
-        return rested
+        return rest_seconds
 
     async def run(self, demand: AdmissionRequest, work: float) -> None:
-        """Run one statement in its turn."""
+        """Run one statement after its admission."""
         if self.turns is None:
             async with asyncio.timeout(demand.deadline - now()):
                 async with self.connections:
                     await self.target.run(work)
             return
-        turn: Admission = await self.turns.admit(demand)
+        admission: Admission = await self.turns.admit(demand)
         sent = now()
         try:
             await self.target.run(work)
             self.turns.record_duration(demand.route, now() - sent)
         finally:
-            self.turns.release(turn)
+            self.turns.release(admission)
 
     def share(self) -> float:
-        """Return the worth of those in time, of the worth of all."""
-        owed = sum(CALLERS[name].worth * count for name, count in self.asked.items())
-        got = sum(CALLERS[name].worth * count for name, count in self.in_time.items())
-        return got / owed
+        """Return the value of the answers in time as a fraction of all."""
+        total_worth = sum(
+            CALLERS[name].worth * count for name, count in self.asked.items()
+        )
+        earned_worth = sum(
+            CALLERS[name].worth * count for name, count in self.in_time.items()
+        )
+        return earned_worth / total_worth
 
     def share_of(self, name: str) -> float:
-        """Return the share of one kind that was answered in time."""
+        """Return the fraction of one kind that was answered in time."""
         return self.in_time[name] / self.asked[name]
 
 
--- a/tests/test_api_docs.py
+++ b/tests/test_api_docs.py
@@ -1,4 +1,4 @@
-"""The examples of docs/API.md, sent to hosts that serve the plant."""
+"""The examples of docs/API.md, run against hosts of the plant deployment."""
 
 import json
 import re
@@ -23,7 +23,7 @@
 
 
 class Shell:
-    """Do what the page's shell examples do, with aiohttp in place of curl."""
+    """Run the page's shell examples, with aiohttp instead of curl."""
 
     def __init__(self, host: str, http: aiohttp.ClientSession) -> None:
         self.http = http
@@ -50,14 +50,14 @@
             self.variables[name] = text
 
     async def call(self, command: str) -> dict[str, Any]:
-        """Send what a curl command sends and return the answer."""
-        words = shlex.split(self.expanded(CURL.findall(command)[0]))
-        url = next(word for word in words if word.startswith("http"))
-        body = words[words.index("-d") + 1] if "-d" in words else None
-        method = "POST" if body or "POST" in words else "GET"
+        """Send the request of a curl command and return the answer."""
+        arguments = shlex.split(self.expanded(CURL.findall(command)[0]))
+        url = next(word for word in arguments if word.startswith("http"))
+        body = arguments[arguments.index("-d") + 1] if "-d" in arguments else None
+        method = "POST" if body or "POST" in arguments else "GET"
         headers = {}
-        if "-H" in words:
-            name, _, value = words[words.index("-H") + 1].partition(": ")
+        if "-H" in arguments:
+            name, _, value = arguments[arguments.index("-H") + 1].partition(": ")
             headers[name] = value
         async with self.http.request(method, url, data=body, headers=headers) as reply:
             answer: dict[str, Any] = await reply.json()
@@ -66,7 +66,7 @@
         return answer
 
     def expanded(self, command: str) -> str:
-        """Put the variables' values into a command."""
+        """Expand the variables of a command."""
         joined = command.replace("'$ID'", "$ID")
         for name, value in self.variables.items():
             joined = joined.replace(f"${name}", value)
@@ -91,17 +91,17 @@
 
 
 @on_loop
-async def test_the_examples_of_the_page_work() -> None:
+async def test_examples_of_api_page_run() -> None:
     async with World(Deployment("plant")) as world:
         host = next(iter(world.settings.values())).listen
         async with aiohttp.ClientSession() as http:
             shell = Shell(host, http)
             for example in EXAMPLE.findall(PAGE.read_text()):
                 await shell.run(example)
-            found = await shell.call(after(shell.answers[4]["token"]))
+            result = await shell.call(after(shell.answers[4]["token"]))
     assert len(shell.answers) == EXPECTED + 1
-    read, wrote, begun, step, _, health = shell.answers[:EXPECTED]
+    read, wrote, began, step, _, health = shell.answers[:EXPECTED]
     assert read["rows"] == [[42]]
-    assert wrote["verdict"] == begun["verdict"] == step["verdict"] == "done"
-    assert found["rows"] == [[1, "manure, 12 t"]]
+    assert wrote["verdict"] == began["verdict"] == step["verdict"] == "done"
+    assert result["rows"] == [[1, "manure, 12 t"]]
     assert health["status"] == "ok"
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The judge of promises notices each kind of broken one."""
+"""The `Promises` checks detect each kind of violation."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Case:
-    """Hold a group, its judge, and a clock that is set by hand."""
+    """Hold a group, its checks, and a clock set by the test."""
 
     def __init__(self) -> None:
         self.group = DatabaseGroup("db", ["z0", "z1", "z2"])
@@ -25,21 +25,21 @@
         return DatabaseSession(self.group.members[target])
 
     def sent(self, id: str, text: str, transaction: str = "") -> TargetQuery:
-        """Remember a statement as sent; return it for a target."""
+        """Record a statement as sent; return it as a query to a target."""
         self.promises.sent[id] = Sent(text, transaction, {}, {})
         return TargetQuery(id, text)
 
     def broken(self) -> str:
-        """Return what was found."""
+        """Return the violations found."""
         return "\n".join(self.promises.violations)
 
 
 def viewer(kind: RouteConsistency, max_age: float | None, session: str = "s") -> Viewer:
-    """Return a reader that has set and prepared nothing."""
+    """Return a reader whose session has no settings or prepared statements."""
     return Viewer("c1", session, kind, max_age, {}, {})
 
 
-async def a_write(one: Case) -> Position:
+async def run_write(one: Case) -> Position:
     """Run a write and return its position."""
     reply = one.session().run(one.sent("w", "WRITE a b"))
     assert reply.position is not None
@@ -58,104 +58,104 @@
         (RouteConsistency.OWN_WRITES, 2.5, 2.6, "other", True),
     ],
 )
-def test_a_read_that_misses_a_commit(
+def test_read_that_misses_required_commit_is_reported(
     kind: RouteConsistency, max_age: float | None, age: float, session: str, stale: bool
 ) -> None:
     async def run() -> None:
-        one = Case()
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, session)
-        behind = one.session("db-1").run(one.sent("r", "READ a"))
-        one.at += age
-        one.promises.read(viewer(kind, max_age), behind.rows[0], one.at)
-        assert ("a log without" in one.broken()) is stale
+        case = Case()
+        position = await run_write(case)
+        case.promises.acknowledge("c", position, session)
+        reply = case.session("db-1").run(case.sent("r", "READ a"))
+        case.at += age
+        case.promises.read(viewer(kind, max_age), reply.rows[0], case.at)
+        assert ("a log without" in case.broken()) is stale
 
     asyncio.run(run())
 
 
-def test_a_commit_that_a_promotion_rolled_back_need_not_be_seen() -> None:
+def test_read_may_miss_commit_rolled_back_by_promotion() -> None:
     async def run() -> None:
-        one = Case()
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, "s")
-        one.group.members["db-2"].deaf = True
-        await one.group.promote("db-2")
-        one.at += 1.0
-        row = one.session("db-2").run(one.sent("r", "READ a")).rows[0]
-        one.promises.read(viewer(RouteConsistency.PRIMARY, None), row, one.at)
-        assert not one.promises.violations
+        case = Case()
+        position = await run_write(case)
+        case.promises.acknowledge("c", position, "s")
+        case.group.members["db-2"].deaf = True
+        await case.group.promote("db-2")
+        case.at += 1.0
+        row = case.session("db-2").run(case.sent("r", "READ a")).rows[0]
+        case.promises.read(viewer(RouteConsistency.PRIMARY, None), row, case.at)
+        assert not case.promises.violations
 
     asyncio.run(run())
 
 
-def test_a_commit_at_a_former_primary_is_not_to_be_acknowledged() -> None:
+def test_acknowledged_commit_at_former_primary_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        await one.group.promote("db-2")
-        position = await a_write(one)
-        one.promises.acknowledge("c", position, "s")
-        assert "committed too late" in one.broken()
+        case = Case()
+        await case.group.promote("db-2")
+        position = await run_write(case)
+        case.promises.acknowledge("c", position, "s")
+        assert "committed at a superseded primary" in case.broken()
 
     asyncio.run(run())
 
 
-def test_a_statement_that_nobody_sent() -> None:
+def test_statement_that_was_not_sent_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        one.session().run(TargetQuery("x", "READ a"))
-        one.session().run(TargetQuery(one.sent("y", "READ a").id, "READ b"))
-        assert one.broken().count("which nobody sent") == 2
+        case = Case()
+        case.session().run(TargetQuery("x", "READ a"))
+        case.session().run(TargetQuery(case.sent("y", "READ a").id, "READ b"))
+        assert case.broken().count("which no caller sent") == 2
 
     asyncio.run(run())
 
 
-def test_a_statement_outside_its_transaction_or_on_another_connection() -> None:
+def test_statement_outside_its_transaction_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        one.session().run(one.sent("a", "READ a", "t1"))
-        assert "runs elsewhere" in one.broken()
-        first, second = one.session(), one.session()
+        case = Case()
+        case.session().run(case.sent("a", "READ a", "t1"))
+        assert "runs outside it" in case.broken()
+        first, second = case.session(), case.session()
         for session in (first, second):
             session.run(TargetQuery("", "BEGIN"))
-        first.run(one.sent("b", "READ a", "t2"))
-        second.run(one.sent("c", "READ a", "t2"))
-        assert "another connection" in one.broken()
+        first.run(case.sent("b", "READ a", "t2"))
+        second.run(case.sent("c", "READ a", "t2"))
+        assert "another connection" in case.broken()
 
     asyncio.run(run())
 
 
-def test_a_statement_that_meets_values_of_another_session() -> None:
+def test_statement_with_settings_of_another_session_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        session = one.session()
+        case = Case()
+        session = case.session()
         session.run(TargetQuery("", "SET v 1"))
-        session.run(one.sent("a", "READ a"))
-        assert "runs with {'v': '1'}" in one.broken()
+        session.run(case.sent("a", "READ a"))
+        assert "runs with {'v': '1'}" in case.broken()
 
     asyncio.run(run())
 
 
-def test_a_write_that_takes_effect_twice() -> None:
+def test_write_with_two_effects_is_reported() -> None:
     async def run() -> None:
-        one = Case()
-        query = one.sent("w", "WRITE a b")
-        one.session().run(query)
-        one.session().run(query)
-        assert "took effect twice" in one.broken()
+        case = Case()
+        query = case.sent("w", "WRITE a b")
+        case.session().run(query)
+        case.session().run(query)
+        assert "took effect twice" in case.broken()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("promised_first", [True, False])
-def test_a_write_that_was_said_not_to_be_kept(promised_first: bool) -> None:
+def test_effect_of_write_answered_not_run_is_reported(promised_first: bool) -> None:
     async def run() -> None:
-        one = Case()
-        query = one.sent("w", "WRITE a b")
+        case = Case()
+        query = case.sent("w", "WRITE a b")
         if promised_first:
-            one.promises.promise("c", ["w"])
-        one.session().run(query)
+            case.promises.promise("c", ["w"])
+        case.session().run(query)
         if not promised_first:
-            one.promises.promise("c", ["w"])
-        assert "said not to be kept" in one.broken()
+            case.promises.promise("c", ["w"])
+        assert "answered as not run" in case.broken()
 
     asyncio.run(run())
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, started and ended by faults that overlap."""
+"""The host processes of the soak test under overlapping start and end faults."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 
 
 class Process:
-    """Stand in for a process."""
+    """Imitate a subprocess."""
 
     def __init__(self) -> None:
         self.returncode: int | None = None
@@ -18,35 +18,35 @@
         self.signals: list[int] = []
 
     def send_signal(self, number: int) -> None:
-        """Note a signal; end by one that kills."""
+        """Record a signal; exit on SIGKILL."""
         self.signals.append(number)
         if number == signal.SIGKILL:
             self.finish(-number)
 
     def kill(self) -> None:
-        """End at once."""
+        """Exit as killed."""
         self.send_signal(signal.SIGKILL)
 
     def finish(self, code: int) -> None:
-        """End with a code."""
+        """Exit with a code."""
         self.returncode = code
         self.over.set()
 
     async def wait(self) -> int | None:
-        """Wait for the end."""
+        """Wait for the exit."""
         await self.over.wait()
         return self.returncode
 
 
 class Launches:
-    """Hand out processes once ``ready`` is set."""
+    """Create processes once ``ready`` is set."""
 
     def __init__(self) -> None:
         self.ready = asyncio.Event()
         self.processes: list[Process] = []
 
     async def launch(self, *words: str, **options: object) -> Process:
-        """Return a new process, as slowly as the test wishes."""
+        """Return a new process after ``ready`` is set."""
         await self.ready.wait()
         self.processes.append(Process())
         return self.processes[-1]
@@ -55,22 +55,22 @@
 def host(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[HostProcess, Launches]:
-    """Return a host whose processes are stand-ins."""
+    """Return a host whose processes are fakes."""
     launches = Launches()
     monkeypatch.setattr(asyncio, "create_subprocess_exec", launches.launch)
-    one = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
-    one.log_file.touch()
-    return one, launches
+    process_host = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
+    process_host.log_file.touch()
+    return process_host, launches
 
 
 async def started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[HostProcess, Launches]:
-    """Return a host that runs its first process."""
-    one, launches = host(tmp_path, monkeypatch)
+    """Return a host whose first process runs."""
+    process_host, launches = host(tmp_path, monkeypatch)
     launches.ready.set()
-    await one.start()
-    return one, launches
+    await process_host.start()
+    return process_host, launches
 
 
 async def settled() -> None:
@@ -79,41 +79,43 @@
         await asyncio.sleep(0)
 
 
-def test_a_killed_process_is_not_said_to_have_ended_by_itself(
+def test_killed_process_is_not_reported_as_unexpected_exit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
-        await one.kill()
+        process_host, launches = await started(tmp_path, monkeypatch)
+        await process_host.kill()
         launches.ready.clear()
-        again = asyncio.ensure_future(one.start())
+        restart = asyncio.ensure_future(process_host.start())
         await settled()
-        assert one.ended_by_itself() == ""
+        assert process_host.ended_by_itself() == ""
         launches.ready.set()
-        await again
-        assert one.ended_by_itself() == ""
+        await restart
+        assert process_host.ended_by_itself() == ""
 
     asyncio.run(scenario())
 
 
-def test_a_process_that_ends_unasked_is_told(
+def test_unexpected_exit_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
+        process_host, launches = await started(tmp_path, monkeypatch)
         launches.processes[0].finish(1)
-        assert one.ended_by_itself().startswith("h0 ended by itself with 1")
+        assert process_host.ended_by_itself().startswith(
+            "h0 exited unexpectedly with 1"
+        )
 
     asyncio.run(scenario())
 
 
-def test_two_faults_that_start_a_host_start_one_process(
+def test_concurrent_starts_launch_one_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = host(tmp_path, monkeypatch)
-        first = asyncio.ensure_future(one.start())
-        second = asyncio.ensure_future(one.start())
+        process_host, launches = host(tmp_path, monkeypatch)
+        first = asyncio.ensure_future(process_host.start())
+        second = asyncio.ensure_future(process_host.start())
         await settled()
         launches.ready.set()
         await asyncio.gather(first, second)
@@ -122,36 +124,36 @@
     asyncio.run(scenario())
 
 
-def test_a_late_end_by_force_spares_the_next_process(
+def test_delayed_kill_spares_the_next_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         monkeypatch.setattr("reedhook_standins.soak.hosts.GRACE", 0.0)
-        one, launches = await started(tmp_path, monkeypatch)
-        ending = asyncio.ensure_future(one.end())
+        process_host, launches = await started(tmp_path, monkeypatch)
+        ending = asyncio.ensure_future(process_host.end())
         await asyncio.sleep(0)
         launches.processes[0].finish(0)
-        await one.start()
+        await process_host.start()
         await ending
         assert launches.processes[1].returncode is None
-        assert one.running
+        assert process_host.running
 
     asyncio.run(scenario())
 
 
-def test_a_host_that_is_told_to_end_starts_again_once_it_ended(
+def test_start_waits_for_graceful_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, launches = await started(tmp_path, monkeypatch)
-        ending = asyncio.ensure_future(one.end())
+        process_host, launches = await started(tmp_path, monkeypatch)
+        ending = asyncio.ensure_future(process_host.end())
         await settled()
-        starting = asyncio.ensure_future(one.start())
+        starting = asyncio.ensure_future(process_host.start())
         await settled()
         launches.processes[0].finish(0)
         await asyncio.gather(ending, starting)
-        assert one.ended_by_itself() == ""
+        assert process_host.ended_by_itself() == ""
         assert len(launches.processes) == 2
-        assert one.running
+        assert process_host.running
 
     asyncio.run(scenario())
