--- a/src/reedhook/request/endpoint.py
+++ b/src/reedhook/request/endpoint.py
@@ -1,41 +1,42 @@
-"""The way from a caller's HTTP request to the handler of its path.
+"""Dispatches callers' HTTP requests to the handlers of their paths.
 
-aiohttp's application with its router and signals takes longer than a choice
-among these few paths; its plain server calls one handler for all requests.
+aiohttp's low-level server calls one handler for all requests. Its application
+layer adds overhead that these few paths do not need.
 """
 
 from typing import Final
 
 from aiohttp import hdrs, web
 
-from .api import TRANSACTION, Api, Handler, typed
-from .refusal import Reason, not_run
+from .api import TRANSACTION_HANDLE, Api, Handler, refuse_on_error
+from .refusal import RefusalReason, not_run
 
-BEGUN: Final = "/v1/transactions/"
-CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
-EXPECTED: Final = "100-continue"
+TRANSACTION_PATH_PREFIX: Final = "/v1/transactions/"
+CONTINUE_RESPONSE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_EXPECTATION: Final = "100-continue"
 
 
 class CallerEndpoint:
-    """Answer each request of a caller, be it by a typed refusal.
+    """Answer each request of a caller with a response or a typed refusal.
 
-    :ivar handle: answers one request; it raises nothing.
-    :ivar paths: handlers by method and path.
-    :ivar ends: handlers by what follows the id of an open transaction.
+    :ivar handle: answers one request without raising an exception.
+    :ivar handlers: handlers by method and path.
+    :ivar transaction_handlers: handlers by the path segment after the id of an open
+        transaction.
     """
 
-    __slots__ = ("handle", "paths", "ends")
+    __slots__ = ("handle", "handlers", "transaction_handlers")
 
     def __init__(self, api: Api) -> None:
-        self.handle = typed(api, self.answer)
-        self.paths: dict[tuple[str, str], Handler] = {
+        self.handle = refuse_on_error(api, self.answer)
+        self.handlers: dict[tuple[str, str], Handler] = {
             (hdrs.METH_POST, "/v1/read"): api.read,
             (hdrs.METH_POST, "/v1/write"): api.write,
             (hdrs.METH_POST, "/v1/transactions"): api.begin,
             (hdrs.METH_GET, "/v1/health"): api.health,
             (hdrs.METH_HEAD, "/v1/health"): api.health,
         }
-        self.ends: dict[str, Handler] = {
+        self.transaction_handlers: dict[str, Handler] = {
             "statements": api.step,
             "commit": api.commit,
             "rollback": api.rollback,
@@ -44,43 +45,47 @@
     async def answer(self, request: web.BaseRequest) -> web.Response:
         """Answer one request.
 
-        :raises Refusal: if it cannot be served.
+        :raises RefusalError: if the request cannot be served.
         """
         handler = self.handler(request)
         if hdrs.EXPECT in request.headers:
-            await invite_body(request)
+            await send_continue(request)
         return await handler(request)
 
     def handler(self, request: web.BaseRequest) -> Handler:
         """Return the handler of a request.
 
-        :raises Refusal: if the interface does not have its method and path.
+        :raises RefusalError: if no handler exists for its method and path.
         """
         path = request.path
-        handler = self.paths.get((request.method, path))
+        handler = self.handlers.get((request.method, path))
         if handler is None and request.method == hdrs.METH_POST:
-            handler = self.of_transaction(request, path)
+            handler = self.transaction_handler(request, path)
         if handler is None:
-            detail = f"there is no {request.method} on this path"
-            raise not_run(Reason.BAD_REQUEST, detail)
+            detail = f"the method {request.method} is not supported on this path"
+            raise not_run(RefusalReason.BAD_REQUEST, detail)
         return handler
 
-    def of_transaction(self, request: web.BaseRequest, path: str) -> Handler | None:
-        """Return the handler of a path below an open transaction."""
-        if not path.startswith(BEGUN):
+    def transaction_handler(
+        self, request: web.BaseRequest, path: str
+    ) -> Handler | None:
+        """Return the handler of a path of an open transaction, or None."""
+        if not path.startswith(TRANSACTION_PATH_PREFIX):
             return None
-        transaction, _, end = path[len(BEGUN) :].partition("/")
-        request[TRANSACTION] = transaction
-        return self.ends.get(end) if transaction else None
+        transaction, _, action = path[len(TRANSACTION_PATH_PREFIX) :].partition("/")
+        request[TRANSACTION_HANDLE] = transaction
+        return self.transaction_handlers.get(action) if transaction else None
 
 
-async def invite_body(request: web.BaseRequest) -> None:
-    """Tell a client that waits for it to send the body now.
+async def send_continue(request: web.BaseRequest) -> None:
+    """Answer an ``Expect: 100-continue`` header.
 
-    :raises Refusal: if the client expects anything else.
+    :raises RefusalError: if the header has another value.
     """
-    if request.headers[hdrs.EXPECT].lower() != EXPECTED:
-        raise not_run(Reason.BAD_REQUEST, "the header Expect holds an unknown value")
-    await request.writer.write(CONTINUE)
-    # The head of the answer proper is still to be sent.
+    if request.headers[hdrs.EXPECT].lower() != CONTINUE_EXPECTATION:
+        raise not_run(
+            RefusalReason.BAD_REQUEST, "the header Expect has an unknown value"
+        )
+    await request.writer.write(CONTINUE_RESPONSE)
+    # aiohttp takes a nonzero size for response headers that are already sent.
     request.writer.output_size = 0
--- /dev/null
+++ b/src/reedhook/request/replica_reader.py
@@ -0,0 +1,250 @@
+"""Runs reads at the replica that is fresh enough and expected to answer first."""
+
+from typing import Final
+
+from ..clock import Clock
+from ..connection.session_target import StatementFault
+from ..decision_log import DecisionLog
+from ..host_directory import HostDirectory
+from ..peer import PeerClient, PeerError
+from ..process.discovery.announcements import Announcements
+from ..process.primary_lease.lease_registry import PrimaryLeaseRegistry
+from ..process.statement_server import PROOF, StatementServer
+from ..record import Record
+from ..version.route_table import Route, TargetAnnouncement
+from ..wire import Json, WireError
+from .position import Position
+from .refusal import RefusalError, RefusalReason
+from .service_observations import ServiceObservations
+from .session_statement import PositionProof, SessionStatement
+from .statement_forwarder import LocatedResult, StatementForwarder, StatementLocation
+from .verdict import Verdict
+
+AGE_MARGIN_SECONDS: Final = 0.15
+"""Margin between the age of a proof and the age that a read allows. It covers the
+delay until the read runs at the target."""
+
+PROOF_TIMEOUT_SECONDS: Final = 0.25
+
+MS_PER_SECOND: Final = 1000.0
+
+MAX_REPLICAS: Final = 2
+"""Replicas that a read tries before the primary."""
+
+SLOT_WAIT_LIMIT_SECONDS: Final = 0.02
+"""Queueing limit of a read at one target while another may have a free slot."""
+
+CROSS_ZONE_COST_SECONDS: Final = 0.012
+"""Cost added to a target in another availability zone, for the slower hop and for
+billed traffic between zones."""
+
+
+class ReplicaReadResult(Record):
+    """Carry the outcome of a read at the replicas.
+
+    :param located_result: the result; None if no replica answered.
+    :param overloaded_replica: the overloaded replica with the shortest wait; None if
+        no replica refused for overload.
+    :param wait_seconds: the wait at `overloaded_replica`.
+    """
+
+    __slots__ = ("located_result", "overloaded_replica", "wait_seconds")
+
+    def __init__(
+        self,
+        located_result: LocatedResult | None = None,
+        overloaded_replica: TargetAnnouncement | None = None,
+        wait_seconds: float = 0.0,
+    ) -> None:
+        self.located_result = located_result
+        self.overloaded_replica = overloaded_replica
+        self.wait_seconds = wait_seconds
+
+
+class ReplicaReader:
+    """Choose a replica for each read from observations of earlier results."""
+
+    def __init__(
+        self,
+        forwarder: StatementForwarder,
+        local_handler: StatementServer,
+        lease_registry: PrimaryLeaseRegistry,
+        directory: HostDirectory,
+        peers: PeerClient,
+        announcements: Announcements,
+        clock: Clock,
+        decisions: DecisionLog,
+    ) -> None:
+        self.forwarder = forwarder
+        self.local_handler = local_handler
+        self.lease_registry = lease_registry
+        self.directory = directory
+        self.me = directory.me
+        self.peers = peers
+        self.announcements = announcements
+        self.clock = clock
+        self.decisions = decisions
+        self.services: dict[str, ServiceObservations] = {}
+
+    async def run_read(
+        self,
+        route: Route,
+        statement: SessionStatement,
+        session_position: Position | None,
+        deadline: float,
+    ) -> ReplicaReadResult:
+        """Run a read at a replica that is fresh enough and has a slot soon."""
+        min_position = await self.required_position(route, session_position)
+        if min_position is None:
+            return ReplicaReadResult()
+        statement.min_position = min_position
+        statement.wait_limit_seconds = SLOT_WAIT_LIMIT_SECONDS
+        overloaded, wait = None, float("inf")
+        tried: set[str] = set()
+        while len(tried) < MAX_REPLICAS:
+            entry = self.best_replica(route.service, min_position, tried)
+            if entry is None:
+                break
+            tried.add(entry.target)
+            result = await self.run_at_replica(entry, statement, deadline)
+            if result.located_result is not None:
+                return result
+            if result.overloaded_replica is not None and result.wait_seconds < wait:
+                overloaded, wait = result.overloaded_replica, result.wait_seconds
+        return ReplicaReadResult(None, overloaded, wait)
+
+    async def required_position(
+        self, route: Route, session_position: Position | None
+    ) -> Position | None:
+        """Return the position that a replica must hold; None if it is unknown."""
+        if route.max_age is None:
+            return session_position
+        since = self.clock.boottime() - route.max_age + AGE_MARGIN_SECONDS
+        observations = self.observations(route.service)
+        proof = observations.oldest_proof_since(since)
+        if proof is None:
+            proof = await self.request_proof(route, observations)
+        if proof is None:
+            return None
+        if session_position is not None and session_position > proof.position:
+            return session_position
+        return proof.position
+
+    async def request_proof(
+        self, route: Route, observations: ServiceObservations
+    ) -> PositionProof | None:
+        """Request a proof of the primary's position from its acting lease holder."""
+        record = self.lease_registry.get(route.service)
+        assert route.max_age is not None
+        max_proof_age = route.max_age / 2
+        if record is None:
+            return None
+        host = self.forwarder.acting_holder(record, False)
+        requested_at = self.clock.boottime()
+        try:
+            if host.host == self.me.host:
+                proof = await self.local_handler.prove(
+                    route.service, requested_at - max_proof_age
+                )
+            else:
+                body: Json = {"service": route.service, "age": max_proof_age}
+                answer = await self.peers.call(host, PROOF, body, PROOF_TIMEOUT_SECONDS)
+                proof = PositionProof.from_json(answer, requested_at)
+        except (PeerError, RefusalError, WireError) as error:
+            self.decisions.record(
+                "position_unknown", service=route.service, error=str(error)
+            )
+            return None
+        observations.add_proof(proof)
+        return proof
+
+    def best_replica(
+        self, service: str, min_position: Position, tried: set[str]
+    ) -> TargetAnnouncement | None:
+        """Return the eligible replica with the lowest expected cost, or None."""
+        now = self.clock.monotonic()
+        observations = self.observations(service)
+        record = self.lease_registry.get(service)
+        primary = "" if record is None else record.primary
+        best: TargetAnnouncement | None = None
+        best_cost = float("inf")
+        for entry in self.announcements.targets.values():
+            if entry.service != service or entry.leaving or entry.target == primary:
+                continue
+            target = observations.target(entry.target)
+            covered = target.position is not None and target.position >= min_position
+            if entry.target in tried or (now < target.avoid_until and not covered):
+                continue
+            cost = target.expected_seconds(now)
+            cost += 0.0 if entry.zone == self.me.zone else CROSS_ZONE_COST_SECONDS
+            if cost < best_cost:
+                best, best_cost = entry, cost
+        return best
+
+    async def run_at_replica(
+        self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
+    ) -> ReplicaReadResult:
+        """Run a read at one replica.
+
+        :raises RefusalError: if no other target may run the statement.
+        """
+        host = self.directory.home(entry.target, entry.zone)
+        if host is None:
+            return ReplicaReadResult()
+        statement.target = entry.target
+        statement.subtract_elapsed(
+            statement.remaining - (deadline - self.clock.monotonic())
+        )
+        target = self.observations(statement.service).target(entry.target)
+        started_at = self.clock.monotonic()
+        target.inflight += 1
+        location = StatementLocation(host, entry.target)
+        try:
+            result = await self.forwarder.run_at(location, statement)
+        except RefusalError as refusal:
+            if refusal.verdict is not Verdict.NOT_RUN or statement.remaining <= 0.0:
+                raise
+            if refusal.reason is RefusalReason.TRANSACTION_LOST:
+                # The first statement of the transaction was sent and must not run on
+                # a second connection. The caller must retry the whole transaction.
+                raise
+            if refusal.reason is RefusalReason.RATE_LIMITED:
+                # The rate limit covers all targets.
+                raise
+            self.forwarder.log_reroute(statement, entry.target, refusal.reason.value)
+            if refusal.reason is RefusalReason.OVERLOADED:
+                target.record_overload(self.clock.monotonic())
+                return ReplicaReadResult(None, entry, retry_after_seconds(refusal))
+            target.record_unreachable(self.clock.monotonic())
+            return ReplicaReadResult()
+        finally:
+            target.inflight -= 1
+        now = self.clock.monotonic()
+        reply = result.reply
+        if reply.fault is StatementFault.LAGGING:
+            target.record_lag(reply.position, now)
+            self.forwarder.log_reroute(
+                statement, entry.target, reply.fault.value, statement.min_position
+            )
+            return ReplicaReadResult()
+        if reply.fault is StatementFault.BUSY:
+            self.forwarder.log_reroute(statement, entry.target, reply.fault.value)
+            return ReplicaReadResult()
+        target.record_answer(now - started_at, reply.position, now)
+        return ReplicaReadResult(LocatedResult(result, location))
+
+    def forget_target(self, entry: TargetAnnouncement) -> None:
+        """Drop the observations of a target that has restarted."""
+        self.observations(entry.service).targets.pop(entry.target, None)
+
+    def observations(self, service: str) -> ServiceObservations:
+        """Return the observations of a service, created on first use."""
+        observations = self.services.get(service)
+        if observations is None:
+            observations = self.services[service] = ServiceObservations()
+        return observations
+
+
+def retry_after_seconds(refusal: RefusalError) -> float:
+    """Return the retry delay of a refusal in seconds; 0 if it has none."""
+    return (refusal.retry_after_ms or 0) / MS_PER_SECOND
--- a/src/reedhook/request/command.py
+++ b/src/reedhook/request/session_command.py
@@ -1,12 +1,12 @@
-"""What a caller asks for with one statement of its session."""
+"""Commands that a caller sends in a session."""
 
 from enum import Enum
 
 from ..record import Record
 
 
-class CommandKind(str, Enum):
-    """Name what a command does."""
+class SessionCommandKind(str, Enum):
+    """Enumerate the kinds of commands."""
 
     READ = "read"
     WRITE = "write"
@@ -21,18 +21,18 @@
     MALFORMED = "malformed"
 
 
-class Command(Record):
+class SessionCommand(Record):
     """Carry one command.
 
-    :param text: what a target is sent, to the letter as the caller sent it.
-    :param name: of the session value or prepared statement it is about.
+    :param text: the text for the target, unchanged from the caller's.
+    :param name: the name of the session setting or prepared statement.
     :param writes: whether the statement to be prepared writes.
     """
 
     __slots__ = ("kind", "text", "name", "writes")
 
     def __init__(
-        self, kind: CommandKind, text: str, name: str = "", writes: bool = False
+        self, kind: SessionCommandKind, text: str, name: str = "", writes: bool = False
     ) -> None:
         self.kind = kind
         self.text = text
--- a/src/reedhook/request/statement.py
+++ b/src/reedhook/request/statement.py
@@ -1,25 +1,25 @@
-"""A statement on its way to a target, and the answer on its way back."""
+"""Statements for targets and their results, as sent between hosts."""
 
 from enum import Enum
 from typing import Any, TypeAlias
 
 from ..record import Record
-from ..wire import Json, reader
+from ..wire import Json, wraps_decode_errors
 from .position import Position
 
 Row: TypeAlias = list[Any]
 
 
 class Consistency(str, Enum):
-    """Name what a read demands."""
+    """Enumerate the consistency levels of reads."""
 
     FRESH = "fresh"
     SESSION = "session"
     MAX_AGE = "max_age"
 
 
-class Kind(str, Enum):
-    """Name what a statement does at the target."""
+class StatementKind(str, Enum):
+    """Enumerate the kinds of statements."""
 
     READ = "read"
     WRITE = "write"
@@ -32,15 +32,11 @@
 class Statement(Record):
     """Carry one statement from the entry host to the home of a target.
 
-    :param kind: what the statement does.
-    :param group: the database group.
-    :param caller: the name of the caller, for fair queues.
-    :param priority: the class of the work; lower runs first.
-    :param sql: the text of the statement.
-    :param params: its parameters.
-    :param consistency: what a read demands.
-    :param covers: the position that a session read must not miss.
-    :param max_age: the age that a bounded read accepts, in seconds.
+    :param group: the name of the database group.
+    :param caller: the name of the caller, for fair queueing.
+    :param priority: the priority class; lower runs first.
+    :param min_position: the position that a read must reflect.
+    :param max_age: the maximum age that a bounded read accepts, in seconds.
     :param request_id: the id of a request that is not idempotent.
     :param transaction: the id of the interactive transaction it belongs to.
     :param remaining: the time left to the deadline, in seconds; a duration,
@@ -55,7 +51,7 @@
         "sql",
         "params",
         "consistency",
-        "covers",
+        "min_position",
         "max_age",
         "request_id",
         "transaction",
@@ -64,7 +60,7 @@
 
     def __init__(
         self,
-        kind: Kind,
+        kind: StatementKind,
         group: str,
         caller: str,
         sql: str,
@@ -72,7 +68,7 @@
         remaining: float,
         priority: int = 1,
         consistency: Consistency = Consistency.SESSION,
-        covers: Position | None = None,
+        min_position: Position | None = None,
         max_age: float | None = None,
         request_id: str | None = None,
         transaction: str | None = None,
@@ -84,14 +80,14 @@
         self.sql = sql
         self.params = params
         self.consistency = consistency
-        self.covers = covers
+        self.min_position = min_position
         self.max_age = max_age
         self.request_id = request_id
         self.transaction = transaction
         self.remaining = remaining
 
     def to_json(self) -> Json:
-        """Return the statement as it stands on the wire between hosts."""
+        """Return the statement in the wire format between hosts."""
         return {
             "kind": self.kind.value,
             "group": self.group,
@@ -100,7 +96,7 @@
             "sql": self.sql,
             "params": self.params,
             "consistency": self.consistency.value,
-            "covers": self.covers.to_json() if self.covers else None,
+            "covers": self.min_position.to_json() if self.min_position else None,
             "max_age": self.max_age,
             "request_id": self.request_id,
             "transaction": self.transaction,
@@ -108,19 +104,19 @@
         }
 
     @classmethod
-    @reader
+    @wraps_decode_errors
     def from_json(cls, message: Any) -> "Statement":
-        """Read a statement sent by another host."""
+        """Decode a statement sent by another host."""
         covers = message["covers"]
         return cls(
-            kind=Kind(message["kind"]),
+            kind=StatementKind(message["kind"]),
             group=message["group"],
             caller=message["caller"],
             priority=message["priority"],
             sql=message["sql"],
             params=message["params"],
             consistency=Consistency(message["consistency"]),
-            covers=Position.from_json(covers) if covers else None,
+            min_position=Position.from_json(covers) if covers else None,
             max_age=message["max_age"],
             request_id=message["request_id"],
             transaction=message["transaction"],
@@ -128,18 +124,18 @@
         )
 
 
-class Answer(Record):
-    """Carry what a target answered, with the proofs that go with it.
+class StatementResult(Record):
+    """Carry the result of a statement with its position and age.
 
     :param columns: names of the columns of a read.
     :param rows: rows of a read.
     :param rowcount: rows changed by a write.
-    :param target: the member that served.
-    :param role: ``primary`` or ``replica``, as the member said.
-    :param position: the position that the answer reflects.
+    :param target: the member that served the statement.
+    :param role: ``primary`` or ``replica``, as the member reported.
+    :param position: the position that the result reflects.
     :param age: proved upper bound of the age in seconds; None if unproved.
-    :param repeated: whether the answer is that of an earlier run of the
-        same request id.
+    :param repeated: whether the result is that of an earlier run of the same
+        request id.
     :param transaction: the id of the interactive transaction, if one is open.
     """
 
@@ -178,7 +174,7 @@
         self.transaction = transaction
 
     def to_json(self) -> Json:
-        """Return the answer as it stands on the wire between hosts."""
+        """Return the result in the wire format between hosts."""
         return {
             "columns": self.columns,
             "rows": self.rows,
@@ -192,8 +188,8 @@
         }
 
     @classmethod
-    def from_json(cls, message: Json) -> "Answer":
-        """Read an answer sent by another host."""
+    def from_json(cls, message: Json) -> "StatementResult":
+        """Decode a result sent by another host."""
         return cls(
             columns=message["columns"],
             rows=message["rows"],
--- a/src/reedhook/version/merge.py
+++ b/src/reedhook/version/merge.py
@@ -1,23 +1,27 @@
-"""Merging the base file with the overlay of a site."""
+"""Merging of the base file with the overlay of a site."""
 
 from typing import Any
 
 from ..record import Record
 from ..wire import Json
-from .document import Parsed
-from .fault import Mark, Path
+from .document import ParsedDocument
+from .errors import KeyPath, SourceLocation
 
 
-class Merged(Record):
-    """Carry the merged values of one site and where each was stated.
+class MergedConfiguration(Record):
+    """Hold the merged values of one site and their source documents.
 
-    :param site: the availability zone; None stands for the base alone.
+    :param site: the availability zone; None for the base without an overlay.
     """
 
     __slots__ = ("site", "content", "base", "overlay")
 
     def __init__(
-        self, site: str | None, content: Json, base: Parsed, overlay: Parsed | None
+        self,
+        site: str | None,
+        content: Json,
+        base: ParsedDocument,
+        overlay: ParsedDocument | None,
     ) -> None:
         self.site = site
         self.content = content
@@ -26,30 +30,34 @@
 
     @property
     def files(self) -> tuple[str, ...]:
-        """Return the names of the documents that were merged."""
+        """Return the names of the merged documents."""
         overlay = () if self.overlay is None else (self.overlay.file,)
         return (self.base.file, *overlay)
 
-    def mark(self, path: Path) -> Mark:
-        """Return where the value at `path`, or the nearest around it, is stated."""
+    def locate(self, path: KeyPath) -> SourceLocation:
+        """Return the location of `path` or of its nearest enclosing value."""
         while path:
             if self.overlay is not None and path in self.overlay.lines:
-                return self.overlay.mark(path)
+                return self.overlay.locate(path)
             if path in self.base.lines:
-                return self.base.mark(path)
+                return self.base.locate(path)
             path = path[:-1]
-        return (self.overlay or self.base).mark(())
+        return (self.overlay or self.base).locate(())
 
 
-def merge_site(site: str, base: Parsed, overlay: Parsed) -> Merged:
-    """Return what holds at `site`."""
-    return Merged(site, merge(base.content, overlay.content), base, overlay)
+def merge_site(
+    site: str, base: ParsedDocument, overlay: ParsedDocument
+) -> MergedConfiguration:
+    """Return the merged configuration of `site`."""
+    return MergedConfiguration(
+        site, merge(base.content, overlay.content), base, overlay
+    )
 
 
 def merge(base: Any, overlay: Any) -> Any:
-    """Merge recursively: mappings by key, anything else is replaced.
+    """Merge recursively: mappings by key; other values are replaced.
 
-    Parts that the overlay leaves alone are shared with `base`, not copied.
+    Unchanged parts are shared with `base`, not copied.
     """
     if not isinstance(base, dict) or not isinstance(overlay, dict):
         return overlay
@@ -59,13 +67,13 @@
     return merged
 
 
-def changed_paths(old: Any, new: Any, path: Path = ()) -> list[Path]:
-    """Return the paths at which two documents differ, each as deep as possible."""
+def changed_paths(old: Any, new: Any, path: KeyPath = ()) -> list[KeyPath]:
+    """Return the most specific paths at which two documents differ."""
     if old == new and type(old) is type(new):
         return []
     if not isinstance(old, dict) or not isinstance(new, dict):
         return [path]
-    paths: list[Path] = []
+    paths: list[KeyPath] = []
     for key in [*old, *(key for key in new if key not in old)]:
         if key in old and key in new:
             paths += changed_paths(old[key], new[key], (*path, key))
--- a/src/reedhook/version/edition.py
+++ b/src/reedhook/version/snapshot.py
@@ -1,4 +1,4 @@
-"""An accepted edition: a head and the parts that hold the documents' texts."""
+"""Snapshots of the configuration: a manifest and content-addressed parts."""
 
 import hashlib
 import zlib
@@ -9,24 +9,24 @@
 
 from ..record import Record
 from ..wire import Json, WireError, decode
-from .document import Documents
+from .document import ConfigurationDocuments
 
-MIN_PART: Final = 4 * 1024
-MAX_PART: Final = 128 * 1024
-MEAN_PART: Final = 16 * 1024
+MIN_PART_BYTES: Final = 4 * 1024
+MAX_PART_BYTES: Final = 128 * 1024
+MEAN_PART_BYTES: Final = 16 * 1024
 KEPT_EDIT_IDS: Final = 32
 
 
-class EditionError(ValueError):
-    """Say that a head or a part is not what it should be."""
+class SnapshotError(ValueError):
+    """Signal a missing or damaged manifest or part."""
 
 
 class PartRef(Record):
-    """Refer to a part.
+    """Refer to a part of a snapshot.
 
     :param version: the version that wrote the part.
-    :param digest: hex SHA-256 of the unpacked content.
-    :param size: length of the unpacked content, in bytes.
+    :param digest: hex SHA-256 of the uncompressed content.
+    :param size: length of the uncompressed content in bytes.
     """
 
     __slots__ = ("version", "digest", "size")
@@ -37,19 +37,19 @@
         self.size = size
 
 
-class Head(Record):
+class SnapshotManifest(Record):
     """Describe one version of the configuration.
 
-    :param version: the version; it only ever grows.
-    :param parent: the version that the operator edited.
+    :param version: the version; versions only increase.
+    :param parent: the version that the edit is based on.
     :param edit_id: the id of the edit.
-    :param author: who made the edit.
-    :param comment: why.
-    :param wall: wall-clock time of the edit in seconds, for people only.
-    :param texts: name and size in bytes of each text; the base has no name.
-    :param parts: the parts, whose contents joined are the texts joined.
+    :param author: the author of the edit.
+    :param comment: the author's reason for the edit.
+    :param wall: wall-clock time of the edit in seconds, for display only.
+    :param texts: name and size in bytes of each text; the base has an empty name.
+    :param parts: the parts, whose joined contents are the joined texts.
     :param trimmed: the highest version whose history was deleted.
-    :param recent: the last versions with their edit ids, this one included.
+    :param recent: the latest versions with their edit ids, including this one.
     """
 
     __slots__ = (
@@ -90,135 +90,137 @@
         self.recent = recent
 
     def to_json(self) -> Json:
-        """Return the head as it stands in the store and on the wire."""
+        """Return the manifest in store and wire format."""
         message = {name: getattr(self, name) for name in self.__slots__}
         message["parts"] = [part.values() for part in self.parts]
         message["digest"] = digest_of(message)
         return message
 
     def summary(self) -> Json:
-        """Return what operators see of the head."""
+        """Return the fields that are shown to operators."""
         names = ("version", "parent", "edit_id", "author", "comment", "wall")
         return {name: getattr(self, name) for name in names}
 
     def encode(self) -> bytes:
-        """Return the head as it stands in the store."""
+        """Return the manifest as the bytes of a store value."""
         return orjson.dumps(self.to_json())
 
     @classmethod
-    def decode(cls, value: bytes) -> "Head":
-        """Read a head from the store.
+    def decode(cls, value: bytes) -> "SnapshotManifest":
+        """Parse a manifest from the bytes of a store value.
 
-        :raises EditionError: if it is damaged.
+        :raises SnapshotError: if the manifest is damaged.
         """
         try:
             return cls.from_json(decode(value))
         except WireError as error:
-            raise EditionError(str(error)) from error
+            raise SnapshotError(str(error)) from error
 
     @classmethod
-    def from_json(cls, message: Json) -> "Head":
-        """Read a head from the wire.
+    def from_json(cls, message: Json) -> "SnapshotManifest":
+        """Parse a manifest in store and wire format.
 
-        :raises EditionError: if it is damaged.
+        :raises SnapshotError: if the manifest is damaged.
         """
         content: Json = {name: message.get(name) for name in cls.__slots__}
         if message.get("digest") != digest_of(content):
-            raise EditionError("the digest of the head differs")
+            raise SnapshotError("digest of the manifest does not match")
         try:
             content["texts"] = tuple((name, int(n)) for name, n in message["texts"])
             content["parts"] = tuple(PartRef(*part) for part in message["parts"])
-            content["recent"] = tuple((int(v), one) for v, one in message["recent"])
+            content["recent"] = tuple(
+                (int(v), edit_id) for v, edit_id in message["recent"]
+            )
         except (TypeError, ValueError, KeyError) as error:
-            raise EditionError("the head has another form") from error
+            raise SnapshotError("manifest is malformed") from error
         return cls(**content)
 
 
-class Edition(Record):
-    """Carry a head with all its parts.
+class ConfigurationSnapshot(Record):
+    """Hold a manifest with all its parts.
 
-    :param packed: the packed content of each part, by digest.
+    :param packed: the compressed content of each part, by digest.
     """
 
-    __slots__ = ("head", "packed")
+    __slots__ = ("manifest", "packed")
 
-    def __init__(self, head: Head, packed: dict[str, bytes]) -> None:
-        self.head = head
+    def __init__(self, manifest: SnapshotManifest, packed: dict[str, bytes]) -> None:
+        self.manifest = manifest
         self.packed = packed
 
     @property
     def version(self) -> int:
-        """Return the version."""
-        return self.head.version
+        """Return the version of the manifest."""
+        return self.manifest.version
 
-    def documents(self) -> Documents:
-        """Return the documents.
+    def documents(self) -> ConfigurationDocuments:
+        """Decode the documents from the parts.
 
-        :raises EditionError: if a part is missing or damaged.
+        :raises SnapshotError: if a part is missing or damaged.
         """
-        raw = b"".join(self.content(part) for part in self.head.parts)
+        raw = b"".join(self.content(part) for part in self.manifest.parts)
         texts: dict[str, str] = {}
         start = 0
-        for name, size in self.head.texts:
+        for name, size in self.manifest.texts:
             texts[name] = raw[start : start + size].decode()
             start += size
         if start != len(raw) or "" not in texts:
-            raise EditionError("the parts do not add up to the texts")
-        return Documents(texts.pop(""), texts)
+            raise SnapshotError("sizes of parts and texts do not match")
+        return ConfigurationDocuments(texts.pop(""), texts)
 
     def content(self, part: PartRef) -> bytes:
-        """Return the unpacked content of a part.
+        """Return the uncompressed content of a part.
 
-        :raises EditionError: if it is missing or damaged.
+        :raises SnapshotError: if it is missing or damaged.
         """
         packed = self.packed.get(part.digest)
         if packed is None:
-            raise EditionError(f"part {part.digest} is missing")
-        return unpack(part, packed)
+            raise SnapshotError(f"part {part.digest} is missing")
+        return decompress_part(part, packed)
 
 
 def digest_of(message: Json) -> str:
-    """Return the hex SHA-256 of a message without its digest."""
+    """Return the hex SHA-256 of a message, excluding its digest field."""
     plain = {key: value for key, value in message.items() if key != "digest"}
     encoded = orjson.dumps(plain, option=orjson.OPT_SORT_KEYS)
     return hashlib.sha256(encoded).hexdigest()
 
 
-def pack(content: bytes) -> bytes:
-    """Return the content of a part as it stands in the store and on the wire."""
+def compress_part(content: bytes) -> bytes:
+    """Compress the content of a part for the store and the wire."""
     return zlib.compress(content)
 
 
-def unpack(part: PartRef, packed: bytes) -> bytes:
-    """Return the content of a part after a check of its digest.
+def decompress_part(part: PartRef, packed: bytes) -> bytes:
+    """Decompress a part and verify its digest.
 
-    :raises EditionError: if it is damaged.
+    :raises SnapshotError: if the part is damaged.
     """
-    if part.size > MAX_PART:
-        raise EditionError(f"part {part.digest} is too large")
+    if part.size > MAX_PART_BYTES:
+        raise SnapshotError(f"part {part.digest} exceeds the size limit")
     try:
-        unpacker = zlib.decompressobj()
-        content = unpacker.decompress(packed, part.size + 1)
+        decompressor = zlib.decompressobj()
+        content = decompressor.decompress(packed, part.size + 1)
     except zlib.error as error:
-        raise EditionError(f"part {part.digest} is damaged") from error
-    if not unpacker.eof or unpacker.unused_data:
-        raise EditionError(f"part {part.digest} has another length")
+        raise SnapshotError(f"part {part.digest} is damaged") from error
+    if not decompressor.eof or decompressor.unused_data:
+        raise SnapshotError(f"part {part.digest} has a wrong length")
     if hashlib.sha256(content).hexdigest() != part.digest:
-        raise EditionError(f"part {part.digest} has another digest")
+        raise SnapshotError(f"part {part.digest} has a wrong digest")
     return content
 
 
-def make_edition(
-    documents: Documents,
-    previous: Head | None,
+def build_snapshot(
+    documents: ConfigurationDocuments,
+    previous: SnapshotManifest | None,
     edit_id: str,
     author: str,
     comment: str,
     wall: float,
-) -> Edition:
-    """Return the edition that follows `previous`.
+) -> ConfigurationSnapshot:
+    """Build the snapshot that follows `previous`.
 
-    Parts of `previous` whose content stays are referred to, not written again.
+    Unchanged parts refer to the version that first wrote them.
     """
     version = 1 if previous is None else previous.version + 1
     known = {} if previous is None else {part.digest: part for part in previous.parts}
@@ -229,9 +231,9 @@
         digest = hashlib.sha256(content).hexdigest()
         fresh = PartRef(version, digest, len(content))
         parts.append(known.get(digest, fresh))
-        packed[digest] = pack(content)
+        packed[digest] = compress_part(content)
     recent = (*(previous.recent if previous else ()), (version, edit_id))
-    head = Head(
+    manifest = SnapshotManifest(
         version=version,
         parent=version - 1,
         edit_id=edit_id,
@@ -243,18 +245,20 @@
         trimmed=previous.trimmed if previous else 0,
         recent=recent[-KEPT_EDIT_IDS:],
     )
-    return Edition(head, packed)
+    return ConfigurationSnapshot(manifest, packed)
 
 
-def holds(head: Head, documents: Documents) -> bool:
-    """Say whether `head` holds just these documents."""
+def manifest_matches(head: SnapshotManifest, documents: ConfigurationDocuments) -> bool:
+    """Return whether `head` describes exactly these documents."""
     texts, raw = join_texts(documents)
     digests = [hashlib.sha256(content).hexdigest() for content in split(raw)]
     return head.texts == texts and [part.digest for part in head.parts] == digests
 
 
-def join_texts(documents: Documents) -> tuple[tuple[tuple[str, int], ...], bytes]:
-    """Return the names and sizes of the texts, and the texts joined."""
+def join_texts(
+    documents: ConfigurationDocuments,
+) -> tuple[tuple[tuple[str, int], ...], bytes]:
+    """Return the names and sizes of the texts, and the joined texts."""
     texts = [("", documents.base.encode())]
     for site in sorted(documents.overlays):
         texts.append((site, documents.overlays[site].encode()))
@@ -263,21 +267,21 @@
 
 
 def split(raw: bytes) -> list[bytes]:
-    """Cut `raw` behind lines that its content chooses.
+    """Split `raw` into parts at content-defined line boundaries.
 
-    Whether a part ends behind a line depends on that line, not on its place,
-    so that an edit changes the parts around it alone and the others keep their
-    digests. The longer a line, the likelier it ends a part.
+    Whether a part ends after a line depends on the content of the line only, so an
+    edit changes only nearby parts. The probability is proportional to the length of
+    the line.
     """
     parts: list[bytes] = []
     start = end = 0
     for line in raw.splitlines(keepends=True):
         end += len(line)
-        while end - start > MAX_PART:
-            parts.append(raw[start : start + MAX_PART])
-            start += MAX_PART
-        chosen = xxhash.xxh32_intdigest(line) % MEAN_PART < len(line)
-        if chosen and end - start >= MIN_PART:
+        while end - start > MAX_PART_BYTES:
+            parts.append(raw[start : start + MAX_PART_BYTES])
+            start += MAX_PART_BYTES
+        is_boundary = xxhash.xxh32_intdigest(line) % MEAN_PART_BYTES < len(line)
+        if is_boundary and end - start >= MIN_PART_BYTES:
             parts.append(raw[start:end])
             start = end
     if start < end:
--- a/src/reedhook_standins/soak/surroundings.py
+++ b/src/reedhook_standins/soak/surroundings.py
@@ -21,7 +21,7 @@
 SILENT_FOR: Final = 3.0
 """Seconds after which a target that is dark is announced no more."""
 
-KINDS: Final = {kind: word for word, kind in documents.KINDS.items()}
+KINDS: Final = {kind: word for word, kind in documents.ROUTE_KINDS.items()}
 
 
 class Surroundings:
@@ -124,7 +124,7 @@
                 "service": SERVICE,
                 "address": self.proxies[target].address,
                 "zone": member.entry.zone,
-                "born": member.entry.born,
+                "born": member.entry.started_at_ms,
                 "slots": member.entry.slots,
                 "sequence": member.entry.sequence,
                 "state": "draining" if target in self.leaving else "ready",
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -13,18 +13,18 @@
 
 from reedhook.clock import Clock, SystemClock
 from reedhook.connection.target_http import HttpTargetFactory
-from reedhook.connector import Connector
+from reedhook.connector import SingleStepConnector
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef
 from reedhook.process.assembly import serve
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.host import Host
-from reedhook.process.lifecycle import HostProcess
+from reedhook.process.lifecycle import HostDaemon
 from reedhook.process.network.peer_http import HttpPeers
 from reedhook.process.network.peer_server import PeerServer
 from reedhook.process.network.tls import TlsContexts
 from reedhook.process.settings import Settings
-from reedhook.version.document import Documents
+from reedhook.version.document import ConfigurationDocuments
 
 from .caller import Caller
 from .deployment import HOSTS, Deployment, credential
@@ -75,7 +75,7 @@
         self.platform = Platform(deployment, self.clock)
         self.zones = deployment.host_zones(hosts)
         self.settings: dict[str, Settings] = {}
-        self.running: dict[str, HostProcess] = {}
+        self.running: dict[str, HostDaemon] = {}
         self.http: aiohttp.ClientSession | None = None
         self.partition = Partition(self.clock)
 
@@ -95,7 +95,7 @@
 
         :raises WorldNotReady: if it is not in force everywhere in time.
         """
-        self.http = aiohttp.ClientSession(connector=Connector(limit=0))
+        self.http = aiohttp.ClientSession(connector=SingleStepConnector(limit=0))
         await self.platform.start()
         self.settings = self.make_settings()
         for name, one in self.settings.items():
@@ -134,7 +134,7 @@
 
     async def apply_configuration(self) -> None:
         """Let an operator apply the deployment's base file and overlays."""
-        documents = Documents(
+        documents = ConfigurationDocuments(
             self.deployment.base_text(), self.deployment.overlay_texts()
         )
         editor = self.any_host().editor
@@ -219,10 +219,10 @@
     async def kill_host(self, name: str) -> None:
         """Let a host die: its connections end at once, nothing is handed over."""
         process = self.running.pop(name)
-        for server in (process.callers, process.admin):
+        for server in (process.caller_server, process.admin_server):
             await cut(server.runner)
-        assert isinstance(process.peers, PeerServer)
-        process.peers.cut()
+        assert isinstance(process.peer_server, PeerServer)
+        process.peer_server.abort()
         await process.host.close()
 
     def cut_target_off(self, member: str) -> None:
--- a/tests/admin_fakes.py
+++ b/tests/admin_fakes.py
@@ -5,17 +5,17 @@
 from typing import Any
 
 from reedhook.metrics import MemoryMetrics
-from reedhook.peer import HostRef, PeerError, PeerRoutes, Peers
-from reedhook.process.administration.admin_fleet import Fleet
+from reedhook.peer import HostRef, PeerClient, PeerError, PeerRoutes
+from reedhook.process.administration.admin_fleet import FleetQueries
 from reedhook.process.administration.admin_source import AdminSource
 from reedhook.process.administration.admin_status import (
-    HostState,
+    HostPhase,
     HostStatus,
     KnownHost,
 )
 from reedhook.process.events.timeline import Timeline
+from reedhook.request.group_view import GroupView, MemberView
 from reedhook.request.position import Position
-from reedhook.request.view import GroupView, MemberView
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 from reedhook.wire import Json, decode, encode
@@ -63,7 +63,7 @@
             host=self.me.host,
             zone=self.me.zone,
             address=self.me.address,
-            state=HostState.DRAINING if self.draining else HostState.SERVING,
+            state=HostPhase.DRAINING if self.draining else HostPhase.SERVING,
             version=self.version,
             in_force_ms=START_MS,
             started_ms=START_MS,
@@ -88,8 +88,8 @@
     async def view(self, group: Group) -> GroupView:
         view = GroupView(group.name, 3, "feedlog-1-a")
         at = Position(3, 40)
-        view.learn(MemberView("feedlog-1-a", at, at, 99.9, 0.002))
-        view.learn(MemberView("feedlog-1-b", at, at, 99.8, 0.001, 0.25))
+        view.merge_member(MemberView("feedlog-1-a", at, at, 99.9, 0.002))
+        view.merge_member(MemberView("feedlog-1-b", at, at, 99.8, 0.001, 0.25))
         return view
 
     def home(self, member: str, zone: str) -> HostRef | None:
@@ -102,7 +102,7 @@
         return self.kept
 
 
-class FakeNetwork(Peers):
+class FakeNetwork(PeerClient):
     """Carry calls between fake hosts as JSON.
 
     :ivar cut: hosts that answer nothing.
@@ -123,11 +123,11 @@
             )
             source = self.sources[ref.host] = FakeSource(ref, self)
             routes = self.routes[ref.host] = PeerRoutes()
-            Fleet(source, self).register(routes)
+            FleetQueries(source, self).register(routes)
 
-    def fleet(self) -> Fleet:
+    def fleet(self) -> FleetQueries:
         """Return the questions of the first host."""
-        return Fleet(self.sources["vittoria-1"], self)
+        return FleetQueries(self.sources["vittoria-1"], self)
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         self.running += 1
--- a/tests/cluster_group.py
+++ b/tests/cluster_group.py
@@ -8,19 +8,19 @@
 from contextlib import asynccontextmanager
 from itertools import count
 
-from reedhook.directory import Directory
+from reedhook.host_directory import HostDirectory
 from reedhook.metrics import MemoryMetrics
 from reedhook.peer import HostRef, PeerRoutes
 from reedhook.process.events.timeline import Event, EventKind, Timeline
-from reedhook.process.groups.control import Controller
-from reedhook.process.groups.coordinator import Outcome
-from reedhook.process.groups.executor import Executor
-from reedhook.process.groups.group import GroupKeeper
-from reedhook.process.groups.grouproutes import GroupRoutes
-from reedhook.request.execution import Served
+from reedhook.process.groups.group_manager import GroupManager
+from reedhook.process.groups.group_promotion_coordinator import PrimaryChange
+from reedhook.process.groups.group_routes import GroupRoutes
+from reedhook.process.groups.local_statement_executor import LocalStatementExecutor
+from reedhook.process.groups.member_control import MemberController
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, Refusal, not_run
-from reedhook.request.statement import Consistency, Kind, Statement
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
+from reedhook.request.statement import Consistency, Statement, StatementKind
+from reedhook.request.statement_executor import HomeResponse
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
 
@@ -32,7 +32,7 @@
 GATE = "gate-desk"
 
 
-class SharedDirectory(Directory):
+class SharedDirectory(HostDirectory):
     """Rank the hosts of each zone in a fixed order; a test takes hosts out."""
 
     def __init__(self, cluster: "Cluster", ref: HostRef) -> None:
@@ -69,10 +69,10 @@
         self.factory = FakeFactory(cluster.group, cluster.truth)
         self.local: dict[str, FakeHome] = {}
         self.former: dict[str, FakeHome] = {}
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[PrimaryChange] = []
         self.lost_hosts: list[HostRef] = []
         seed = f"{cluster.seed}-{ref.host}"
-        self.keeper = GroupKeeper(
+        self.keeper = GroupManager(
             cluster.group,
             self.local.values,
             self.directory,
@@ -88,7 +88,7 @@
             wrapped = cluster.wrap(ref.host, self.keeper.controller)
             self.keeper.controller = wrapped
             self.keeper.coordinator.controller = wrapped
-        self.executor = Executor(
+        self.executor = LocalStatementExecutor(
             self.local.get,
             self.holding,
             lambda group: self.keeper,
@@ -108,11 +108,13 @@
     def holding(self, member: str, statement: Statement) -> FakeHome:
         home = self.local.get(member) or self.former.get(member)
         if home is None:
-            raise not_run(Reason.UNKNOWN_TRANSACTION, "no home is here")
+            raise not_run(RefusalReason.UNKNOWN_TRANSACTION, "no home is here")
         return home
 
     async def take_home(self, member: str) -> None:
-        found = next(one for one in self.cluster.group.members if one.member == member)
+        found = next(
+            one for one in self.cluster.group.members if one.member_id == member
+        )
         home = FakeHome(self.cluster.group, found, self.cluster.truth.members[member])
         home.lost = member in self.factory.lost
         self.local[member] = home
@@ -131,7 +133,7 @@
         self,
         seed: int = 0,
         delay: float = 0.0015,
-        wrap: Callable[[str, Controller], Controller] | None = None,
+        wrap: Callable[[str, MemberController], MemberController] | None = None,
     ) -> None:
         self.seed = seed
         self.wrap = wrap
@@ -215,7 +217,7 @@
 
     # Callers
 
-    def statement(self, kind: Kind, sql: str, remaining: float) -> Statement:
+    def statement(self, kind: StatementKind, sql: str, remaining: float) -> Statement:
         return Statement(kind, "g", GATE, sql, [], remaining)
 
     async def write(
@@ -226,10 +228,10 @@
         request_id: str | None = None,
     ) -> Position:
         """Write through the home of `member`; return the acknowledged position."""
-        statement = self.statement(Kind.WRITE, value, remaining)
+        statement = self.statement(StatementKind.WRITE, value, remaining)
         statement.request_id = request_id
         served = await self.home(member).executor.execute(member, statement)
-        return served.answer.position
+        return served.result.position
 
     async def read(
         self,
@@ -238,10 +240,10 @@
         covers: Position | None = None,
         max_age: float | None = None,
         remaining: float = 1.0,
-    ) -> Served:
-        statement = self.statement(Kind.READ, "", remaining)
+    ) -> HomeResponse:
+        statement = self.statement(StatementKind.READ, "", remaining)
         statement.consistency = consistency
-        statement.covers = covers
+        statement.min_position = covers
         statement.max_age = max_age
         return await self.home(member).executor.execute(member, statement)
 
@@ -284,7 +286,7 @@
 
     async def try_write(self, value: str, done: asyncio.Event) -> None:
         """Write at the member promoted last, wherever its home is."""
-        with contextlib.suppress(Refusal):
+        with contextlib.suppress(RefusalError):
             await self.write(self.leader(), value, 0.3)
             done.set()
 
@@ -301,6 +303,6 @@
     await cluster.stop()
 
 
-def values(served: Served) -> list[str]:
+def values(served: HomeResponse) -> list[str]:
     """Return the values that a read showed."""
-    return [row[0] for row in served.answer.rows]
+    return [row[0] for row in served.result.rows]
--- a/tests/fakes_homes.py
+++ b/tests/fakes_homes.py
@@ -4,8 +4,8 @@
 
 from reedhook.connection.home import Home, HomeLoad
 from reedhook.connection.target import MemberState, TargetResult
-from reedhook.process.groups.homes import Homes
-from reedhook.request.refusal import Reason, Refusal, not_run
+from reedhook.process.groups.local_homes import LocalHomes
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
 from reedhook.request.statement import Statement
 from reedhook.version.catalog import Catalog, Group, Limits, Member
 from reedhook.version.workspace import Workspaces
@@ -48,25 +48,25 @@
             pass
         self.closed_at = asyncio.get_running_loop().time()
 
-    def limit(self, limits: Limits) -> None:
+    def update_limits(self, limits: Limits) -> None:
         self.limits = limits
 
-    def holds(self, transaction: str) -> bool:
+    def has_transaction(self, transaction: str) -> bool:
         return transaction in self.open
 
-    def unknown(self, statement: Statement) -> Refusal:
-        return not_run(Reason.TRANSACTION_LOST, "ended here")
+    def unknown_transaction_refusal(self, statement: Statement) -> RefusalError:
+        return not_run(RefusalReason.TRANSACTION_LOST, "ended here")
 
     async def run(self, statement: Statement) -> TargetResult:
         raise NotImplementedError
 
-    async def wait_change(self, revision: int, timeout: float) -> None:
+    async def wait_for_state_change(self, revision: int, timeout: float) -> None:
         raise NotImplementedError
 
-    def touch(self, state: MemberState, asked: float) -> None:
+    def merge_state(self, state: MemberState, requested_at: float) -> None:
         raise NotImplementedError
 
-    async def ask_state(self, timeout: float) -> MemberState:
+    async def fetch_state(self, timeout: float) -> MemberState:
         raise NotImplementedError
 
     async def raise_term(self, term: int, owner: str, timeout: float) -> MemberState:
@@ -92,12 +92,12 @@
         self.hosts = hosts
         self.catalog = catalog
         self.made: list[tuple[str, FakeHome]] = []
-        self.of: dict[str, Homes] = {}
+        self.of: dict[str, LocalHomes] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         for host in hosts.hosts:
             self.start(host)
 
-    def start(self, host: str) -> Homes:
+    def start(self, host: str) -> LocalHomes:
         """Run the homes of a host."""
         fake = self.hosts[host]
 
@@ -106,14 +106,14 @@
             self.made.append((host, home))
             return home
 
-        homes = Homes(
+        homes = LocalHomes(
             fake.membership,
             fake.directory,
             fake.peers,
             fake.clock,
             fake.timeline,
             make_home,
-            fake.heartbeats.greeter.joined,
+            fake.heartbeats.discovery.joined,
         )
         homes.register(fake.routes)
         homes.apply(self.catalog)
@@ -158,7 +158,7 @@
 
 def members_of(catalog: Catalog) -> list[str]:
     """Return the ids of all targets."""
-    return [one.member for group in catalog.groups.values() for one in group.members]
+    return [one.member_id for group in catalog.groups.values() for one in group.members]
 
 
 def catalog_of(zones: list[str], groups: int, version: int = 1) -> Catalog:
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -11,27 +11,27 @@
 import random
 from typing import Any
 
-from reedhook.connection.member import Fault
 from reedhook.connection.session import Session, SessionReply
-from reedhook.connection.state import SessionState
-from reedhook.decisions import Decisions
+from reedhook.connection.session_state import SessionState
+from reedhook.connection.session_target import StatementFault
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef, PeerRoutes
-from reedhook.process.announced.documents import Documents
+from reedhook.process.discovery.store_value_parser import StoreValueParser
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.histograms import HistogramMetrics
-from reedhook.process.hosting_settings import HostingSettings
 from reedhook.process.session_host import SessionHost
-from reedhook.request.command import Command, CommandKind
+from reedhook.process.session_host_settings import SessionHostSettings
+from reedhook.request.session_command import SessionCommand, SessionCommandKind
 from reedhook.request.verdict import Verdict
-from reedhook.version.registry import (
+from reedhook.version.route_table import (
     Route,
-    RouteKind,
+    RouteConsistency,
     RouteTable,
-    ServiceTerms,
-    TargetEntry,
+    ServiceLimits,
+    TargetAnnouncement,
 )
 from reedhook.version.workspace import Workspace, Workspaces, key_digest
-from reedhook.wire import Json, decode, encode, reader
+from reedhook.wire import Json, decode, encode, wraps_decode_errors
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Acknowledged, Promises, Sent, Viewer
 
@@ -44,22 +44,22 @@
 TABLE_KEY = "op"
 TARGET_PREFIX = "t/"
 KINDS = {
-    CommandKind.READ: "READ a",
-    CommandKind.WRITE: "WRITE a b",
-    CommandKind.BEGIN: "BEGIN",
-    CommandKind.BEGIN_READ: "BEGIN READ",
-    CommandKind.COMMIT: "COMMIT",
-    CommandKind.ROLLBACK: "ROLLBACK",
+    SessionCommandKind.READ: "READ a",
+    SessionCommandKind.WRITE: "WRITE a b",
+    SessionCommandKind.BEGIN: "BEGIN",
+    SessionCommandKind.BEGIN_READ: "BEGIN READ",
+    SessionCommandKind.COMMIT: "COMMIT",
+    SessionCommandKind.ROLLBACK: "ROLLBACK",
 }
 MAX_AGE = 1.5
 KINDS_OF_ROUTES = {
-    "tickets": (RouteKind.PRIMARY, None),
-    "views": (RouteKind.BOUNDED, MAX_AGE),
-    "reports": (RouteKind.OWN_WRITES, 2.5),
+    "tickets": (RouteConsistency.PRIMARY, None),
+    "views": (RouteConsistency.BOUNDED, MAX_AGE),
+    "reports": (RouteConsistency.OWN_WRITES, 2.5),
 }
 
 
-class PlainDocuments(Documents):
+class PlainDocuments(StoreValueParser):
     """Read the documents that a world writes."""
 
     def is_table(self, key: str) -> bool:
@@ -80,14 +80,14 @@
             ]
         return encode(message)
 
-    @reader
+    @wraps_decode_errors
     def read_table(self, value: bytes) -> RouteTable:
         message = decode(value)
         return table(message["version"], message["routes"], message.get("workspaces"))
 
-    @reader
-    def read_target(self, key: str, value: bytes) -> TargetEntry:
-        return TargetEntry(*decode(value)["entry"])
+    @wraps_decode_errors
+    def read_target(self, key: str, value: bytes) -> TargetAnnouncement:
+        return TargetAnnouncement(*decode(value)["entry"])
 
 
 def table(
@@ -106,7 +106,7 @@
     return RouteTable(
         version,
         routes,
-        {SERVICE: ServiceTerms(SERVICE, 16)},
+        {SERVICE: ServiceLimits(SERVICE, 16)},
         3.0,
         3.0,
         Workspaces(read_workspace(one) for one in workspaces or []),
@@ -177,7 +177,7 @@
             message["workspaces"] = workspaces
         self.store.write(TABLE_KEY, encode(message))
 
-    def announce(self, entry: TargetEntry) -> None:
+    def announce(self, entry: TargetAnnouncement) -> None:
         """Write what a target announces."""
         value = encode({"entry": list(entry.values())})
         self.store.write(TARGET_PREFIX + entry.target, value)
@@ -202,7 +202,7 @@
             FakePhrases(),
             self.network.join(ref, routes),
             Timeline(ref.host, clock),
-            Decisions(ref.host, clock, out=None),
+            DecisionLog(ref.host, clock, output_fd=None),
             HistogramMetrics(),
         )
         routes.handlers.update(host.routes.handlers)
@@ -210,16 +210,19 @@
         await host.start()
         return host
 
-    def settings_of(self, *values: Any) -> HostingSettings:
+    def settings_of(self, *values: Any) -> SessionHostSettings:
         """Return the settings of a host; `values` as `HostingSettings` takes them."""
-        return HostingSettings(*values)
+        return SessionHostSettings(*values)
 
     async def kill(self, name: str) -> None:
         """End a process without a word; its connections break."""
         host = self.hosts.pop(name)
         self.network.crash(name)
         host.background.cancel()
-        for lead in [*host.leads.held.values(), *host.leads.deputies.found.values()]:
+        for lead in [
+            *host.primary_leases.held.values(),
+            *host.primary_leases.backup_holders.found.values(),
+        ]:
             lead.stop()
         for member in self.group.members.values():
             for connection in list(member.connections):
@@ -253,7 +256,7 @@
 
         :raises Refusal: if the host refuses.
         """
-        session = await self.hosts[host].callers.open(database, key)
+        session = await self.hosts[host].caller_sessions.open_session(database, key)
         self.callers += 1
         return Caller(self, session, f"c{self.callers}")
 
@@ -305,15 +308,19 @@
         self.wrote = False
 
     async def run(
-        self, kind: CommandKind, text: str = "", name: str = "", writes: bool = False
+        self,
+        kind: SessionCommandKind,
+        text: str = "",
+        name: str = "",
+        writes: bool = False,
     ) -> SessionReply:
         """Send one statement and check its answer."""
         self.sent += 1
         id = f"{self.name}-{self.sent}"
         asked = asyncio.get_running_loop().time()
         inside = self.session.state is SessionState.OPEN
-        command = Command(kind, text or KINDS[kind], name, writes)
-        if kind is CommandKind.BEGIN or kind is CommandKind.BEGIN_READ:
+        command = SessionCommand(kind, text or KINDS[kind], name, writes)
+        if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.transaction = id
         self.world.promises.sent[id] = Sent(
             command.text,
@@ -322,15 +329,15 @@
             dict(self.prepared),
         )
         reply = await self.session.run(id, command)
-        done = reply.fault is Fault.NONE and reply.refusal is None
-        if kind is CommandKind.BEGIN or kind is CommandKind.BEGIN_READ:
+        done = reply.fault is StatementFault.NONE and reply.refusal is None
+        if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.begun_at, self.wrote = asked, False
         if done and reply.rows:
             self.check_read(reply, self.begun_at if inside else asked)
-        if done and kind is CommandKind.WRITE and inside:
+        if done and kind is SessionCommandKind.WRITE and inside:
             self.wrote = True
-        commits = kind is CommandKind.COMMIT and self.wrote
-        if done and (commits or (kind is CommandKind.WRITE and not inside)):
+        commits = kind is SessionCommandKind.COMMIT and self.wrote
+        if done and (commits or (kind is SessionCommandKind.WRITE and not inside)):
             self.acknowledge(reply)
         if not done and reply.refusal is not None:
             self.check_refusal(id, kind, reply, inside)
@@ -338,15 +345,15 @@
 
     async def read(self) -> SessionReply:
         """Read outside transactions."""
-        return await self.run(CommandKind.READ)
+        return await self.run(SessionCommandKind.READ)
 
     async def write(self) -> SessionReply:
         """Write outside transactions."""
-        return await self.run(CommandKind.WRITE)
+        return await self.run(SessionCommandKind.WRITE)
 
     async def set(self, name: str, value: str) -> SessionReply:
         """Set a value of the session."""
-        reply = await self.run(CommandKind.SET, f"SET {name} {value}", name)
+        reply = await self.run(SessionCommandKind.SET, f"SET {name} {value}", name)
         if reply.refusal is None:
             self.values[name] = value
         return reply
@@ -355,7 +362,7 @@
         """Prepare a statement, or prepare it anew."""
         shape = "WRITE" if writes else "READ"
         text = f"PREPARE {name} {shape} q"
-        reply = await self.run(CommandKind.PREPARE, text, name, writes)
+        reply = await self.run(SessionCommandKind.PREPARE, text, name, writes)
         if reply.refusal is None:
             self.prepared[name] = writes
         return reply
@@ -378,13 +385,13 @@
         self.world.promises.read(viewer, reply.rows[0], asked)
 
     def check_refusal(
-        self, id: str, kind: CommandKind, reply: SessionReply, inside: bool
+        self, id: str, kind: SessionCommandKind, reply: SessionReply, inside: bool
     ) -> None:
         """A write that is said not to have run must not have run."""
         assert reply.refusal is not None
         if reply.refusal.verdict is not Verdict.NOT_RUN or inside:
             return
-        if kind is not CommandKind.WRITE:
+        if kind is not SessionCommandKind.WRITE:
             return
         if any(id in member.runs for member in self.world.group.members.values()):
             # A member that refused it did not run it either.
--- a/tests/test_admin_config.py
+++ b/tests/test_admin_config.py
@@ -13,10 +13,10 @@
 from reedhook.metrics import MemoryMetrics
 from reedhook.process.administration.admin import Admin, admin_app
 from reedhook.process.administration.admin_config import config_routes
-from reedhook.process.administration.admin_operator import Operators
-from reedhook.process.configuring.archive import Archive
-from reedhook.process.configuring.configuration import ConfigurationKeeper
+from reedhook.process.administration.admin_operator import OperatorAuthenticator
+from reedhook.process.configuring.configuration_manager import ConfigurationManager
 from reedhook.process.configuring.editor import ConfigurationEditor
+from reedhook.process.configuring.snapshot_repository import SnapshotRepository
 from reedhook.wire import Json
 
 from .admin_fakes import DIGESTS, HEADERS, FakeNetwork
@@ -30,7 +30,7 @@
 def editor_of(network: FakeNetwork, store: FakeStore) -> ConfigurationEditor:
     """Return the editor of the first host."""
     source, clock = network.sources["vittoria-1"], SystemClock()
-    keeper = ConfigurationKeeper(
+    keeper = ConfigurationManager(
         source.me,
         network,
         lambda count: [],
@@ -39,7 +39,7 @@
         source.timeline,
         MemoryMetrics(),
     )
-    return ConfigurationEditor(keeper, Archive(store), clock)
+    return ConfigurationEditor(keeper, SnapshotRepository(store), clock)
 
 
 @asynccontextmanager
@@ -47,7 +47,7 @@
     """Serve the API at the first host and yield a client."""
     hosts = network or FakeNetwork()
     source = hosts.sources["vittoria-1"]
-    admin = Admin(source, hosts.fleet(), Operators(DIGESTS), LIMIT)
+    admin = Admin(source, hosts.fleet(), OperatorAuthenticator(DIGESTS), LIMIT)
     editor = editor_of(hosts, FakeStore(0.0))
     app = admin_app(admin, config_routes(admin, editor))
     server = TestServer(app, host="127.0.0.1")
--- a/tests/test_capacities.py
+++ b/tests/test_capacities.py
@@ -1,11 +1,11 @@
-"""Which hosts are weak, by what they announce."""
+"""Capacities of hosts, and which hosts count as weak."""
 
 import pytest
 
-from reedhook.decisions import Decisions
-from reedhook.process.announced.announcements import HOSTS, Announcements
-from reedhook.process.announced.capacities import Capacities, capacity
-from reedhook.process.announced.keyspace import Item
+from reedhook.decision_log import DecisionLog
+from reedhook.process.discovery.announcements import HOSTS_KEY_PREFIX, Announcements
+from reedhook.process.discovery.host_capacities import HostCapacities, capacity
+from reedhook.process.discovery.key_value_store import Item
 from reedhook.wire import encode
 
 from .fakes_clock import LoopClock, in_virtual_time
@@ -16,26 +16,24 @@
     ("cores", "link", "expected"),
     [(0.5, 1000.0, 0.5), (2.15, 200.0, 2.15), (2.0, 10.0, 0.5), (0.5, 5.0, 0.25)],
 )
-def test_a_slow_link_bounds_what_a_host_bears(
-    cores: float, link: float, expected: float
-) -> None:
+def test_slow_link_limits_capacity(cores: float, link: float, expected: float) -> None:
     assert capacity(cores, link) == expected
 
 
 @in_virtual_time
-async def test_a_host_is_weak_if_another_bears_more_than_twice_as_much() -> None:
+async def test_host_below_half_of_highest_capacity_is_weak() -> None:
     clock = LoopClock()
     announcements = Announcements(
         PlainDocuments(),
         clock,
-        Decisions("h1", clock, out=None),
+        DecisionLog("h1", clock, output_fd=None),
     )
-    capacities = Capacities(announcements)
+    capacities = HostCapacities(announcements)
     assert not capacities.is_weak("h1")
     values = {"h1": 0.5, "h2": 0.6, "h3": 1.1}
     for revision, (host, value) in enumerate(values.items(), 1):
         entry = encode({"capacity": value})
-        announcements.take_own(Item(HOSTS + host, entry, revision))
-    announcements.take_own(Item(HOSTS + "h4", b"{}", 9))
+        announcements.apply_host_item(Item(HOSTS_KEY_PREFIX + host, entry, revision))
+    announcements.apply_host_item(Item(HOSTS_KEY_PREFIX + "h4", b"{}", 9))
     weak = [host for host in ("h1", "h2", "h3", "h4") if capacities.is_weak(host)]
     assert weak == ["h1"]
--- a/tests/test_group_hint.py
+++ b/tests/test_group_hint.py
@@ -1,65 +1,65 @@
-"""The store gets the outcome of a change as a hint, whenever it answers."""
+"""Hints of the primary in the store: outages, stale hints and concurrent writers."""
 
 import asyncio
 import random
 
-from reedhook.process.configuring.store import Entry
-from reedhook.process.groups.coordinator import Outcome
-from reedhook.process.groups.hint import OutcomeHints
+from reedhook.process.configuring.store import StoreEntry
+from reedhook.process.groups.group_promotion_coordinator import PrimaryChange
+from reedhook.process.groups.primary_hints import PrimaryHints
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_store import FakeStore
 
 
-def hints(store: FakeStore) -> OutcomeHints:
-    return OutcomeHints(store, LoopClock(), random.Random(1))
+def hints(store: FakeStore) -> PrimaryHints:
+    return PrimaryHints(store, LoopClock(), random.Random(1))
 
 
 @in_virtual_time
-async def test_an_outcome_reaches_the_store_after_an_outage() -> None:
+async def test_hint_is_written_after_store_outage() -> None:
     store = FakeStore()
     store.down = True
     writer = hints(store)
-    writer.publish(Outcome("g", 2, "m2"))
+    writer.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(5.0)
-    writer.publish(Outcome("g", 3, "m3"))
+    writer.publish(PrimaryChange("g", 3, "m3"))
     assert await writer.read("g") is None
     store.down = False
     await asyncio.sleep(60.0)
-    assert await writer.read("g") == Outcome("g", 3, "m3")
+    assert await writer.read("g") == PrimaryChange("g", 3, "m3")
     assert writer.pending == {}
 
 
 @in_virtual_time
-async def test_a_former_outcome_never_replaces_a_later_one() -> None:
+async def test_hint_of_lower_term_does_not_replace_later_one() -> None:
     store = FakeStore()
     first, second = hints(store), hints(store)
-    first.publish(Outcome("g", 3, "m3"))
+    first.publish(PrimaryChange("g", 3, "m3"))
     await asyncio.sleep(1.0)
-    second.publish(Outcome("g", 2, "m2"))
+    second.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(1.0)
-    assert await first.read("g") == Outcome("g", 3, "m3")
+    assert await first.read("g") == PrimaryChange("g", 3, "m3")
 
 
 @in_virtual_time
-async def test_two_writers_and_a_lost_answer_leave_the_later_outcome() -> None:
+async def test_later_hint_wins_with_two_writers_and_lost_answer() -> None:
     store = FakeStore()
     store.lose_answers = 1
     first, second = hints(store), hints(store)
-    first.publish(Outcome("g", 2, "m2"))
-    second.publish(Outcome("g", 3, "m3"))
+    first.publish(PrimaryChange("g", 2, "m2"))
+    second.publish(PrimaryChange("g", 3, "m3"))
     await asyncio.sleep(30.0)
-    assert await first.read("g") == Outcome("g", 3, "m3")
+    assert await first.read("g") == PrimaryChange("g", 3, "m3")
     assert first.pending == second.pending == {}
 
 
 @in_virtual_time
-async def test_a_hint_that_cannot_be_read_is_replaced() -> None:
+async def test_malformed_hint_is_replaced() -> None:
     store = FakeStore()
-    written: Entry = await store.put("primary/g", b"not JSON", 0, 1.0)
-    assert written.revision == 1
+    entry: StoreEntry = await store.put("primary/g", b"not JSON", 0, 1.0)
+    assert entry.revision == 1
     writer = hints(store)
     assert await writer.read("g") is None
-    writer.publish(Outcome("g", 2, "m2"))
+    writer.publish(PrimaryChange("g", 2, "m2"))
     await asyncio.sleep(1.0)
-    assert await writer.read("g") == Outcome("g", 2, "m2")
+    assert await writer.read("g") == PrimaryChange("g", 2, "m2")
--- a/tests/test_lead_claim.py
+++ b/tests/test_lead_claim.py
@@ -1,70 +1,83 @@
-"""What a holder makes of the record of its service, as the store has it."""
+"""Writes of the lease record by its holder, with late and lost responses.
+
+Guards against a lease record that no longer names a host that may use the primary.
+"""
 
 import asyncio
 
-from reedhook.decisions import Decisions
+from reedhook.decision_log import DecisionLog
 from reedhook.peer import HostRef
-from reedhook.process.announced.announcements import Announcements
-from reedhook.process.lead.book import LeadBook
-from reedhook.process.lead.claim import HolderClaim
-from reedhook.process.lead.record import Holder, LeadRecord, lead_key
-from reedhook.version.registry import TargetEntry
+from reedhook.process.discovery.announcements import Announcements
+from reedhook.process.primary_lease.lease_claim import HolderClaim
+from reedhook.process.primary_lease.lease_record import (
+    HostIncarnation,
+    PrimaryLeaseRecord,
+    lease_key,
+)
+from reedhook.process.primary_lease.lease_registry import PrimaryLeaseRegistry
+from reedhook.version.route_table import TargetAnnouncement
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_keyspace import FakeStore
 from .session_world import PlainDocuments
 
-ME = Holder(HostRef("h1", "z1", "10.0.0.1:1"), "a")
-DEPUTY = Holder(HostRef("h2", "z2", "10.0.0.2:1"), "b")
+ME = HostIncarnation(HostRef("h1", "z1", "10.0.0.1:1"), "a")
+BACKUP = HostIncarnation(HostRef("h2", "z2", "10.0.0.2:1"), "b")
 
 
 def claim_at(store: FakeStore) -> HolderClaim:
-    """Return the claim of `ME` on a service that it has just taken."""
+    """Return the claim of `ME` on a lease that it has just written."""
     clock = LoopClock()
-    decisions = Decisions("h1", clock, out=None)
+    decisions = DecisionLog("h1", clock, output_fd=None)
     keyspace = store.client("h1")
-    record = LeadRecord("db", ME, None, [], True, "m1", 3, "", 0)
-    revision = store.write(lead_key("db"), record.encoded())
+    record = PrimaryLeaseRecord("db", ME, None, [], True, "m1", 3, "", 0)
+    revision = store.write(lease_key("db"), record.encoded())
     announcements = Announcements(PlainDocuments(), clock, decisions)
-    book = LeadBook(announcements, decisions)
+    registry = PrimaryLeaseRegistry(announcements, decisions)
     return HolderClaim(
-        record.at(revision), clock.elapsed(), ME, keyspace, book, clock, decisions
+        record.with_revision(revision),
+        clock.boottime(),
+        ME,
+        keyspace,
+        registry,
+        clock,
+        decisions,
     )
 
 
-def entry_of(target: str) -> TargetEntry:
-    """Return what a target announces."""
-    return TargetEntry(target, "db", "10.0.0.9:1", "z1", False, False, 7, 2, 1)
+def entry_of(target: str) -> TargetAnnouncement:
+    """Return the announcement of a target."""
+    return TargetAnnouncement(target, "db", "10.0.0.9:1", "z1", False, False, 7, 2, 1)
 
 
-def stored(store: FakeStore) -> LeadRecord:
-    """Return the record that stands in the store."""
-    return LeadRecord.from_item(store.items[lead_key("db")])
+def stored(store: FakeStore) -> PrimaryLeaseRecord:
+    """Return the stored record."""
+    return PrimaryLeaseRecord.from_item(store.items[lease_key("db")])
 
 
 @in_virtual_time
-async def test_a_deputy_that_was_named_late_is_not_forgotten() -> None:
-    """It may have seen the record, and use the primary by it."""
+async def test_backup_holder_of_late_write_stays_recorded() -> None:
+    """The backup holder may have read the record and use the primary."""
     store = FakeStore()
     claim = claim_at(store)
     store.late["h1"] = 2.0
-    assert not await claim.write(claim.record.with_deputy(DEPUTY))
+    assert not await claim.write(claim.record.with_backup_holder(BACKUP))
     store.late.clear()
     await asyncio.sleep(3.0)
-    assert stored(store).deputy == DEPUTY
+    assert stored(store).backup_holder == BACKUP
     record = claim.record
     assert not await claim.write(record.with_successor(entry_of("m2")))
     assert await claim.write(claim.record.with_successor(entry_of("m2")))
     found = stored(store)
-    assert found.deputy == DEPUTY or DEPUTY in found.former
+    assert found.backup_holder == BACKUP or BACKUP in found.former
 
 
 @in_virtual_time
-async def test_what_is_known_of_the_primary_outlives_a_late_write() -> None:
+async def test_late_write_does_not_revert_the_primary() -> None:
     store = FakeStore()
     claim = claim_at(store)
     store.late["h1"] = 2.0
-    assert not await claim.write(claim.record.with_deputy(DEPUTY))
+    assert not await claim.write(claim.record.with_backup_holder(BACKUP))
     store.late.clear()
     await asyncio.sleep(3.0)
     claim.record = claim.record.with_primary(entry_of("m2"), 4)
@@ -72,25 +85,25 @@
     assert not await claim.write(claim.record)
     assert await claim.write(claim.record)
     found = stored(store)
-    assert (found.primary, found.term, found.deputy) == ("m2", 4, DEPUTY)
-    assert found.born == entry_of("m2").born
+    assert (found.primary, found.term, found.backup_holder) == ("m2", 4, BACKUP)
+    assert found.primary_started_at_ms == entry_of("m2").started_at_ms
 
 
 @in_virtual_time
-async def test_a_write_without_an_answer_counts_once_a_look_finds_it() -> None:
+async def test_write_with_lost_response_is_confirmed_by_a_read() -> None:
     store = FakeStore()
     claim = claim_at(store)
     store.losing.add("h1")
-    assert await claim.write(claim.record.with_deputy(DEPUTY))
+    assert await claim.write(claim.record.with_backup_holder(BACKUP))
     assert claim.record == stored(store)
 
 
 @in_virtual_time
-async def test_a_permission_that_was_given_up_is_not_renewed_by_a_look() -> None:
+async def test_revoked_lease_is_not_renewed_by_a_pending_read() -> None:
     store = FakeStore()
     claim = claim_at(store)
-    looking = asyncio.create_task(claim.look())
+    refresh_task = asyncio.create_task(claim.refresh())
     await asyncio.sleep(0.001)
-    claim.tenure.end()
-    assert await looking
-    assert not claim.tenure.valid
+    claim.validity.revoke()
+    assert await refresh_task
+    assert not claim.validity.valid
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -5,12 +5,16 @@
 
 from hypothesis import given, settings, strategies as st
 
-from reedhook.connection.member import Fault, MemberReply
-from reedhook.connection.memberhome import MemberHome
-from reedhook.decisions import Decisions
-from reedhook.request.refusal import Refusal
-from reedhook.request.work import Begin, Work, WorkKind
-from reedhook.version.registry import RouteKind
+from reedhook.connection.session_target import SessionTargetReply, StatementFault
+from reedhook.connection.session_target_home import SessionTargetHome
+from reedhook.decision_log import DecisionLog
+from reedhook.request.refusal import RefusalError
+from reedhook.request.session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
+from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup
 from reedhook_standins.promises import Promises, Sent, Viewer
 
@@ -47,22 +51,22 @@
         self.opened = False
         self.sent = 0
 
-    def work(self, kind: WorkKind, text: str) -> Work:
+    def work(self, kind: SessionStatementKind, text: str) -> SessionStatement:
         """Return the next statement."""
         self.sent += 1
         first = bool(self.transaction) and not self.opened
-        return Work(
+        return SessionStatement(
             service="db",
             target="",
             session=self.name,
             settings=dict(self.state),
             transaction=self.transaction,
-            begin=Begin.WRITE if first else Begin.NONE,
-            after=None,
+            begin=TransactionMode.WRITE if first else TransactionMode.NONE,
+            min_position=None,
             kind=kind,
             id=f"{self.name}-{self.sent}",
             text=text,
-            left=0.5,
+            remaining=0.5,
         )
 
 
@@ -74,13 +78,13 @@
         self.group = DatabaseGroup("db", ["z0"])
         self.promises = Promises(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
-        self.home = MemberHome(
+        self.home = SessionTargetHome(
             self.group.primary.entry,
             FakeDriver("h1", [self.group]),
             FakePhrases(),
             CONNECTIONS,
             clock,
-            Decisions("h1", clock, out=None),
+            DecisionLog("h1", clock, output_fd=None),
             lambda: None,
             lambda position, asked: None,
             3.0,
@@ -108,21 +112,27 @@
         elif what == "rollback" or what == "break":
             self.end(session, what)
         elif what in ("read", "write"):
-            kind = WorkKind.READ if what == "read" else WorkKind.WRITE
+            kind = (
+                SessionStatementKind.READ
+                if what == "read"
+                else SessionStatementKind.WRITE
+            )
             await self.run(session, kind, "READ a" if what == "read" else "WRITE a b")
         elif what == "commit" and session.opened:
-            await self.run(session, WorkKind.COMMIT, "COMMIT")
+            await self.run(session, SessionStatementKind.COMMIT, "COMMIT")
             session.transaction = ""
 
     def end(self, session: SessionOfHome, what: str) -> None:
         """Roll a transaction back, or lose the connections that are idle."""
         if what == "break":
-            self.home.lanes.drop_idle()
+            self.home.connections.drop_idle()
             return
         self.home.transactions.end(session.transaction)
         session.transaction = ""
 
-    async def run(self, session: SessionOfHome, kind: WorkKind, text: str) -> None:
+    async def run(
+        self, session: SessionOfHome, kind: SessionStatementKind, text: str
+    ) -> None:
         """Run a statement and check what it met."""
         work = session.work(kind, text)
         self.promises.sent[work.id] = Sent(
@@ -130,7 +140,7 @@
         )
         try:
             reply = await self.home.run(work)
-        except Refusal:
+        except RefusalError:
             # No connection came free: nothing ran.
             assert work.id not in self.group.primary.runs
             self.home.transactions.end(session.transaction)
@@ -139,15 +149,15 @@
         session.opened = bool(session.transaction)
         self.judge(session, reply)
 
-    def judge(self, session: SessionOfHome, reply: MemberReply) -> None:
+    def judge(self, session: SessionOfHome, reply: SessionTargetReply) -> None:
         """Compare what a read saw with the session's state."""
-        assert reply.fault is Fault.NONE
+        assert reply.fault is StatementFault.NONE
         if not reply.rows:
             return
         viewer = Viewer(
             session.name,
             session.name,
-            RouteKind.BOUNDED,
+            RouteConsistency.BOUNDED,
             1.0,
             session.values,
             session.prepared,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -7,18 +7,18 @@
 from hypothesis import given, strategies as st
 
 from reedhook.platform.documents import PlatformDocuments
-from reedhook.platform.line import MOST_BYTES, LineError, LineReader, encoded
-from reedhook.platform.settings import SettingsFault, read, settings_path
+from reedhook.platform.line import MAX_LINE_BYTES, LineError, LineReader, encode_line
+from reedhook.platform.settings import SettingsError, read, settings_path
 from reedhook.platform.text import (
     after,
     read_command,
     read_position,
     write_position,
 )
-from reedhook.process.rates.terms import DEFAULT_TERMS, RateTerms
-from reedhook.request.command import CommandKind
+from reedhook.process.rates.rate_tolerance import DEFAULT_TOLERANCE, RateTolerance
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind, TargetEntry
+from reedhook.request.session_command import SessionCommandKind
+from reedhook.version.route_table import RouteConsistency, TargetAnnouncement
 from reedhook.wire import WireError, encode
 
 ENTRY: dict[str, object] = {
@@ -48,7 +48,7 @@
 )
 
 
-def read_entry(**fields: object) -> TargetEntry:
+def read_entry(**fields: object) -> TargetAnnouncement:
     """Read what a target announces with these fields."""
     return PlatformDocuments().read_target("servers/i-7f3a", orjson.dumps(fields))
 
@@ -104,7 +104,7 @@
 def test_lines_are_the_same_however_they_arrive(
     lines: list[str], cuts: list[int]
 ) -> None:
-    data = b"".join(encoded(line) for line in lines)
+    data = b"".join(encode_line(line) for line in lines)
     reader = LineReader()
     found: list[str] = []
     start = 0
@@ -129,7 +129,12 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"READ a\nREAD b\r\n", b"READ \0\r\n", b"READ a\rb\r\n", b"x" * (MOST_BYTES + 3)],
+    [
+        b"READ a\nREAD b\r\n",
+        b"READ \0\r\n",
+        b"READ a\rb\r\n",
+        b"x" * (MAX_LINE_BYTES + 3),
+    ],
     ids=["bare line feed", "nul", "bare carriage return", "too long"],
 )
 def test_lines_that_could_smuggle_another_are_refused(data: bytes) -> None:
@@ -138,27 +143,29 @@
 
 
 def test_a_line_of_the_longest_size_is_read() -> None:
-    line = "x" * (MOST_BYTES - 2)
-    assert list(LineReader().feed(encoded(line))) == [line]
+    line = "x" * (MAX_LINE_BYTES - 2)
+    assert list(LineReader().feed(encode_line(line))) == [line]
 
 
 @pytest.mark.parametrize(
     "text, kind, name, writes",
     [
-        ("BEGIN", CommandKind.BEGIN, "", False),
-        ("BEGIN READ", CommandKind.BEGIN_READ, "", False),
-        ("COMMIT", CommandKind.COMMIT, "", False),
-        ("ROLLBACK", CommandKind.ROLLBACK, "", False),
-        ("READ 1a4", CommandKind.READ, "", False),
-        ("WRITE 1a4 some data", CommandKind.WRITE, "", False),
-        ("SET name value", CommandKind.SET, "name", False),
-        ("PREPARE s1 WRITE q2c", CommandKind.PREPARE, "s1", True),
-        ("PREPARE s1 READ q2c", CommandKind.PREPARE, "s1", False),
-        ("EXECUTE s1 1a4 xkqp", CommandKind.EXECUTE, "s1", False),
-        ("DEALLOCATE s1", CommandKind.DEALLOCATE, "s1", False),
+        ("BEGIN", SessionCommandKind.BEGIN, "", False),
+        ("BEGIN READ", SessionCommandKind.BEGIN_READ, "", False),
+        ("COMMIT", SessionCommandKind.COMMIT, "", False),
+        ("ROLLBACK", SessionCommandKind.ROLLBACK, "", False),
+        ("READ 1a4", SessionCommandKind.READ, "", False),
+        ("WRITE 1a4 some data", SessionCommandKind.WRITE, "", False),
+        ("SET name value", SessionCommandKind.SET, "name", False),
+        ("PREPARE s1 WRITE q2c", SessionCommandKind.PREPARE, "s1", True),
+        ("PREPARE s1 READ q2c", SessionCommandKind.PREPARE, "s1", False),
+        ("EXECUTE s1 1a4 xkqp", SessionCommandKind.EXECUTE, "s1", False),
+        ("DEALLOCATE s1", SessionCommandKind.DEALLOCATE, "s1", False),
     ],
 )
-def test_texts_are_read(text: str, kind: CommandKind, name: str, writes: bool) -> None:
+def test_texts_are_read(
+    text: str, kind: SessionCommandKind, name: str, writes: bool
+) -> None:
     command = read_command(text)
     assert (command.kind, command.name, command.writes) == (kind, name, writes)
     assert command.text == text
@@ -169,7 +176,7 @@
     ["", "READ", "READ  a", "AFTER 3.1 READ a", "STATUS", "DEMOTE 4", "begin", "RESET"],
 )
 def test_texts_that_callers_may_not_send_are_malformed(text: str) -> None:
-    assert read_command(text).kind is CommandKind.MALFORMED
+    assert read_command(text).kind is SessionCommandKind.MALFORMED
 
 
 @given(st.text(max_size=40))
@@ -189,8 +196,8 @@
     assert table.version == 7
     assert set(table.routes) == {"lepu270"}
     route = table.routes["lepu270"]
-    assert route.kind is RouteKind.BOUNDED
-    assert (route.timeout, route.max_age) == (1.2, 1.5)
+    assert route.kind is RouteConsistency.BOUNDED
+    assert (route.statement_timeout_seconds, route.max_age) == (1.2, 1.5)
     assert table.services["huvo11a"].connections == 16
     assert (table.transaction_idle, table.start_timeout) == (3.0, 2.0)
 
@@ -204,13 +211,13 @@
 def test_a_target_is_read() -> None:
     entry = read_entry(**ENTRY)
     assert entry.target == "i-7f3a"
-    assert entry.leaving and entry.claims_lead
-    assert (entry.born, entry.sequence) == (1_764_720_000_000, 4)
+    assert entry.leaving and entry.claims_primary
+    assert (entry.started_at_ms, entry.sequence) == (1_764_720_000_000, 4)
 
 
 def test_a_target_whose_start_is_not_stated_is_read() -> None:
     entry = read_entry(**{name: ENTRY[name] for name in ENTRY if name != "born"})
-    assert entry.born == 0
+    assert entry.started_at_ms == 0
 
 
 @pytest.mark.parametrize("name", [name for name in ENTRY if name != "born"])
@@ -265,14 +272,14 @@
 def test_bounds_of_keys_and_rates_are_read() -> None:
     settings = read(SETTINGS)
     assert settings.revoke is None
-    assert settings.rates == DEFAULT_TERMS
+    assert settings.rates == DEFAULT_TOLERANCE
     bounds = (
         "bounds.strict_revoke=true\nbounds.revoke_ms=4000\n"
         "bounds.quota_window_s=10\nbounds.quota_overshoot=0.2\nbounds.quota_slack=5\n"
     )
     settings = read(SETTINGS + bounds)
     assert settings.revoke == 4.0
-    assert settings.rates == RateTerms(10.0, 0.2, 5.0)
+    assert settings.rates == RateTolerance(10.0, 0.2, 5.0)
     assert read(SETTINGS + bounds.replace("true", "false")).revoke is None
 
 
@@ -303,7 +310,7 @@
 def test_wrong_settings_are_told_with_their_line(
     old: str, new: str, message: str
 ) -> None:
-    with pytest.raises(SettingsFault, match=message.replace(".", r"\.")):
+    with pytest.raises(SettingsError, match=message.replace(".", r"\.")):
         read(SETTINGS.replace(old, new))
 
 
@@ -311,7 +318,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv("REEDHOOK_SETTINGS", raising=False)
-    with pytest.raises(SettingsFault):
+    with pytest.raises(SettingsError):
         settings_path(None)
     monkeypatch.setenv("REEDHOOK_SETTINGS", "/x/settings.conf")
     assert str(settings_path(None)) == "/x/settings.conf"
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,20 +5,20 @@
 
 import pytest
 
-from reedhook.connection.member import (
-    Fault,
-    MemberFull,
-    MemberMisrouted,
-    MemberSilent,
-    MemberUnreachable,
-    Query,
+from reedhook.connection.session_target import (
+    SessionTargetFullError,
+    SessionTargetNoReplyError,
+    SessionTargetUnreachableError,
+    StatementFault,
+    TargetQuery,
+    WrongTargetError,
 )
+from reedhook.platform.caller_listener import CallerListener, refusal_fields
 from reedhook.platform.driver import WireDriver
-from reedhook.platform.entry import Front, worded
-from reedhook.process.callers import Callers
+from reedhook.process.caller_sessions import CallerSessions
 from reedhook.request.position import Position
-from reedhook.request.refusal import Reason, may_have_run, not_run
-from reedhook.version.registry import TargetEntry
+from reedhook.request.refusal import RefusalReason, may_have_run, not_run
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook_standins.wiremember import WireMemberStandIn
 
 from .session_world import SessionWorld
@@ -29,7 +29,7 @@
 
 
 def with_member(
-    test: Callable[[WireMemberStandIn, TargetEntry], Awaitable[None]],
+    test: Callable[[WireMemberStandIn, TargetAnnouncement], Awaitable[None]],
     answers: dict[str, bytes] | None = None,
 ) -> None:
     """Run a test with a stand-in of a target."""
@@ -37,7 +37,7 @@
     async def run() -> None:
         member = WireMemberStandIn(answers)
         await member.start()
-        entry = TargetEntry("i-1", "huvo11a", member.address, "z", False, False)
+        entry = TargetAnnouncement("i-1", "huvo11a", member.address, "z", False, False)
         try:
             await test(member, entry)
         finally:
@@ -47,15 +47,19 @@
 
 
 def test_queries_that_travel_together_are_answered_in_order() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         queries = [
-            Query("", "RESET"),
-            Query("5c0e", "READ a", Position(3, 9)),
-            Query("5c0f", "READ b"),
+            TargetQuery("", "RESET"),
+            TargetQuery("5c0e", "READ a", Position(3, 9)),
+            TargetQuery("5c0f", "READ b"),
         ]
         replies = await connection.exchange(queries, TIMEOUT)
-        assert [one.fault for one in replies] == [Fault.NONE, Fault.LAGGING, Fault.NONE]
+        assert [one.fault for one in replies] == [
+            StatementFault.NONE,
+            StatementFault.LAGGING,
+            StatementFault.NONE,
+        ]
         assert replies[1].detail == "i-1"
         assert replies[2].rows == ["a b"]
         assert replies[2].signature == "mac"
@@ -72,10 +76,10 @@
 
 
 def test_the_state_of_a_target_is_read() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
         status = await connection.status(TIMEOUT)
-        assert not status.leads
+        assert not status.is_primary
         assert (status.term, status.received) == (3, Position(3, 1209))
         assert status.connections == 17
 
@@ -85,15 +89,15 @@
 @pytest.mark.parametrize(
     "answer, error",
     [
-        (b"ERROR OVERLOADED i-1\r\n", MemberFull),
-        (b"ERROR MISROUTED i-9\r\n", MemberMisrouted),
-        (b"ERROR BUSY x\r\n", MemberUnreachable),
+        (b"ERROR OVERLOADED i-1\r\n", SessionTargetFullError),
+        (b"ERROR MISROUTED i-9\r\n", WrongTargetError),
+        (b"ERROR BUSY x\r\n", SessionTargetUnreachableError),
     ],
 )
 def test_a_start_that_is_refused_says_why(
-    answer: bytes, error: type[MemberUnreachable]
+    answer: bytes, error: type[SessionTargetUnreachableError]
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         member.start_answer = answer
         with pytest.raises(error):
             await WireDriver("reedhook").connect(entry, TIMEOUT)
@@ -108,19 +112,19 @@
 def test_an_answer_that_cannot_be_read_leaves_the_exchange_in_doubt(
     answer: bytes,
 ) -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         connection = await WireDriver("reedhook").connect(entry, TIMEOUT)
-        with pytest.raises(MemberSilent):
-            await connection.exchange([Query("1", "READ a")], 0.1)
-        assert connection.lost
+        with pytest.raises(SessionTargetNoReplyError):
+            await connection.exchange([TargetQuery("1", "READ a")], 0.1)
+        assert connection.closed
 
     with_member(test, {"READ a": answer})
 
 
 def test_a_silent_target_is_given_up() -> None:
-    async def test(member: WireMemberStandIn, entry: TargetEntry) -> None:
+    async def test(member: WireMemberStandIn, entry: TargetAnnouncement) -> None:
         member.silent = True
-        with pytest.raises(MemberUnreachable):
+        with pytest.raises(SessionTargetUnreachableError):
             await WireDriver("reedhook").connect(entry, 0.05)
 
     with_member(test)
@@ -145,7 +149,9 @@
         return (await self.reader.readline()).decode("latin-1").rstrip("\r\n")
 
 
-def with_front(test: Callable[[Callers, Line, SessionWorld], Awaitable[None]]) -> None:
+def with_front(
+    test: Callable[[CallerSessions, Line, SessionWorld], Awaitable[None]],
+) -> None:
     """Run a test with a front whose host knows a configuration and no target."""
 
     async def run() -> None:
@@ -153,12 +159,12 @@
         world.configure(1, ["tickets", "views"])
         host = await world.start_host(world.refs[0])
         await host.announcements.configured.wait()
-        front = Front(host.callers, "127.0.0.1:0")
+        front = CallerListener(host.caller_sessions, "127.0.0.1:0")
         await front.start()
         address, _, port = front.address.rpartition(":")
         reader, writer = await asyncio.open_connection(address, int(port))
         try:
-            await test(host.callers, Line(reader, writer), world)
+            await test(host.caller_sessions, Line(reader, writer), world)
         finally:
             writer.close()
             front.stop()
@@ -168,7 +174,7 @@
 
 
 def test_a_session_answers_what_needs_no_target() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         assert await line.send(b"START tickets u1\r\n") == "READY I -"
         assert await line.send(b"QUERY 1 SET a b\r\n") == "COMPLETE -"
         assert await line.next() == "READY I -"
@@ -200,7 +206,7 @@
 def test_a_start_that_makes_no_sense_is_refused_and_closed(
     first: bytes, code: str
 ) -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         assert (await line.send(first)).startswith(code)
         assert await line.next() == ""
 
@@ -208,7 +214,7 @@
 
 
 def test_a_smuggled_statement_closes_the_session() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         await line.send(b"START tickets u1\r\n")
         answer = await line.send(b"QUERY 1 READ a\nQUERY 2 WRITE a b\r\n")
         assert answer.startswith("ERROR MALFORMED")
@@ -219,7 +225,7 @@
 
 
 def test_a_host_that_ends_closes_idle_sessions() -> None:
-    async def test(callers: Callers, line: Line, world: SessionWorld) -> None:
+    async def test(callers: CallerSessions, line: Line, world: SessionWorld) -> None:
         await line.send(b"START tickets u1\r\n")
         draining = asyncio.create_task(callers.drain(0.5))
         assert await line.next() == ""
@@ -229,9 +235,9 @@
 
 
 def test_refusals_carry_their_code_and_when_to_come_back() -> None:
-    refusal = not_run(Reason.NO_PRIMARY, "no primary", 150)
-    assert worded(refusal) == ("BUSY", "retry_after_ms=150 no primary")
-    lost = not_run(Reason.TRANSACTION_LOST, "lost")
-    assert worded(lost) == ("ABORTED", "lost")
-    doubt = may_have_run(Reason.TARGET_UNREACHABLE, "no answer")
-    assert worded(doubt) == ("INDOUBT", "no answer")
+    refusal = not_run(RefusalReason.NO_PRIMARY, "no primary", 150)
+    assert refusal_fields(refusal) == ("BUSY", "retry_after_ms=150 no primary")
+    lost = not_run(RefusalReason.TRANSACTION_LOST, "lost")
+    assert refusal_fields(lost) == ("ABORTED", "lost")
+    doubt = may_have_run(RefusalReason.TARGET_UNREACHABLE, "no answer")
+    assert refusal_fields(doubt) == ("INDOUBT", "no answer")
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from reedhook.connection.member import Query
+from reedhook.connection.session_target import TargetQuery
 from reedhook.request.position import Position
-from reedhook.version.registry import RouteKind
+from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup, DatabaseSession
 from reedhook_standins.promises import Promises, Sent, Viewer
 
@@ -24,17 +24,17 @@
         """Return a session at a target."""
         return DatabaseSession(self.group.members[target])
 
-    def sent(self, id: str, text: str, transaction: str = "") -> Query:
+    def sent(self, id: str, text: str, transaction: str = "") -> TargetQuery:
         """Remember a statement as sent; return it for a target."""
         self.promises.sent[id] = Sent(text, transaction, {}, {})
-        return Query(id, text)
+        return TargetQuery(id, text)
 
     def broken(self) -> str:
         """Return what was found."""
         return "\n".join(self.promises.violations)
 
 
-def viewer(kind: RouteKind, max_age: float | None, session: str = "s") -> Viewer:
+def viewer(kind: RouteConsistency, max_age: float | None, session: str = "s") -> Viewer:
     """Return a reader that has set and prepared nothing."""
     return Viewer("c1", session, kind, max_age, {}, {})
 
@@ -49,17 +49,17 @@
 @pytest.mark.parametrize(
     ("kind", "max_age", "age", "session", "stale"),
     [
-        (RouteKind.PRIMARY, None, 0.1, "s", True),
-        (RouteKind.PRIMARY, None, 0.1, "other", True),
-        (RouteKind.BOUNDED, 1.5, 1.4, "s", False),
-        (RouteKind.BOUNDED, 1.5, 1.6, "s", True),
-        (RouteKind.OWN_WRITES, 2.5, 0.1, "s", True),
-        (RouteKind.OWN_WRITES, 2.5, 2.4, "other", False),
-        (RouteKind.OWN_WRITES, 2.5, 2.6, "other", True),
+        (RouteConsistency.PRIMARY, None, 0.1, "s", True),
+        (RouteConsistency.PRIMARY, None, 0.1, "other", True),
+        (RouteConsistency.BOUNDED, 1.5, 1.4, "s", False),
+        (RouteConsistency.BOUNDED, 1.5, 1.6, "s", True),
+        (RouteConsistency.OWN_WRITES, 2.5, 0.1, "s", True),
+        (RouteConsistency.OWN_WRITES, 2.5, 2.4, "other", False),
+        (RouteConsistency.OWN_WRITES, 2.5, 2.6, "other", True),
     ],
 )
 def test_a_read_that_misses_a_commit(
-    kind: RouteKind, max_age: float | None, age: float, session: str, stale: bool
+    kind: RouteConsistency, max_age: float | None, age: float, session: str, stale: bool
 ) -> None:
     async def run() -> None:
         one = Case()
@@ -82,7 +82,7 @@
         await one.group.promote("db-2")
         one.at += 1.0
         row = one.session("db-2").run(one.sent("r", "READ a")).rows[0]
-        one.promises.read(viewer(RouteKind.PRIMARY, None), row, one.at)
+        one.promises.read(viewer(RouteConsistency.PRIMARY, None), row, one.at)
         assert not one.promises.violations
 
     asyncio.run(run())
@@ -102,8 +102,8 @@
 def test_a_statement_that_nobody_sent() -> None:
     async def run() -> None:
         one = Case()
-        one.session().run(Query("x", "READ a"))
-        one.session().run(Query(one.sent("y", "READ a").id, "READ b"))
+        one.session().run(TargetQuery("x", "READ a"))
+        one.session().run(TargetQuery(one.sent("y", "READ a").id, "READ b"))
         assert one.broken().count("which nobody sent") == 2
 
     asyncio.run(run())
@@ -116,7 +116,7 @@
         assert "runs elsewhere" in one.broken()
         first, second = one.session(), one.session()
         for session in (first, second):
-            session.run(Query("", "BEGIN"))
+            session.run(TargetQuery("", "BEGIN"))
         first.run(one.sent("b", "READ a", "t2"))
         second.run(one.sent("c", "READ a", "t2"))
         assert "another connection" in one.broken()
@@ -128,7 +128,7 @@
     async def run() -> None:
         one = Case()
         session = one.session()
-        session.run(Query("", "SET v 1"))
+        session.run(TargetQuery("", "SET v 1"))
         session.run(one.sent("a", "READ a"))
         assert "runs with {'v': '1'}" in one.broken()
 
--- a/tests/test_self_feeding.py
+++ b/tests/test_self_feeding.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
+from reedhook.connection.session_target import StatementFault
 from reedhook.peer import HostRef
-from reedhook.request.refusal import Refusal
+from reedhook.request.refusal import RefusalError
 
 from .fakes_clock import run_virtual
 from .fakes_members import Slots
@@ -92,11 +92,11 @@
                 caller = await self.world.caller(self.random.choice(names), database)
                 writes = database == "tickets"
                 reply = await (caller.write() if writes else caller.read())
-                if reply.refusal is None and reply.fault is Fault.NONE:
+                if reply.refusal is None and reply.fault is StatementFault.NONE:
                     return True
                 if reply.refusal is not None:
                     retry_ms = reply.refusal.retry_after_ms
-        except (Refusal, TimeoutError, IndexError):
+        except (RefusalError, TimeoutError, IndexError):
             # No host runs, or it has no configuration yet, or it was ended.
             pass
         await asyncio.sleep((retry_ms or RETRY_MS) / 1000.0)
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
-from reedhook.connection.state import SessionState
+from reedhook.connection.session_state import SessionState
+from reedhook.connection.session_target import StatementFault
 from reedhook.peer import HostRef
-from reedhook.process.lead.record import Holder
-from reedhook.request.command import CommandKind
-from reedhook.request.hop import Place
-from reedhook.request.refusal import Reason, not_run
+from reedhook.process.primary_lease.lease_record import HostIncarnation
+from reedhook.request.refusal import RefusalReason, not_run
+from reedhook.request.session_command import SessionCommandKind
+from reedhook.request.session_statement import SessionStatement, SessionStatementResult
+from reedhook.request.statement_forwarder import StatementLocation
 from reedhook.request.verdict import Verdict
-from reedhook.request.work import Work, WorkAnswer
-from reedhook.version.registry import TargetEntry
+from reedhook.version.route_table import TargetAnnouncement
 from reedhook.wire import decode
 
 from .fakes_clock import in_virtual_time, run_virtual
@@ -77,7 +77,7 @@
 async def transact(caller: Caller, rng: random.Random) -> None:
     """Run a transaction of a few statements."""
     reads_only = rng.random() < 0.3
-    kind = CommandKind.BEGIN_READ if reads_only else CommandKind.BEGIN
+    kind = SessionCommandKind.BEGIN_READ if reads_only else SessionCommandKind.BEGIN
     await caller.run(kind)
     for _ in range(rng.randint(1, 3)):
         if rng.random() < 0.2:
@@ -87,7 +87,9 @@
         else:
             await caller.write()
         await asyncio.sleep(rng.uniform(0.0, 0.05))
-    ends = CommandKind.ROLLBACK if rng.random() < 0.2 else CommandKind.COMMIT
+    ends = (
+        SessionCommandKind.ROLLBACK if rng.random() < 0.2 else SessionCommandKind.COMMIT
+    )
     await caller.run(ends)
 
 
@@ -96,17 +98,17 @@
     begun = asyncio.get_running_loop().time()
     while asyncio.get_running_loop().time() - begun < seconds:
         reply = await caller.write()
-        if reply.refusal is None and reply.fault is Fault.NONE:
+        if reply.refusal is None and reply.fault is StatementFault.NONE:
             return asyncio.get_running_loop().time() - begun
         await asyncio.sleep(0.05)
     raise AssertionError("no write succeeded")
 
 
-def leaving(entry: TargetEntry) -> TargetEntry:
+def leaving(entry: TargetAnnouncement) -> TargetAnnouncement:
     """Return what a target announces that is about to end."""
     values = [*entry.values()]
     values[4] = True
-    return TargetEntry(*values)
+    return TargetAnnouncement(*values)
 
 
 @using(a_world, run_virtual)
@@ -137,7 +139,11 @@
     for _ in range(20):
         await caller.read()
         await asyncio.sleep(0.05)
-    homes = {name for name, host in world.hosts.items() if host.desk.homes}
+    homes = {
+        name
+        for name, host in world.hosts.items()
+        if host.statement_server.replica_homes
+    }
     assert not homes & weak
     world.check()
     await world.stop()
@@ -218,7 +224,7 @@
     while world.leader().me.zone == old.zone:
         await asyncio.sleep(0.01)
     await asyncio.sleep(0.1)
-    lead = world.leader().leads.held["db"]
+    lead = world.leader().primary_leases.held["db"]
     assert lead.ready.is_set()
     assert lead.home is not None
     assert lead.home.entry.target == world.group.primary.entry.target
@@ -228,7 +234,7 @@
 async def test_the_lead_of_a_lost_holder_is_taken_at_once(world: SessionWorld) -> None:
     old = world.leader().me
     await world.kill(old.host)
-    while not any(host.vigil.is_lost(old) for host in world.hosts.values()):
+    while not any(host.failure_detector.is_lost(old) for host in world.hosts.values()):
         await asyncio.sleep(0.001)
     # Two calls of the store and a little more.
     await asyncio.sleep(0.03)
@@ -286,7 +292,7 @@
     """Transactions open at a primary that gives no answer cannot end any more."""
     lead = world.leader().me
     open_there = await world.caller(lead.host, "tickets")
-    await open_there.run(CommandKind.BEGIN)
+    await open_there.run(SessionCommandKind.BEGIN)
     await open_there.write()
     world.group.primary.down = True
     world.store.silent.add(lead.host)
@@ -414,15 +420,17 @@
     await caller.read()
     sent = []
 
-    async def lose(place: Place, work: Work) -> WorkAnswer:
-        sent.append(place.target)
-        raise not_run(Reason.TRANSACTION_LOST, "its connection was lost", 50)
+    async def lose(
+        location: StatementLocation, statement: SessionStatement
+    ) -> SessionStatementResult:
+        sent.append(location.target)
+        raise not_run(RefusalReason.TRANSACTION_LOST, "its connection was lost", 50)
 
     host.hops.run_at = lose  # type: ignore[method-assign]
-    await caller.run(CommandKind.BEGIN_READ)
+    await caller.run(SessionCommandKind.BEGIN_READ)
     reply = await caller.read()
     assert reply.refusal is not None
-    assert reply.refusal.reason is Reason.TRANSACTION_LOST
+    assert reply.refusal.reason is RefusalReason.TRANSACTION_LOST
     assert len(sent) == 1
 
 
@@ -444,7 +452,7 @@
     reply = await caller.read()
     assert reply.ends
     assert reply.refusal is not None
-    assert reply.refusal.reason is Reason.UNKNOWN_GROUP
+    assert reply.refusal.reason is RefusalReason.UNKNOWN_GROUP
 
 
 @using(a_world, run_virtual)
@@ -504,11 +512,11 @@
     world: SessionWorld,
 ) -> None:
     caller = await world.caller("h00", "tickets")
-    await caller.run(CommandKind.BEGIN)
+    await caller.run(SessionCommandKind.BEGIN)
     await caller.write()
     await asyncio.sleep(5.0)
     states = [caller.session.state]
-    reply = await caller.run(CommandKind.COMMIT)
+    reply = await caller.run(SessionCommandKind.COMMIT)
     states.append(caller.session.state)
     assert reply.refusal is not None
     assert reply.refusal.verdict is Verdict.NOT_RUN
@@ -546,7 +554,7 @@
 ) -> None:
     lead = world.leader().me.host
     other = next(ref.host for ref in world.refs if ref.host != lead)
-    assert await world.hosts[other].duty.take(None)
+    assert await world.hosts[other].promotion_duty.claim_role(None)
     await world.restart(other)
     await asyncio.sleep(4.0)
     caller = await world.caller(world.leader().me.host, "tickets")
@@ -584,24 +592,27 @@
     await traffic(world, 1.0, 9)
     member = next(one for one in world.group.members.values() if not one.leads)
     entry = member.entry
-    homes = [host.desk.homes.get(entry.target) for host in world.hosts.values()]
+    homes = [
+        host.statement_server.replica_homes.get(entry.target)
+        for host in world.hosts.values()
+    ]
     old = [home for home in homes if home is not None]
     assert old
-    member.entry = TargetEntry(
+    member.entry = TargetAnnouncement(
         entry.target,
         entry.service,
         "10.0.9.9:1",
         entry.zone,
         entry.leaving,
-        entry.claims_lead,
-        entry.born,
+        entry.claims_primary,
+        entry.started_at_ms,
         entry.slots,
         entry.sequence,
     )
     world.announce(member.entry)
     await asyncio.sleep(0.7)
     await traffic(world, 4.0, 10)
-    assert all(home.lanes.closed for home in old)
+    assert all(home.connections.closed for home in old)
 
 
 @using(a_world, run_virtual)
@@ -610,13 +621,13 @@
 ) -> None:
     lead = world.leader().me
     other = next(one for one in world.hosts.values() if one.me != lead)
-    other.vigil.lost_at[lead.host] = other.clock.monotonic()
-    record = other.book.get("db")
+    other.failure_detector.lost_at[lead.host] = other.clock.monotonic()
+    record = other.lease_registry.get("db")
     assert record is not None
-    news = record.at(record.revision + 1)
-    news.holder = Holder(lead, "another life")
-    other.book.learn(news, "peer")
-    assert not other.vigil.is_lost(lead)
+    news = record.with_revision(record.revision + 1)
+    news.holder = HostIncarnation(lead, "another life")
+    other.lease_registry.update(news, "peer")
+    assert not other.failure_detector.is_lost(lead)
 
 
 OLDER = "zone store late losing kill pause primary cut lag deaf answers heal"
@@ -736,7 +747,7 @@
     host = await world.start_host(ref)
     await asyncio.sleep(2.0)
     # It hears of a version that nobody can give it, and goes on asking.
-    host.tables.heard(world.refs[0], 99)
+    host.tables.request_version(world.refs[0], 99)
     await asyncio.sleep(0.1)
     await host.close()
     world.hosts.pop("h09")
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,83 +1,103 @@
-"""Reads that no replica has a slot for."""
+"""Reads refused by overloaded replicas: waits at the longer queue, double runs."""
 
 import pytest
 
-from reedhook.connection.homerefusals import lost_transaction
-from reedhook.request.hop import Placed
-from reedhook.request.refusal import Reason, Refusal, not_run
-from reedhook.request.replicas import Replicas, Tried
-from reedhook.request.steering import Steering
-from reedhook.request.work import Begin, Work, WorkKind
-from reedhook.version.registry import TargetEntry
+from reedhook.connection.session_target_refusals import transaction_lost_refusal
+from reedhook.request.refusal import RefusalError, RefusalReason, not_run
+from reedhook.request.replica_reader import ReplicaReader, ReplicaReadResult
+from reedhook.request.session_router import SessionRouter
+from reedhook.request.session_statement import (
+    SessionStatement,
+    SessionStatementKind,
+    TransactionMode,
+)
+from reedhook.request.statement_forwarder import LocatedResult
+from reedhook.version.route_table import TargetAnnouncement
 
 from .fakes_clock import in_virtual_time
 
-CROWDED = TargetEntry("m2", "db", "10.0.0.2:1", "z2", False, False)
+OVERLOADED_REPLICA = TargetAnnouncement("m2", "db", "10.0.0.2:1", "z2", False, False)
 
 
-class Crowded(Replicas):
-    """Keep which reads came back to a crowded replica."""
+class RecordingReplicaReader(ReplicaReader):
+    """Record the replicas at which reads are run."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.tried: list[str] = []
 
-    async def at_replica(
-        self, entry: TargetEntry, work: Work, deadline: float
-    ) -> Tried:
-        self.asked.append(entry.target)
-        assert work.patience is None
-        return Tried()
+    async def run_at_replica(
+        self, entry: TargetAnnouncement, statement: SessionStatement, deadline: float
+    ) -> ReplicaReadResult:
+        self.tried.append(entry.target)
+        assert statement.wait_limit_seconds is None
+        return ReplicaReadResult()
 
 
-class Refusing(Steering):
-    """Find each read refused at the primary."""
+class RefusingRouter(SessionRouter):
+    """Refuse each statement at the primary."""
 
-    def __init__(self, refusals: list[Refusal]) -> None:
-        self.replicas = Crowded()
+    def __init__(self, refusals: list[RefusalError]) -> None:
+        self.replica_reader = RecordingReplicaReader()
         self.refusals = refusals
 
-    async def at_primary(self, work: Work, deadline: float) -> Placed:
+    async def run_at_primary(
+        self, statement: SessionStatement, deadline: float
+    ) -> LocatedResult:
         raise self.refusals.pop(0)
 
 
-def read() -> Work:
-    """Return the first statement of a transaction that only reads."""
-    work = Work(
-        "db", "", "s", {}, "t", Begin.READ, None, WorkKind.READ, "r1", "READ a", 0.8
+def make_read() -> SessionStatement:
+    """Return the first statement of a read-only transaction."""
+    statement = SessionStatement(
+        "db",
+        "",
+        "s",
+        {},
+        "t",
+        TransactionMode.READ,
+        None,
+        SessionStatementKind.READ,
+        "r1",
+        "READ a",
+        0.8,
     )
-    work.patience = 0.02
-    return work
+    statement.wait_limit_seconds = 0.02
+    return statement
 
 
-def overloaded(wait_ms: int) -> Refusal:
-    """Return the refusal of a target whose slots are taken."""
-    return not_run(Reason.OVERLOADED, "no slot", wait_ms)
+def overloaded(wait_ms: int) -> RefusalError:
+    """Return the refusal of a target without a free slot."""
+    return not_run(RefusalReason.OVERLOADED, "no slot", wait_ms)
 
 
 @pytest.mark.parametrize(
-    "first, asked",
+    "first, tried",
     [
         (overloaded(90), ["m2"]),
         (overloaded(60), []),
-        (not_run(Reason.NO_PRIMARY, "none"), ["m2"]),
+        (not_run(RefusalReason.NO_PRIMARY, "none"), ["m2"]),
     ],
     ids=["replica sooner", "primary sooner", "no primary"],
 )
 @in_virtual_time
-async def test_a_read_waits_where_the_wait_is_least(
-    first: Refusal, asked: list[str]
+async def test_read_waits_at_target_with_shortest_wait(
+    first: RefusalError, tried: list[str]
 ) -> None:
-    steering = Refusing([first, overloaded(90)])
-    with pytest.raises(Refusal):
-        await steering.least_crowded(read(), Tried(None, CROWDED, 0.08), 1.0)
-    assert steering.replicas.asked == asked  # type: ignore[attr-defined]
+    router = RefusingRouter([first, overloaded(90)])
+    with pytest.raises(RefusalError):
+        await router.run_at_shortest_wait(
+            make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
+        )
+    assert router.replica_reader.tried == tried  # type: ignore[attr-defined]
 
 
 @in_virtual_time
-async def test_what_was_sent_in_a_transaction_runs_nowhere_else() -> None:
-    """On a second connection it would run outside its transaction."""
-    steering = Refusing([lost_transaction()])
-    with pytest.raises(Refusal) as caught:
-        await steering.least_crowded(read(), Tried(None, CROWDED, 0.08), 1.0)
-    assert caught.value.reason is Reason.TRANSACTION_LOST
-    assert steering.replicas.asked == []  # type: ignore[attr-defined]
+async def test_lost_transaction_is_not_run_elsewhere() -> None:
+    """On another connection it would run outside its transaction."""
+    router = RefusingRouter([transaction_lost_refusal()])
+    with pytest.raises(RefusalError) as caught:
+        await router.run_at_shortest_wait(
+            make_read(), ReplicaReadResult(None, OVERLOADED_REPLICA, 0.08), 1.0
+        )
+    assert caught.value.reason is RefusalReason.TRANSACTION_LOST
+    assert router.replica_reader.tried == []  # type: ignore[attr-defined]
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reedhook.connection.member import Fault
+from reedhook.connection.session_target import StatementFault
 from reedhook.request.position import Position
 from reedhook.wire import encode
 from reedhook_standins.database import DatabaseMember
@@ -125,18 +125,18 @@
     await traffic(world, 2.0, 6)
     await asyncio.sleep(0.5)
     host = world.leader()
-    promotion = host.leads.held["db"].promotion
+    promotion = host.primary_leases.held["db"].promotion
     ordered: list[str] = []
     chosen: list[str] = []
-    order = promotion.duty.order
+    order = promotion.coordinator.order
 
     async def late_order(service: str, target: str) -> object:
         ordered.append(target)
         return await order(service, target)
 
-    decide = promotion.decide
+    decide = promotion.decide_successor
 
-    async def decide_and_lose(*arguments: object) -> bool:
+    async def lose_it(*arguments: object) -> bool:
         found = await decide(*arguments)  # type: ignore[arg-type]
         if found and not chosen:
             chosen.append(promotion.claim.record.successor)
@@ -144,8 +144,8 @@
             await asyncio.sleep(0.7)
         return found
 
-    promotion.duty.order = late_order  # type: ignore[assignment, method-assign]
-    promotion.decide = decide_and_lose  # type: ignore[assignment, method-assign]
+    promotion.coordinator.order = late_order  # type: ignore[assignment, method-assign]
+    promotion.decide_successor = lose_it  # type: ignore[assignment, method-assign]
     world.group.primary.down = True
     caller = await world.caller("h00", "tickets")
     await first_success(caller, 20.0)
@@ -181,17 +181,21 @@
     await traffic(world, 2.0, 8)
     member = replicas(world)[0]
     target = member.entry.target
-    host = next(one for one in world.hosts.values() if target in one.desk.homes)
-    old = host.desk.homes[target]
-    seen = host.replicas.sightings("db").target(target)
+    host = next(
+        one
+        for one in world.hosts.values()
+        if target in one.statement_server.replica_homes
+    )
+    old = host.statement_server.replica_homes[target]
+    seen = host.replicas.observations("db").target(target)
     seen.position = Position(9, 9)
     member.deaf = True
     await start_again(world, member)
     await asyncio.sleep(0.8)
-    assert host.replicas.sightings("db").target(target).position is None
+    assert host.replicas.observations("db").target(target).position is None
     await traffic(world, 3.0, 9)
-    assert old.lanes.closed
-    assert host.desk.homes[target] is not old
+    assert old.connections.closed
+    assert host.statement_server.replica_homes[target] is not old
 
 
 @using(a_world, run_virtual)
@@ -210,4 +214,4 @@
     assert len(callers) > 100
     caller = await world.caller("h00", "tickets")
     reply = await caller.write()
-    assert reply.refusal is None and reply.fault is Fault.NONE
+    assert reply.refusal is None and reply.fault is StatementFault.NONE
