--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -18,7 +18,7 @@
 from reedhook_standins.demo import run_day
 from reedhook_standins.deployment import Deployment
 from reedhook_standins.group import GroupStandin
-from reedhook_standins.outcome import Outcome
+from reedhook_standins.outcome import DayReport
 
 SECONDS: Final = 24.0
 SEED: Final = 1
@@ -51,7 +51,7 @@
     }
 
 
-def gap_seconds(outcome: Outcome) -> Iterator[float]:
+def gap_seconds(outcome: DayReport) -> Iterator[float]:
     """Return the gaps after which writes resumed, in seconds."""
     for gap in outcome.gaps:
         if gap.to_first_write is not None:
--- a/bench/gap.py
+++ b/bench/gap.py
@@ -33,7 +33,7 @@
 from reedhook.wire import Json
 from reedhook_standins.caller import GaveUp, WriteOrder
 from reedhook_standins.deployment import Deployment
-from reedhook_standins.history import Attempt, History
+from reedhook_standins.history import History, WriteAttempt
 from reedhook_standins.workload import DAYS, PATIENCE_S, Day, Table
 from reedhook_standins.world import World
 
@@ -231,7 +231,7 @@
     }
 
 
-def gap(acks: Iterable[Attempt], loss: Loss) -> float:
+def gap(acks: Iterable[WriteAttempt], loss: Loss) -> float:
     """Return milliseconds to the first acknowledged write sent after a loss."""
     ack_times = [ack.ended for ack in acks if ack.group == loss.group]
     sent = [
@@ -240,7 +240,7 @@
     return 1000 * (min(sent, default=max(ack_times)) - loss.at)
 
 
-def caller_waits(acks: Iterable[Attempt], loss: Loss) -> list[float]:
+def caller_waits(acks: Iterable[WriteAttempt], loss: Loss) -> list[float]:
     """Return milliseconds from a loss to each caller's next acknowledgement.
 
     Acknowledgements by the lost primary itself are excluded: the answer must be of a
--- a/bench/hop.py
+++ b/bench/hop.py
@@ -23,7 +23,7 @@
 from reedhook.version.document import ConfigurationDocuments
 from reedhook.wire import Json
 from reedhook_standins.deployment import Deployment, credential
-from reedhook_standins.log import Change
+from reedhook_standins.log import LoggedStatement
 from reedhook_standins.platform import Platform
 from reedhook_standins.workload import PlantDay
 from reedhook_standins.world import OPERATOR, free_addresses, host_settings
@@ -241,7 +241,7 @@
         member.statement_time = 0.0
     group = next(iter(platform.groups.values()))
     for table in PlantDay.tables:
-        group.primary.state.write(Change(table.create, []), None)
+        group.primary.state.write(LoggedStatement(table.create, []), None)
     return {
         "target": group.primary.address,
         "group": group.name,
--- a/src/reedhook/connection/admission_queue.py
+++ b/src/reedhook/connection/admission_queue.py
@@ -89,7 +89,7 @@
     """Track one statement from its arrival in the queue to its release.
 
     :ivar expected_seconds: expected duration at the target.
-    :ivar arrived: time of arrival, by `Clock.monotonic`.
+    :ivar arrived_at: time of arrival, by `Clock.monotonic`.
     :ivar granted: resolved on admission; fails with the refusal otherwise.
     :ivar in_flight: whether it counts towards the limit of the target.
     """
@@ -97,7 +97,7 @@
     __slots__ = (
         "request",
         "expected_seconds",
-        "arrived",
+        "arrived_at",
         "granted",
         "timer",
         "in_flight",
@@ -108,7 +108,7 @@
     ) -> None:
         self.request = request
         self.expected_seconds = expected_seconds
-        self.arrived = arrived
+        self.arrived_at = arrived
         self.granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.timer: asyncio.TimerHandle | None = None
         self.in_flight = False
@@ -125,9 +125,9 @@
         expected duration, which lets the most callers meet their soft deadlines.
         """
         if self.request.in_transaction:
-            return 0, 0, self.arrived, 0.0
+            return 0, 0, self.arrived_at, 0.0
         if self.is_late(now):
-            return 2, 0, self.arrived, 0.0
+            return 2, 0, self.arrived_at, 0.0
         return (
             1,
             self.request.priority,
@@ -142,35 +142,37 @@
     Only statements that started before their soft deadlines are counted.
 
     :ivar priority: priority of the newest statement.
-    :ivar work: expected duration of the newest statement, in seconds.
-    :ivar share: the share at time `at`, from which it decays.
+    :ivar expected_seconds: expected duration of the newest statement, in seconds.
+    :ivar slot_fraction: the share at time `at`, from which it decays.
     """
 
-    __slots__ = ("priority", "work", "share", "at")
+    __slots__ = ("priority", "expected_seconds", "slot_fraction", "updated_at")
 
     def __init__(self) -> None:
         self.priority = 0
-        self.work = 0.0
-        self.share = 0.0
-        self.at = 0.0
+        self.expected_seconds = 0.0
+        self.slot_fraction = 0.0
+        self.updated_at = 0.0
 
     def add(self, admission: Admission, slots: int, now: float) -> None:
         """Count a statement that is sent to the target."""
-        self.share = (
+        self.slot_fraction = (
             self.decayed_slot_fraction(now)
             + admission.expected_seconds / slots / LOAD_DECAY_SECONDS
         )
-        self.at = now
+        self.updated_at = now
         self.priority = admission.request.priority
-        self.work = admission.expected_seconds
+        self.expected_seconds = admission.expected_seconds
 
     def decayed_slot_fraction(self, now: float) -> float:
         """Return the share of the slots, decayed to `now`."""
-        return self.share * math.exp((self.at - now) / LOAD_DECAY_SECONDS)
+        return self.slot_fraction * math.exp(
+            (self.updated_at - now) / LOAD_DECAY_SECONDS
+        )
 
     def goes_before(self, admission: Admission) -> bool:
         """Return whether the route's statements rank before one that is not late."""
-        return (self.priority, self.work) < (
+        return (self.priority, self.expected_seconds) < (
             admission.request.priority,
             admission.expected_seconds,
         )
@@ -236,7 +238,7 @@
         try:
             await admission.granted
         except asyncio.CancelledError:
-            self.cancelled(admission)
+            self.handle_cancellation(admission)
             raise
         return admission
 
@@ -431,7 +433,7 @@
             admission.timer.cancel()
         self.waiting.remove(admission)
 
-    def cancelled(self, admission: Admission) -> None:
+    def handle_cancellation(self, admission: Admission) -> None:
         """Release the place of a statement whose caller was cancelled."""
         if admission in self.waiting:
             self.remove_waiting(admission)
--- a/src/reedhook/connection/channel.py
+++ b/src/reedhook/connection/channel.py
@@ -49,7 +49,7 @@
     :ivar usable: whether another request may be sent.
     :ivar limit: maximum size of the next body in bytes; None for no limit.
     :ivar begun: loop time at which the first byte of the response arrived.
-    :ivar progressed: called for each piece of a response.
+    :ivar on_progress: called for each piece of a response.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self.parts: list[bytes] = []
         self.size = 0
         self.begun: float | None = None
-        self.progressed: Callable[[], None] = ignore_progress
+        self.on_progress: Callable[[], None] = ignore_progress
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport; called by the loop."""
@@ -78,7 +78,7 @@
             return
         if self.begun is None:
             self.begun = asyncio.get_running_loop().time()
-        self.progressed()
+        self.on_progress()
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade) as error:
@@ -193,7 +193,7 @@
             transport.write(self.head(method, path, len(body)) + body)
             async with asyncio.timeout(timeout) as deadline:
                 if progress_timeout:
-                    self.protocol.progressed = lambda: extend_deadline(
+                    self.protocol.on_progress = lambda: extend_deadline(
                         deadline, progress_timeout
                     )
                 return await waiting
@@ -205,7 +205,7 @@
             raise
         finally:
             self.busy = False
-            self.protocol.progressed = ignore_progress
+            self.protocol.on_progress = ignore_progress
 
     def head(self, method: str, path: str, length: int) -> bytes:
         """Return the head of a request."""
--- a/src/reedhook/connection/session.py
+++ b/src/reedhook/connection/session.py
@@ -118,7 +118,7 @@
         name: str,
         database: str,
         key_digest: str,
-        steering: SessionRouter,
+        router: SessionRouter,
         announcements: Announcements,
         authorization: Authorizer,
         clock: Clock,
@@ -130,7 +130,7 @@
         self.key_digest = key_digest
         self.workspace = ""
         self.authorization = authorization
-        self.steering = steering
+        self.router = router
         self.announcements = announcements
         self.clock = clock
         self.decisions = decisions
@@ -154,7 +154,7 @@
         try:
             reply = await self.answer(id, command)
         except RefusalError as refusal:
-            reply = self.refused(refusal)
+            reply = self.reply_from_refusal(refusal)
         finally:
             self.busy = False
         self.start_idle_timer()
@@ -183,7 +183,7 @@
             self.metrics.increment(f"failed.{failure}")
         record = None
         if self.route is not None:
-            record = self.steering.lease_registry.get(self.route.service)
+            record = self.router.lease_registry.get(self.route.service)
         self.decisions.record(
             "failed" if failure else "slow",
             id=id,
@@ -351,11 +351,11 @@
         route = self.route
         work = self.build_work(id, command, kind, route)
         is_read = kind is SessionStatementKind.READ
-        located = await self.steering.run(route, work, self.committed_position, is_read)
+        located = await self.router.run(route, work, self.committed_position, is_read)
         reply = located.result.reply
         if kind is SessionStatementKind.WRITE and reply.fault is StatementFault.NONE:
             self.record_commit(reply)
-        return self.replied(reply)
+        return self.reply_from_target(reply)
 
     async def run_step(
         self,
@@ -378,15 +378,15 @@
                 if transaction.reads_only
                 else TransactionMode.WRITE
             )
-            located = await self.steering.run(
+            located = await self.router.run(
                 self.route, work, self.committed_position, transaction.reads_only
             )
             transaction.location = located.location
             reply = located.result.reply
         else:
             work.target = transaction.location.target
-            answer = await self.steering.forwarder.run_at(transaction.location, work)
-            self.steering.record_proof(self.route.service, answer)
+            answer = await self.router.forwarder.run_at(transaction.location, work)
+            self.router.record_proof(self.route.service, answer)
             reply = answer.reply
         transaction.elapsed_seconds += self.clock.monotonic() - started
         if (
@@ -394,7 +394,7 @@
             or kind is SessionStatementKind.COMMIT
         ):
             return self.finish_step(kind, transaction, reply)
-        return self.replied(reply)
+        return self.reply_from_target(reply)
 
     def finish_step(
         self,
@@ -407,10 +407,10 @@
             if reply.fault is StatementFault.NONE:
                 self.record_commit(reply)
             self.end_transaction()
-            return self.replied(reply)
+            return self.reply_from_target(reply)
         self.end_transaction()
         self.state = SessionState.FAILED
-        return self.replied(reply)
+        return self.reply_from_target(reply)
 
     def build_work(
         self, id: str, command: SessionCommand, kind: SessionStatementKind, route: Route
@@ -439,7 +439,7 @@
         if reply.position is not None:
             self.committed_position = reply.position
 
-    def replied(self, reply: SessionTargetReply) -> SessionReply:
+    def reply_from_target(self, reply: SessionTargetReply) -> SessionReply:
         """Convert a target's reply to the session's reply."""
         return SessionReply(
             self.state,
@@ -451,7 +451,7 @@
             reply.position,
         )
 
-    def refused(self, refusal: RefusalError) -> SessionReply:
+    def reply_from_refusal(self, refusal: RefusalError) -> SessionReply:
         """Convert a refusal to a reply, and fail or end the transaction."""
         ends = refusal.reason in (
             RefusalReason.UNKNOWN_GROUP,
@@ -474,7 +474,7 @@
             transaction.timer.cancel()
         if transaction.location is None or self.route is None:
             return
-        work = self.steering.forwarder.roll_back(
+        work = self.router.forwarder.roll_back(
             self.route.service, transaction.location, transaction.name
         )
         self.background.spawn(work)
--- a/src/reedhook/connection/statement_runner.py
+++ b/src/reedhook/connection/statement_runner.py
@@ -64,7 +64,7 @@
     __slots__ = (
         "health",
         "timeouts",
-        "stall",
+        "stalled_writes",
         "clock",
         "on_connection_dropped",
         "running",
@@ -74,13 +74,13 @@
         self,
         health: TargetFailureDetector,
         timeouts: ResponseTimeouts,
-        stall: StalledWriteDetector,
+        stalled_writes: StalledWriteDetector,
         clock: Clock,
         on_connection_dropped: Callable[[], None],
     ) -> None:
         self.health = health
         self.timeouts = timeouts
-        self.stall = stall
+        self.stalled_writes = stalled_writes
         self.clock = clock
         self.on_connection_dropped = on_connection_dropped
         self.running: set[InFlightStatement] = set()
@@ -132,11 +132,11 @@
         if kind not in (StatementKind.WRITE, StatementKind.COMMIT):
             return
         if answered:
-            self.stall.record_answered()
+            self.stalled_writes.record_answered()
         elif self.health.unreachable_since is None:
-            self.stall.record_unanswered(call.began)
+            self.stalled_writes.record_unanswered(call.began)
         else:
-            self.stall.reset()
+            self.stalled_writes.reset()
 
     def drop_all(self) -> None:
         """Stop waiting for the replies to all statements in progress."""
--- a/src/reedhook/connection/target_failure_detector.py
+++ b/src/reedhook/connection/target_failure_detector.py
@@ -103,7 +103,7 @@
         if alive:
             self.record_response()
         else:
-            self.failed(started)
+            self.mark_unreachable(started)
         return alive
 
     async def run_probes(self) -> bool:
@@ -152,7 +152,7 @@
         self.on_state(state, sent_at)
         return True
 
-    def failed(self, began: float) -> None:
+    def mark_unreachable(self, began: float) -> None:
         """Mark the target as unreachable since `began`."""
         if self.unreachable_since is None:
             self.unreachable_since = began
--- a/src/reedhook/connection/transaction_runner.py
+++ b/src/reedhook/connection/transaction_runner.py
@@ -262,12 +262,12 @@
             await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def leave(
-        self, transaction: PinnedTransaction, goes_on: bool, ending: str | None
+        self, transaction: PinnedTransaction, stays_open: bool, ending: str | None
     ) -> None:
         """Start the idle timer after a statement, or end the transaction."""
         if not self.registry.holds(transaction):
             return
-        if goes_on:
+        if stays_open:
             self.start_idle_timer(transaction)
             return
         self.registry.remove(transaction, ending)
--- a/src/reedhook/platform/assembly.py
+++ b/src/reedhook/platform/assembly.py
@@ -93,7 +93,7 @@
         decisions = self.host.decisions
         try:
             settings = settings_file.load(self.path)
-        except (OSError, settings_file.SettingsError) as error:
+        except (OSError, settings_file.SettingsFileError) as error:
             decisions.record("reload_refused", error=str(error))
             return
         self.store.change_address(settings.store)
--- a/src/reedhook/platform/settings.py
+++ b/src/reedhook/platform/settings.py
@@ -19,7 +19,7 @@
 """Used if the file does not state the machine's limits."""
 
 
-class SettingsError(ValueError):
+class SettingsFileError(ValueError):
     """Report an invalid settings file, with the line if there is one."""
 
 
@@ -31,7 +31,7 @@
     """
     path = named or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsError(f"the variable {SETTINGS_VARIABLE} is not set")
+        raise SettingsFileError(f"the variable {SETTINGS_VARIABLE} is not set")
     return Path(path)
 
 
@@ -108,7 +108,7 @@
             continue
         name, separator, value = line.partition("=")
         if not separator:
-            raise SettingsError(f"line {line_number}: expected name=value")
+            raise SettingsFileError(f"line {line_number}: expected name=value")
         fields[name.strip()] = SettingsLine(line_number, value.strip())
     return fields
 
@@ -120,9 +120,9 @@
     """
     line = fields.get(name)
     if line is None:
-        raise SettingsError(f"the field {name} is missing")
+        raise SettingsFileError(f"the field {name} is missing")
     if not line.value:
-        raise SettingsError(f"line {line.number}: {name} is empty")
+        raise SettingsFileError(f"line {line.number}: {name} is empty")
     return line.value
 
 
@@ -136,7 +136,7 @@
         split_address(value)
     except ValueError as error:
         line_number = fields[name].number
-        raise SettingsError(f"line {line_number}: {name}: {error}") from None
+        raise SettingsFileError(f"line {line_number}: {name}: {error}") from None
     return value
 
 
@@ -152,7 +152,7 @@
         parsed = 0.0
     if parsed <= 0.0:
         line_number = fields[name].number
-        raise SettingsError(f"line {line_number}: {name} must be a number above 0")
+        raise SettingsFileError(f"line {line_number}: {name} must be a number above 0")
     return parsed
 
 
@@ -168,7 +168,7 @@
     first, _, last = value.partition(",")
     if not (first.isdigit() and last.isdigit()) or int(first) >= int(last):
         line_number = fields[name].number
-        raise SettingsError(
+        raise SettingsFileError(
             f"line {line_number}: {name} must be two ports in ascending order"
         )
     return int(first), int(last)
--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -172,15 +172,15 @@
 class StoreAnswer(Record):
     """Hold the store's response to a request.
 
-    :param arrival: seconds from the first byte to the last.
+    :param transfer_seconds: seconds from the first byte to the last.
     """
 
-    __slots__ = ("status", "message", "arrival")
+    __slots__ = ("status", "message", "transfer_seconds")
 
-    def __init__(self, status: int, message: Json, arrival: float) -> None:
+    def __init__(self, status: int, message: Json, transfer_seconds: float) -> None:
         self.status = status
         self.message = message
-        self.arrival = arrival
+        self.transfer_seconds = transfer_seconds
 
 
 def read_body(answer: ChannelResponse) -> Json:
@@ -211,7 +211,7 @@
     message = require_ok(answer)
     try:
         items = [read_item(item) for item in message[name]]
-        return Items(items, int(message["at"]), answer.arrival)
+        return Items(items, int(message["at"]), answer.transfer_seconds)
     except (LookupError, TypeError, ValueError) as error:
         raise StoreRejectedError(f"malformed response: {error!r}") from error
 
--- a/src/reedhook/process/configuring/configuration_relay.py
+++ b/src/reedhook/process/configuring/configuration_relay.py
@@ -101,7 +101,7 @@
                     HEAD_KEY, self.revision, WATCH_HOLD_SECONDS
                 )
             if entry is None:
-                self.note_reachable(True)
+                self.set_reachable(True)
                 return True
             # Without a pause, a stale response would cause a busy loop.
             progress = entry.revision > self.revision
@@ -134,7 +134,7 @@
         :raises SnapshotError: if a part is missing or damaged.
         """
         self.store_read = self.clock.monotonic()
-        self.note_reachable(True)
+        self.set_reachable(True)
         self.store_version = stored.version
         if stored.manifest is not None and self.manager.is_wanted(stored.version):
             snapshot = await self.archive.read_snapshot(
@@ -146,9 +146,9 @@
     def record_failure(self, error: Exception) -> None:
         """Record a failed store request."""
         self.manager.metrics.increment("configuration.store_failed")
-        self.note_reachable(False, str(error))
+        self.set_reachable(False, str(error))
 
-    def note_reachable(self, reachable: bool, detail: str = "") -> None:
+    def set_reachable(self, reachable: bool, detail: str = "") -> None:
         """Record a change of the store's reachability."""
         if reachable == self.reachable:
             return
--- a/src/reedhook/process/configuring/snapshot_repository.py
+++ b/src/reedhook/process/configuring/snapshot_repository.py
@@ -167,9 +167,9 @@
             try:
                 decompress_part(part, entry.value)
             except SnapshotError:
-                await self.mend_part(key, packed, entry.revision)
+                await self.repair_part(key, packed, entry.revision)
 
-    async def mend_part(self, key: str, packed: bytes, revision: int) -> None:
+    async def repair_part(self, key: str, packed: bytes, revision: int) -> None:
         """Replace a damaged part."""
         try:
             await self.store.put(key, packed, revision, CALL_TIMEOUT_SECONDS)
--- a/src/reedhook/process/daemon.py
+++ b/src/reedhook/process/daemon.py
@@ -71,12 +71,12 @@
 def run_on_platform(named: str | None, check: bool) -> int:
     """Run a host with the platform's settings file; return the exit code."""
     from ..platform.assembly import create_process
-    from ..platform.settings import SettingsError, load, settings_path
+    from ..platform.settings import SettingsFileError, load, settings_path
 
     try:
         path = settings_path(named)
         settings = load(path)
-    except (OSError, SettingsError) as error:
+    except (OSError, SettingsFileError) as error:
         print(f"reedhookd: {error}", file=sys.stderr)
         return DaemonExitCode.USAGE
     if check:
@@ -104,7 +104,7 @@
 def run_bare(run: HostRun) -> None:
     """Run a host on a uvloop event loop until a stop signal arrives."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(run.whole())
+        runner.run(run.run())
 
 
 def run_with_exit_code(run: HostRun, way: Callable[[HostRun], None]) -> int:
--- a/src/reedhook/process/discovery/host_capacities.py
+++ b/src/reedhook/process/discovery/host_capacities.py
@@ -27,12 +27,12 @@
     where no other host can.
 
     :ivar known: capacities in cores, by host ID.
-    :ivar most: the highest of them.
+    :ivar highest: the highest of them.
     """
 
     def __init__(self, announcements: Announcements) -> None:
         self.known: dict[str, float] = {}
-        self.most = 0.0
+        self.highest = 0.0
         announcements.on_host_item.append(self.handle_item)
 
     def handle_item(self, item: Item) -> None:
@@ -48,8 +48,8 @@
             # Without a valid capacity the host stays unknown.
             return
         self.known[item.key[len(HOSTS_KEY_PREFIX) :]] = announced
-        self.most = max(self.known.values())
+        self.highest = max(self.known.values())
 
     def is_weak(self, host: str) -> bool:
         """Return whether a host has less than half of the highest capacity."""
-        return self.known.get(host, self.most) < WEAK_FRACTION * self.most
+        return self.known.get(host, self.highest) < WEAK_FRACTION * self.highest
--- a/src/reedhook/process/fleet/heartbeat.py
+++ b/src/reedhook/process/fleet/heartbeat.py
@@ -24,9 +24,9 @@
 from .membership_record import HostRecord, MembershipState
 from .ring import watched_hosts
 
-FAR_EVERY: Final = 4
-DEAD_EVERY: Final = 2
-SEED_EVERY: Final = 5
+OTHER_ZONE_PROBE_ROUNDS: Final = 4
+DEAD_HOST_PROBE_ROUNDS: Final = 2
+SEED_PROBE_ROUNDS: Final = 5
 
 log = logbook.Logger("heartbeat")
 
@@ -76,7 +76,7 @@
         )
         self.group: asyncio.TaskGroup | None = None
         self.watchers: dict[str, asyncio.Task[None]] = {}
-        self.asked_now: set[str] = set()
+        self.probes_in_progress: set[str] = set()
         self.gossip_sender = GossipSender(
             self.me, self.table, self.probe, self.health, clock, rng
         )
@@ -163,9 +163,9 @@
         connection on which a request timed out. Indirect probes run concurrently.
         """
         host = record.ref.host
-        if host in self.asked_now:
+        if host in self.probes_in_progress:
             return True
-        self.asked_now.add(host)
+        self.probes_in_progress.add(host)
         started = self.clock.monotonic()
         try:
             if await self.probe(record.ref):
@@ -176,7 +176,7 @@
             ]
             answers = await asyncio.gather(*probes)
         finally:
-            self.asked_now.discard(host)
+            self.probes_in_progress.discard(host)
         if any(answers):
             return True
         if self.resumed_at > started or self.heard_since(host, started):
@@ -223,7 +223,7 @@
         record = self.table.get(host)
         if self.group is None or record is None or not record.live:
             return
-        if host not in self.asked_now and host != self.me.host:
+        if host not in self.probes_in_progress and host != self.me.host:
             self.group.create_task(self.run_requested_probe(record))
 
     async def run_requested_probe(self, record: HostRecord) -> None:
@@ -326,11 +326,11 @@
             near = self.next_near()
             if near is not None:
                 await self.verify_liveness(near)
-            if near is None or self.rounds % FAR_EVERY == 0:
+            if near is None or self.rounds % OTHER_ZONE_PROBE_ROUNDS == 0:
                 await self.probe_other_zone()
-            if near is None or self.rounds % DEAD_EVERY == 0:
+            if near is None or self.rounds % DEAD_HOST_PROBE_ROUNDS == 0:
                 await self.probe_dead_host()
-            if self.rounds % SEED_EVERY == 0:
+            if self.rounds % SEED_PROBE_ROUNDS == 0:
                 await self.discovery.probe_unknown_address()
 
     def next_near(self) -> HostRecord | None:
@@ -384,7 +384,7 @@
                 request,
                 5 * self.timing.answer_timeout * self.health.timeout_factor,
             )
-            return self.membership.take_pulled(answer)
+            return self.membership.merge_pulled(answer)
         except (PeerError, RefusalError, WireError):
             return 0
 
--- a/src/reedhook/process/fleet/local_health.py
+++ b/src/reedhook/process/fleet/local_health.py
@@ -49,7 +49,7 @@
         self.clock = clock
         self.level = 0
         self.changed = clock.monotonic()
-        self.last: dict[str, ProbeResult] = {}
+        self.results: dict[str, ProbeResult] = {}
 
     @property
     def timeout_factor(self) -> int:
@@ -74,10 +74,10 @@
 
     def record_result(self, ref: HostRef, took: float) -> None:
         """Store the result of a probe; keep the newest `MAX_RESULTS`."""
-        self.last.pop(ref.host, None)
-        self.last[ref.host] = ProbeResult(self.clock.monotonic(), ref.zone, took)
-        if len(self.last) > MAX_RESULTS:
-            del self.last[next(iter(self.last))]
+        self.results.pop(ref.host, None)
+        self.results[ref.host] = ProbeResult(self.clock.monotonic(), ref.zone, took)
+        if len(self.results) > MAX_RESULTS:
+            del self.results[next(iter(self.results))]
 
     def mostly_later_than(self, limit: float) -> bool:
         """Return whether late results outnumber timely ones by at least two.
@@ -87,7 +87,7 @@
         seconds.
         """
         since = self.clock.monotonic() - RESULT_WINDOW_SECONDS
-        recent = [result for result in self.last.values() if result.at >= since]
+        recent = [result for result in self.results.values() if result.at >= since]
         near = [result.took < limit for result in recent if result.zone == self.zone]
         far = {result.zone for result in recent if result.zone != self.zone}
         responsive = {result.zone for result in recent if result.took < limit} & far
--- a/src/reedhook/process/fleet/membership.py
+++ b/src/reedhook/process/fleet/membership.py
@@ -242,7 +242,7 @@
         self.own_record = HostRecord(self.me, incarnation, state, penalty)
         self.table.apply(self.own_record, self.clock.monotonic())
 
-    def farewell(self) -> HostRecord:
+    def leaving_record(self) -> HostRecord:
         """Return the record that announces that this host leaves."""
         if self.own_record.state is MembershipState.LEAVING:
             return self.own_record
@@ -255,7 +255,7 @@
 
     def leave(self) -> None:
         """Announce that this host is leaving and takes no new work."""
-        farewell = self.farewell()
+        farewell = self.leaving_record()
         if farewell.overrides(self.own_record):
             self.announce(farewell.incarnation, farewell.state)
 
@@ -337,7 +337,7 @@
             "all": len(records) <= MAX_PULLED_RECORDS,
         }
 
-    def take_pulled(self, message: Json) -> int:
+    def merge_pulled(self, message: Json) -> int:
         """Merge a pull response; return how many records were applied.
 
         Records that are newer here are queued for gossip to the peer.
--- a/src/reedhook/process/groups/durability_tracker.py
+++ b/src/reedhook/process/groups/durability_tracker.py
@@ -45,13 +45,13 @@
     :ivar prune_at: number of waiters from which abandoned ones are dropped.
     """
 
-    __slots__ = ("term", "watermark", "waiters", "order", "prune_at")
+    __slots__ = ("term", "watermark", "waiters", "sequence", "prune_at")
 
     def __init__(self) -> None:
         self.term = 0
         self.watermark = ORIGIN
         self.waiters: list[tuple[Position, int, DurabilityWaiter]] = []
-        self.order = count()
+        self.sequence = count()
         self.prune_at = WAITER_PRUNE_LIMIT
 
     def is_durable(self, position: Position) -> bool:
@@ -117,7 +117,7 @@
             self.waiters = [entry for entry in self.waiters if not entry[2].done()]
             heapq.heapify(self.waiters)
             self.prune_at = max(WAITER_PRUNE_LIMIT, 2 * len(self.waiters))
-        heapq.heappush(self.waiters, (position, next(self.order), waiter))
+        heapq.heappush(self.waiters, (position, next(self.sequence), waiter))
 
 
 def resolve_waiter(waiter: DurabilityWaiter, durable: bool) -> None:
--- a/src/reedhook/process/groups/group_manager.py
+++ b/src/reedhook/process/groups/group_manager.py
@@ -127,8 +127,8 @@
         self.state_polling: asyncio.Task[None] | None = None
         self.pending_proofs = PendingProofs()
         self.leader_changed_at = 0.0
-        self.resumed = 0
-        self.leader_news = asyncio.Event()
+        self.last_durable_term = 0
+        self.leader_changed = asyncio.Event()
         self.isolation_detected = False
         self.last_report_at: dict[str, float] = {}
         self.last_view_sent_at: dict[str, float] = {}
@@ -486,7 +486,7 @@
         try:
             async with asyncio.timeout(hold):
                 while not self.knows_newer_leader(term, primary):
-                    await self.leader_news.wait()
+                    await self.leader_changed.wait()
         except TimeoutError:
             return
 
@@ -500,8 +500,8 @@
 
     def on_leader_change(self, term: int, primary: str) -> None:
         """Wake long polls and reset reporting after a change of leader."""
-        self.leader_news.set()
-        self.leader_news = asyncio.Event()
+        self.leader_changed.set()
+        self.leader_changed = asyncio.Event()
         self.leader_changed_at = self.clock.monotonic()
         self.reporter.reset()
         self.timeline.record(
@@ -510,9 +510,9 @@
 
     def on_watermark_advance(self, watermark: Position) -> None:
         """Record when the first entry of a new term becomes durable."""
-        if watermark.term <= self.resumed:
+        if watermark.term <= self.last_durable_term:
             return
-        previous_term, self.resumed = self.resumed, watermark.term
+        previous_term, self.last_durable_term = self.last_durable_term, watermark.term
         if self.local_leader() is None:
             return
         elapsed = self.clock.monotonic() - self.leader_changed_at
--- a/src/reedhook/process/groups/group_promotion_coordinator.py
+++ b/src/reedhook/process/groups/group_promotion_coordinator.py
@@ -278,7 +278,7 @@
             owner,
             preferred=former if cause is PromotionCause.FENCED else None,
             avoided=members_to_avoid(cause, former),
-            on_raised=self.raised,
+            on_raised=self.on_term_raised,
         )
 
     def next_term(self) -> int:
@@ -299,7 +299,7 @@
         own_index = local_indexes[0] if local_indexes else 0
         return lowest + (own_index - lowest) % len(members)
 
-    def raised(self, term: int, members: list[str]) -> None:
+    def on_term_raised(self, term: int, members: list[str]) -> None:
         """Record that a majority promised the term."""
         self.timeline.record(
             EventKind.TERM_RAISED,
--- a/src/reedhook/process/groups/leader_confirmation.py
+++ b/src/reedhook/process/groups/leader_confirmation.py
@@ -39,8 +39,8 @@
     :param current_leader: returns the leader to confirm, or None if unknown.
     :param on_confirmed: called with the sample of each successful round.
     :param timeout: seconds to wait for each member.
-    :ivar begun: the number of the last round that started.
-    :ivar ended: the number of the last round that ended.
+    :ivar started_round: the number of the last round that started.
+    :ivar ended_round: the number of the last round that ended.
     :ivar stalled: whether this process stalled during the last round, so that
         missing answers prove nothing.
     """
@@ -63,8 +63,8 @@
         self.clock = clock
         self.timeout = timeout
         self.stalled = False
-        self.begun = 0
-        self.ended = 0
+        self.started_round = 0
+        self.ended_round = 0
         self.requested_round = 0
         self.confirmed_round = 0
         self.confirmed_term = 0
@@ -74,7 +74,7 @@
 
     def request_round(self) -> int:
         """Return the number of a round that starts after this call."""
-        self.requested_round = self.begun + 1
+        self.requested_round = self.started_round + 1
         if self.running is None or self.running.done():
             self.running = asyncio.create_task(self.run())
         return self.requested_round
@@ -85,7 +85,7 @@
 
     async def wait_for_round(self, round_number: int) -> None:
         """Wait until round `round_number` has ended, successfully or not."""
-        if self.ended >= round_number:
+        if self.ended_round >= round_number:
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.waiters.append((round_number, waiter))
@@ -93,12 +93,12 @@
 
     async def run(self) -> None:
         """Run rounds until all requested ones have run."""
-        while self.requested_round > self.begun:
-            self.begun += 1
+        while self.requested_round > self.started_round:
+            self.started_round += 1
             try:
                 await self.run_round()
             finally:
-                self.ended = self.begun
+                self.ended_round = self.started_round
                 self.wake()
 
     def wake(self) -> None:
@@ -106,7 +106,7 @@
         waiting = self.waiters
         self.waiters = []
         for round_number, waiter in waiting:
-            if round_number > self.ended:
+            if round_number > self.ended_round:
                 self.waiters.append((round_number, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
@@ -128,7 +128,7 @@
             if is_leader_state(state, expected):
                 leader_state = state
             if leader_state is not None and agreed >= self.majority:
-                self.confirmed_round = self.begun
+                self.confirmed_round = self.started_round
                 self.confirmed_term = expected.term
                 self.on_confirmed(PrimarySample(leader_state.held, asked))
                 break
--- a/src/reedhook/process/groups/local_homes.py
+++ b/src/reedhook/process/groups/local_homes.py
@@ -108,7 +108,7 @@
         self.closing: dict[str, list[Home]] = {}
         self.closed: dict[str, Home] = {}
         self.closers: set[asyncio.Task[None]] = set()
-        self.former: dict[str, HostRef | None] = {}
+        self.other_home_hosts: dict[str, HostRef | None] = {}
         self.takeover_requests: dict[str, tuple[str, float]] = {}
         self.draining = False
         self.change_event = asyncio.Event()
@@ -241,7 +241,7 @@
             if home_host == self.me:
                 yield group, member
             else:
-                self.former[member.member_id] = home_host
+                self.other_home_hosts[member.member_id] = home_host
 
     def has_connection_share(self, group: Group, zone: str) -> bool:
         """Return whether a host outside `zone` may connect to a target there.
@@ -318,7 +318,7 @@
 
     def takeover_cause(self, member: str) -> str:
         """Return the cause for the timeline of a home that is opened."""
-        former_host = self.former.pop(member, None)
+        former_host = self.other_home_hosts.pop(member, None)
         if member in self.takeover_requests:
             return f"{self.takeover_requests[member][0]} is leaving"
         if former_host is None:
@@ -338,7 +338,7 @@
             held.release_at = now + RELEASE_DELAY_SECONDS
         if now < held.release_at:
             return False
-        new_host = self.former.get(member)
+        new_host = self.other_home_hosts.get(member)
         self.release(member, "home moved", to=new_host.host if new_host else None)
         return True
 
--- a/src/reedhook/process/groups/primary_prober.py
+++ b/src/reedhook/process/groups/primary_prober.py
@@ -48,7 +48,7 @@
         self.group = group
         self.directory = directory
         self.peers = peers
-        self.asking: set[asyncio.Task[PrimaryLiveness]] = set()
+        self.probe_tasks: set[asyncio.Task[PrimaryLiveness]] = set()
 
     async def probe_primary(self, primary: str) -> PrimaryLiveness:
         """Return the best result of any host."""
@@ -89,8 +89,8 @@
     ) -> "asyncio.Task[PrimaryLiveness]":
         """Probe through one host in a task that may outlive the check."""
         task = asyncio.create_task(self.probe_with_retry(primary, host, relay))
-        self.asking.add(task)
-        task.add_done_callback(self.asking.discard)
+        self.probe_tasks.add(task)
+        task.add_done_callback(self.probe_tasks.discard)
         return task
 
     async def probe_with_retry(
--- a/src/reedhook/process/groups/replica_reporter.py
+++ b/src/reedhook/process/groups/replica_reporter.py
@@ -162,7 +162,7 @@
     :param request_check: called when the primary may be lost.
     :ivar smallest_wanted_age: smallest age in seconds of recent bounded reads.
     :ivar want_until: local monotonic time in seconds at which that age expires.
-    :ivar turn: counter that alternates the receiver of reports.
+    :ivar receiver_index: counter that alternates the receiver of reports.
     """
 
     def __init__(
@@ -186,7 +186,7 @@
         self.send_permits: dict[str, asyncio.Semaphore] = {}
         self.smallest_wanted_age: float | None = None
         self.want_until = 0.0
-        self.turn = 0
+        self.receiver_index = 0
 
     def refresh(self) -> None:
         """Follow exactly the members whose home is on this host."""
@@ -378,8 +378,8 @@
             raise PeerError("no live host is known", sent=False)
         if self.contact.silence(self.clock.monotonic()) < HOME_SILENT_AFTER_SECONDS:
             return hosts[0]
-        self.turn += 1
-        return hosts[self.turn % len(hosts)]
+        self.receiver_index += 1
+        return hosts[self.receiver_index % len(hosts)]
 
     def zone(self, member: str) -> str:
         """Return the availability zone of `member`."""
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -174,7 +174,7 @@
 
     def make_requests(self) -> None:
         """Create what routes the statements of callers."""
-        self.dispatch = StatementDispatcher(
+        self.dispatcher = StatementDispatcher(
             self.executor, self.directory, self.peers, self.catalog, self.clock
         )
         self.views = GroupViewCache(
@@ -185,7 +185,7 @@
             self.group_routes.view,
         )
         self.router = Router(
-            self.dispatch,
+            self.dispatcher,
             self.views,
             ReplicaSelector(self.me.zone, self.random),
             self.clock,
@@ -196,7 +196,7 @@
             self.me,
             self.catalog,
             self.router,
-            self.dispatch,
+            self.dispatcher,
             self.token_secrets(),
             self.clock,
             self.metrics,
@@ -240,8 +240,8 @@
         self.fleet.register(self.routes)
         self.homes.on_change(self.group_managers.reconcile)
         self.listing.on_addresses = self.heartbeats.discovery.update_listed_addresses
-        self.membership.on_newer_configuration = self.heard_version
-        self.dispatch.on_host_lost = self.suspect_host
+        self.membership.on_newer_configuration = self.handle_peer_version
+        self.dispatcher.on_host_lost = self.suspect_host
         self.membership.on_leave_requested = self.start_drain
         self.configuration.on_change(self.apply_configuration)
 
@@ -313,7 +313,7 @@
         self.homes.apply(catalog)
         self.group_managers.apply_catalog(catalog)
 
-    def heard_version(self, peer: HostRef, version: int) -> None:
+    def handle_peer_version(self, peer: HostRef, version: int) -> None:
         """Handle a peer's announcement of a newer configuration version."""
         self.configuration.record_peer_version(version, peer)
 
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -53,8 +53,8 @@
         self.timeline = timeline
         self.clock = clock
         self.context = context
-        self.links: dict[str, ChannelPool] = {}
-        self.swept = 0.0
+        self.channel_pools: dict[str, ChannelPool] = {}
+        self.swept_at = 0.0
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         envelope = encode(
@@ -64,7 +64,7 @@
                 "body": body,
             }
         )
-        link = self.link(peer.address)
+        link = self.channel_pool(peer.address)
         try:
             answer = await link.exchange(
                 PATH_PREFIX + path, envelope, timeout, self.clock, MAX_PEER_BODY_BYTES
@@ -98,22 +98,22 @@
             detail = f"{peer.host} sent a malformed response, status {status}"
             raise PeerError(detail, sent=True) from None
 
-    def link(self, address: str) -> ChannelPool:
+    def channel_pool(self, address: str) -> ChannelPool:
         """Return the connection pool of `address`; sweep idle pools periodically."""
         now = self.clock.monotonic()
-        if now - self.swept >= SWEEP_INTERVAL:
+        if now - self.swept_at >= SWEEP_INTERVAL:
             self.sweep(now)
-        link = self.links.get(address)
+        link = self.channel_pools.get(address)
         if link is None:
             link = ChannelPool(address, self.headers, self.context)
-            self.links[address] = link
+            self.channel_pools[address] = link
         link.used = now
         return link
 
     def sweep(self, now: float) -> None:
         """Close idle channels and drop the pools of peers that are not called."""
-        self.swept = now
-        for link in list(self.links.values()):
+        self.swept_at = now
+        for link in list(self.channel_pools.values()):
             link.close_unused(now - CLIENT_KEEPALIVE)
             if not link.in_use and now - link.used > LINK_IDLE_SECONDS:
                 self.retire(link)
@@ -121,10 +121,10 @@
     def retire(self, link: ChannelPool) -> None:
         """Remove a pool so that no further call uses it."""
         link.retire()
-        if self.links.get(link.address) is link:
-            del self.links[link.address]
+        if self.channel_pools.get(link.address) is link:
+            del self.channel_pools[link.address]
 
     async def close(self) -> None:
-        for link in list(self.links.values()):
+        for link in list(self.channel_pools.values()):
             self.retire(link)
             link.abort_exchanges()
--- a/src/reedhook/process/primary_lease/backup_holders.py
+++ b/src/reedhook/process/primary_lease/backup_holders.py
@@ -16,8 +16,9 @@
 class BackupHolders:
     """Act as backup holder where a record names this host, until told to stop.
 
-    :ivar found: backup holders of this host, by service.
-    :ivar promised: by service, the record revision up to which this host has promised
+    :ivar by_service: backup holders of this host, by service.
+    :ivar relinquished_up_to: by service, the record revision up to which this host has
+        promised
         a holder not to act as backup.
     """
 
@@ -29,35 +30,35 @@
     ) -> None:
         self.me = me
         self.make_backup_holder = make_backup_holder
-        self.found: dict[str, BackupHolder] = {}
-        self.promised: dict[str, int] = {}
+        self.by_service: dict[str, BackupHolder] = {}
+        self.relinquished_up_to: dict[str, int] = {}
         self.closed = False
         self.background = BackgroundTasks(decisions)
 
     def active_holder(self, service: str) -> BackupHolder | None:
         """Return the backup holder that uses the primary now, or None."""
-        backup = self.found.get(service)
+        backup = self.by_service.get(service)
         return backup if backup is not None and backup.active else None
 
     def handle_record(self, record: PrimaryLeaseRecord) -> None:
         """Start or stop to be the backup holder of a service."""
-        backup = self.found.get(record.service)
+        backup = self.by_service.get(record.service)
         named = record.backup_holder == self.me
         if backup is not None and not named:
-            del self.found[record.service]
+            del self.by_service[record.service]
             self.background.spawn(self.stop_backup_holder(backup))
         if backup is None and named and not self.closed:
             # The lease starts expired: only a read by this host may extend it.
             backup = self.make_backup_holder(record, NEVER)
-            self.found[record.service] = backup
+            self.by_service[record.service] = backup
             backup.start()
 
     async def set_holder_lost(self, service: str, lost: bool) -> None:
         """Activate the backup holder while the holder is lost."""
-        backup = self.found.get(service)
+        backup = self.by_service.get(service)
         if backup is None:
             return
-        relinquished = backup.record.revision <= self.promised.get(service, 0)
+        relinquished = backup.record.revision <= self.relinquished_up_to.get(service, 0)
         if lost and not relinquished:
             await backup.activate()
         else:
@@ -65,9 +66,9 @@
 
     async def relinquish(self, service: str, revision: int) -> None:
         """Stop using a primary under records up to `revision`."""
-        known = self.promised.get(service, 0)
-        self.promised[service] = max(known, revision)
-        backup = self.found.pop(service, None)
+        known = self.relinquished_up_to.get(service, 0)
+        self.relinquished_up_to[service] = max(known, revision)
+        backup = self.by_service.pop(service, None)
         if backup is not None:
             await self.stop_backup_holder(backup)
 
@@ -80,5 +81,5 @@
     async def close(self) -> None:
         """Stop all backup holders and accept no new ones."""
         self.closed = True
-        for service in list(self.found):
-            await self.stop_backup_holder(self.found.pop(service))
+        for service in list(self.by_service):
+            await self.stop_backup_holder(self.by_service.pop(service))
--- a/src/reedhook/process/primary_lease/holder_ranking.py
+++ b/src/reedhook/process/primary_lease/holder_ranking.py
@@ -79,7 +79,9 @@
             chosen.append(record.backup_holder.ref)
         return chosen
 
-    def deputy(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
+    def choose_backup(
+        self, service: str, primary: TargetAnnouncement
+    ) -> HostRef | None:
         """Return the best backup holder for this host, or None.
 
         A host in a third zone is preferred: it is partitioned neither with the holder
@@ -93,7 +95,9 @@
                 return ref
         return None
 
-    def better(self, service: str, primary: TargetAnnouncement) -> HostRef | None:
+    def better_holder(
+        self, service: str, primary: TargetAnnouncement
+    ) -> HostRef | None:
         """Return a host that should hold a lease instead of this one, or None.
 
         Such a host is outside the primary's zone where this one is inside, or not
--- a/src/reedhook/process/primary_lease/lease_claim.py
+++ b/src/reedhook/process/primary_lease/lease_claim.py
@@ -72,10 +72,10 @@
             # The store never deletes the record, so this is only logged.
             self.decisions.record("lease_record_missing", service=self.service)
             return True
-        self.found(item, requested_at)
+        self.handle_item(item, requested_at)
         return True
 
-    def found(self, item: Item, requested_at: float) -> None:
+    def handle_item(self, item: Item, requested_at: float) -> None:
         """Process an item read from the store."""
         record = PrimaryLeaseRecord.from_item(item)
         if self.is_named(record):
@@ -104,7 +104,7 @@
             )
             return await self.resolve(value)
         self.validity.extend(requested_at)
-        self.written(record.with_revision(revision))
+        self.set_stored(record.with_revision(revision))
         return True
 
     async def resolve(self, value: bytes) -> bool:
@@ -125,7 +125,7 @@
             self.registry.update(stored, "look")
             return False
         if item.value == value:
-            self.written(stored)
+            self.set_stored(stored)
             return True
         # An earlier write of this host took effect late. Keep the holders it names,
         # since they may have read it. Keep the primary known here: it is newer,
@@ -133,12 +133,12 @@
         self.record = stored.with_primary_of(self.record)
         return False
 
-    def unsaved(self, record: PrimaryLeaseRecord) -> None:
+    def set_unsaved(self, record: PrimaryLeaseRecord) -> None:
         """Use a record that is still to be written to the store."""
         self.record = record
         self.saved = False
 
-    def written(self, record: PrimaryLeaseRecord) -> None:
+    def set_stored(self, record: PrimaryLeaseRecord) -> None:
         """Use a record that is stored."""
         self.record = record
         self.saved = True
--- a/src/reedhook/process/primary_lease/lease_holder.py
+++ b/src/reedhook/process/primary_lease/lease_holder.py
@@ -119,7 +119,7 @@
         self.driver = driver
         self.phrases = phrases
         self.demoted_at = float("-inf")
-        self.deputized_at = float("-inf")
+        self.placement_checked_at = float("-inf")
 
     def start(self) -> None:
         """Start to renew the lease and to monitor the primary."""
@@ -312,7 +312,7 @@
         try:
             if known is not None:
                 status = await self.states.status(known)
-                if status is not None and await self.use_if_leading(known, status):
+                if status is not None and await self.use_if_primary(known, status):
                     return
             await self.choose(*await survey)
         finally:
@@ -342,7 +342,7 @@
         primaries = [pair for pair in found if pair[1].is_primary]
         if primaries:
             entry, status = max(primaries, key=lambda pair: pair[1].term)
-            if await self.use_if_leading(entry, status):
+            if await self.use_if_primary(entry, status):
                 return
         if probe_result is None:
             return
@@ -354,7 +354,7 @@
             return
         await self.handle_probe_result(probe_result)
 
-    async def use_if_leading(
+    async def use_if_primary(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> bool:
         """Use a target if it is the primary of the current term.
@@ -368,10 +368,10 @@
             record.primary_started_at_ms
         ):
             return False
-        await self.established(entry, status)
+        await self.record_and_use(entry, status)
         return True
 
-    async def established(
+    async def record_and_use(
         self, entry: TargetAnnouncement, status: SessionTargetStatus
     ) -> None:
         """Record a target as the primary if necessary, and use it."""
@@ -451,10 +451,10 @@
         if backup_holder is not None:
             self.others.failure_detector.probe_if_due(backup_holder.ref)
         now = self.clock.monotonic()
-        if now - self.deputized_at < PLACEMENT_INTERVAL_SECONDS:
+        if now - self.placement_checked_at < PLACEMENT_INTERVAL_SECONDS:
             return
-        self.deputized_at = now
-        better = self.ranking.better(self.service, home.entry)
+        self.placement_checked_at = now
+        better = self.ranking.better_holder(self.service, home.entry)
         if better is not None and await self.indirect_prober.transfer_lease(
             self.service, better, self.others.former_expired()
         ):
--- a/src/reedhook/process/primary_lease/other_holders.py
+++ b/src/reedhook/process/primary_lease/other_holders.py
@@ -118,7 +118,7 @@
     async def update_backup_holder(self, home: SessionTargetHome) -> None:
         """Set a live host as the backup holder, in a third zone where possible."""
         current = self.claim.record.backup_holder
-        chosen = self.ranking.deputy(self.service, home.entry)
+        chosen = self.ranking.choose_backup(self.service, home.entry)
         if current is not None and not self.failure_detector.is_lost(current.ref):
             if chosen is None or current.ref.zone == chosen.zone:
                 chosen = current.ref
--- a/src/reedhook/process/primary_lease/primary_replacement.py
+++ b/src/reedhook/process/primary_lease/primary_replacement.py
@@ -196,7 +196,7 @@
             term=status.term,
             received=status.received.to_json(),
         )
-        self.claim.unsaved(self.claim.record.with_primary(entry, status.term))
+        self.claim.set_unsaved(self.claim.record.with_primary(entry, status.term))
         return LeadingTarget(entry, status)
 
 
--- a/src/reedhook/process/rates/rate_owner.py
+++ b/src/reedhook/process/rates/rate_owner.py
@@ -147,7 +147,7 @@
         """Return the hosts that may own a workspace, in rank."""
         return self.directory.ranked(f"{RATE_PATH} {name}", "")
 
-    def first(self, name: str) -> HostRef | None:
+    def owner_of(self, name: str) -> HostRef | None:
         """Return the owner of a workspace, as known here."""
         return self.directory.home(f"{RATE_PATH} {name}", "")
 
@@ -196,7 +196,7 @@
 
     def is_sole(self, name: str) -> bool:
         """Return whether no other host is expected to own the workspace."""
-        first = self.first(name)
+        first = self.owner_of(name)
         if first is not None and first != self.directory.me:
             # The requesting host got no response from the first owner.
             self.report_silent(first.host)
--- a/src/reedhook/process/rates/workspace_rate_limiter.py
+++ b/src/reedhook/process/rates/workspace_rate_limiter.py
@@ -196,7 +196,7 @@
     def choose_owner(self, name: str) -> HostRef | None:
         """Return the first host in rank that is not avoided, or None."""
         now = self.clock.monotonic()
-        first = self.owner.first(name)
+        first = self.owner.owner_of(name)
         if first is not None and self.avoided.get(first.host, now) <= now:
             return first
         for one in self.owner.owners(name):
--- a/src/reedhook/process/run.py
+++ b/src/reedhook/process/run.py
@@ -61,7 +61,7 @@
         self.stopping = asyncio.Event()
         self.process: Process | None = None
 
-    async def whole(self) -> None:
+    async def run(self) -> None:
         """Start the host, serve until a stop signal, then shut down.
 
         :raises OSError: if the host cannot start.
--- a/src/reedhook/process/session_host.py
+++ b/src/reedhook/process/session_host.py
@@ -105,7 +105,7 @@
         self.keyspace = keyspace
         self.promoter = promoter
         self.driver = driver
-        self.phrases = phrases
+        self.dialect = phrases
         self.peers = AnswerTrackingPeers(peers, clock)
         self.decisions = decisions
         self.metrics = metrics
@@ -198,7 +198,7 @@
         """Create what holds and hands over the primary leases of services."""
         table = self.membership.table
         self.lease_registry = PrimaryLeaseRegistry(self.announcements, self.decisions)
-        self.promotion_duty = PromotionCoordinator(
+        self.promotion_coordinator = PromotionCoordinator(
             self.holder,
             self.keyspace,
             self.promoter,
@@ -255,7 +255,7 @@
             self.directory,
             lambda: self.announcements.table.workspaces,
             self.freshness,
-            lambda: self.zone_isolation.cut_off,
+            lambda: self.zone_isolation.is_isolated,
             self.membership.table.sees_majority,
             self.heartbeats.request_probe,
             self.settings.rates,
@@ -278,16 +278,16 @@
             self.clock,
             self.decisions,
         )
-        self.hops = StatementForwarder(
+        self.forwarder = StatementForwarder(
             self.me,
             self.statement_server,
             self.peers,
-            lambda: self.zone_isolation.cut_off,
+            lambda: self.zone_isolation.is_isolated,
             self.clock,
             self.decisions,
         )
         self.replicas = ReplicaReader(
-            self.hops,
+            self.forwarder,
             self.statement_server,
             self.lease_registry,
             self.directory,
@@ -296,8 +296,8 @@
             self.clock,
             self.decisions,
         )
-        self.steering = SessionRouter(
-            self.hops,
+        self.router = SessionRouter(
+            self.forwarder,
             self.replicas,
             self.lease_registry,
             self.directory,
@@ -314,7 +314,7 @@
         )
         self.caller_sessions = CallerSessions(
             self.holder.incarnation,
-            self.steering,
+            self.router,
             self.announcements,
             authorization,
             self.clock,
@@ -325,7 +325,7 @@
     def connect(self) -> None:
         """Register peer handlers and connect the callbacks of the components."""
         self.heartbeats.register(self.routes)
-        self.promotion_duty.register(self.routes)
+        self.promotion_coordinator.register(self.routes)
         self.indirect_probers.register(self.routes)
         self.failure_detector.register(self.routes)
         self.primary_leases.register(self.routes)
@@ -333,7 +333,7 @@
         self.rate_owner.register(self.routes)
         self.updates_server.register(self.routes)
         self.table_server.register(self.routes)
-        self.hops.on_host_lost = self.suspect_host
+        self.forwarder.on_host_lost = self.suspect_host
         self.membership.on_newer_configuration = self.tables.request_version
         self.membership.on_answer = self.state_age
         self.heartbeats.on_answer = self.freshness.read_age
@@ -355,7 +355,7 @@
         return SessionTargetHome(
             entry,
             self.driver,
-            self.phrases,
+            self.dialect,
             connection_quota(connections, 0),
             self.clock,
             self.decisions,
@@ -380,7 +380,12 @@
             self.decisions,
         )
         promotion = PrimaryReplacement(
-            claim, others, self.states, self.promotion_duty, self.clock, self.decisions
+            claim,
+            others,
+            self.states,
+            self.promotion_coordinator,
+            self.clock,
+            self.decisions,
         )
         return PrimaryLeaseHolder(
             claim,
@@ -391,7 +396,7 @@
             self.announcements,
             self.states,
             self.driver,
-            self.phrases,
+            self.dialect,
             self.make_home,
             self.clock,
             self.decisions,
@@ -451,7 +456,7 @@
     @property
     def ready(self) -> bool:
         """Return whether callers may be sent here."""
-        if self.leaving or self.zone_isolation.cut_off:
+        if self.leaving or self.zone_isolation.is_isolated:
             return False
         return self.announcements.configured.is_set()
 
--- a/src/reedhook/process/statement_server.py
+++ b/src/reedhook/process/statement_server.py
@@ -55,15 +55,15 @@
     def __init__(
         self,
         announcements: Announcements,
-        leads: PrimaryLeaseManager,
+        primary_leases: PrimaryLeaseManager,
         make_home: HomeFactory,
-        allowances: WorkspaceRateLimiter,
+        rate_limiter: WorkspaceRateLimiter,
         clock: Clock,
         decisions: DecisionLog,
     ) -> None:
-        self.allowances = allowances
+        self.rate_limiter = rate_limiter
         self.announcements = announcements
-        self.leads = leads
+        self.primary_leases = primary_leases
         self.make_home = make_home
         self.clock = clock
         self.decisions = decisions
@@ -142,17 +142,17 @@
         if not work.workspace or not work.starts_operation:
             return await self.run_at_target(work)
         started_at = self.clock.monotonic()
-        await self.allowances.admit(work.workspace)
+        await self.rate_limiter.admit(work.workspace)
         work.subtract_elapsed(self.clock.monotonic() - started_at)
         try:
             answer = await self.run_at_target(work)
         except RefusalError as refusal:
             not_sent = refusal.reason not in POSSIBLY_SENT_REASONS
             if refusal.verdict is Verdict.NOT_RUN and not_sent:
-                self.allowances.give_back(work.workspace)
+                self.rate_limiter.give_back(work.workspace)
             raise
         if answer.reply.fault in RETRYABLE_FAULTS:
-            self.allowances.give_back(work.workspace)
+            self.rate_limiter.give_back(work.workspace)
         return answer
 
     async def run_at_target(self, work: SessionStatement) -> SessionStatementResult:
@@ -200,7 +200,7 @@
 
     def roll_back(self, service: str, target: str, transaction_id: str) -> None:
         """Roll back a transaction if it is open at this host."""
-        client = self.leads.primary_client(service)
+        client = self.primary_leases.primary_client(service)
         home = self.find_transaction_home(target, transaction_id)
         if not target and client is not None:
             home = client.home
@@ -219,7 +219,7 @@
 
         :raises RefusalError: not run, if this host does not serve the primary.
         """
-        client = self.leads.primary_client(service)
+        client = self.primary_leases.primary_client(service)
         if client is None:
             raise not_run(
                 RefusalReason.WRONG_HOME,
@@ -231,7 +231,7 @@
         """Remove expired outcomes and close unused homes, until cancelled."""
         while True:
             await self.clock.sleep(CLEANUP_INTERVAL_SECONDS)
-            self.allowances.tidy()
+            self.rate_limiter.tidy()
             cutoff = self.clock.monotonic() - OUTCOME_RETENTION_SECONDS
             while self.outcomes:
                 oldest = next(iter(self.outcomes))
@@ -242,7 +242,9 @@
 
     async def close_unused_homes(self) -> None:
         """Close idle homes of targets that are primaries, leave or have left."""
-        primaries = {record.primary for record in self.leads.registry.records.values()}
+        primaries = {
+            record.primary for record in self.primary_leases.registry.records.values()
+        }
         for target, home in list(self.replica_homes.items()):
             home.connections.drop_unused()
             entry = self.announcements.targets.get(target)
@@ -253,7 +255,7 @@
         for home in [one for one in self.replaced_homes if one.is_idle()]:
             self.replaced_homes.remove(home)
             await home.close()
-        for lease in self.leads.held.values():
+        for lease in self.primary_leases.held.values():
             if lease.home is not None:
                 lease.home.connections.drop_unused()
 
@@ -266,7 +268,7 @@
 
     async def close(self) -> None:
         """Close all homes of replicas."""
-        self.allowances.close()
+        self.rate_limiter.close()
         for home in [*self.replica_homes.values(), *self.replaced_homes]:
             await home.close()
         self.replica_homes.clear()
--- a/src/reedhook/process/tool/command_settings.py
+++ b/src/reedhook/process/tool/command_settings.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Final
 
-from ...platform.settings import SettingsError, load as load_hosting
+from ...platform.settings import SettingsFileError, load as load_hosting
 from ..settings import load_settings
 from .command_error import CommandError, ToolExitCode
 from .command_report import Result
@@ -51,6 +51,6 @@
         load(path)
     except ExceptionGroup as errors:
         return tuple(str(error) for error in errors.exceptions)
-    except (OSError, SettingsError) as error:
+    except (OSError, SettingsFileError) as error:
         return (str(error),)
     return ()
--- a/src/reedhook/process/zone_isolation.py
+++ b/src/reedhook/process/zone_isolation.py
@@ -65,7 +65,7 @@
         self.probed_hosts: dict[str, HostRef] = {}
 
     @property
-    def cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Return whether no other zone is reachable."""
         return self.isolated_since is not None
 
@@ -93,7 +93,7 @@
             self.record_reachability(True)
             return
         probed_host = self.random.choice(list(self.probed_hosts.values()))
-        if not self.cut_off and await self.failure_detector.is_reachable(
+        if not self.is_isolated and await self.failure_detector.is_reachable(
             probed_host, FIRST_PROBE_TIMEOUT_SECONDS
         ):
             return
--- a/src/reedhook/request/api.py
+++ b/src/reedhook/request/api.py
@@ -117,7 +117,7 @@
         "me",
         "catalog",
         "router",
-        "dispatch",
+        "dispatcher",
         "tokens",
         "handles",
         "rates",
@@ -134,7 +134,7 @@
         me: HostRef,
         catalog: CatalogSource,
         router: Router,
-        dispatch: StatementDispatcher,
+        dispatcher: StatementDispatcher,
         secrets: tuple[bytes, ...],
         clock: Clock,
         metrics: Metrics,
@@ -143,7 +143,7 @@
         self.me = me
         self.catalog = catalog
         self.router = router
-        self.dispatch = dispatch
+        self.dispatcher = dispatcher
         self.tokens = TokenCodec(secrets)
         self.handles = TransactionHandleCodec(secrets)
         self.rates = LocalRateLimiter()
@@ -261,7 +261,9 @@
             transaction, since an earlier commit may have succeeded.
         """
         try:
-            return await self.dispatch.execute_at(handle.host, handle.member, statement)
+            return await self.dispatcher.execute_at(
+                handle.host, handle.member, statement
+            )
         except RefusalError as refusal:
             transaction_unknown = refusal.reason is RefusalReason.UNKNOWN_TRANSACTION
             if transaction_unknown and statement.kind is StatementKind.COMMIT:
--- a/src/reedhook/request/statement_forwarder.py
+++ b/src/reedhook/request/statement_forwarder.py
@@ -22,7 +22,7 @@
     SessionStatementResult,
 )
 
-HOP_GRACE_SECONDS: Final = 0.05
+PEER_CALL_GRACE_SECONDS: Final = 0.05
 """Time after the deadline in which another host's result may still arrive."""
 
 READ_WAIT_LIMIT_SECONDS: Final = 0.45
@@ -43,7 +43,7 @@
 OUTCOME_QUERY_TIMEOUT_SECONDS: Final = 0.5
 """Timeout of a repeated call that retrieves the outcome of a write."""
 
-SILENT_HOST_RETRY_SECONDS: Final = 0.2
+UNRESPONSIVE_HOST_RETRY_SECONDS: Final = 0.2
 """Interval at which one statement tries an unresponsive host again."""
 
 FAILOVER_SECONDS: Final = 1.5
@@ -140,9 +140,9 @@
                 statement.soft_deadline_seconds + QUEUE_GRACE_SECONDS,
             )
             statement.remaining = min(
-                statement.remaining, wait_limit - HOP_GRACE_SECONDS
+                statement.remaining, wait_limit - PEER_CALL_GRACE_SECONDS
             )
-        timeout = statement.remaining + HOP_GRACE_SECONDS
+        timeout = statement.remaining + PEER_CALL_GRACE_SECONDS
         try:
             message = await self.call_host(location.host, statement, timeout)
             self.lost_since.pop(location.host.host, None)
@@ -222,7 +222,10 @@
         if since is None:
             return
         now = self.clock.monotonic()
-        if now - self.last_attempt_at.get(host.host, since) < SILENT_HOST_RETRY_SECONDS:
+        if (
+            now - self.last_attempt_at.get(host.host, since)
+            < UNRESPONSIVE_HOST_RETRY_SECONDS
+        ):
             raise not_run(
                 RefusalReason.HOST_UNREACHABLE,
                 f"the host {host.host} is unresponsive",
--- a/src/reedhook_standins/caller.py
+++ b/src/reedhook_standins/caller.py
@@ -14,7 +14,7 @@
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
 
-from .history import Attempt, History, ReadSeen
+from .history import History, ReadSeen, WriteAttempt
 
 DEADLINE_MS: Final = 1500
 ANSWER_SLACK_S: Final = 0.5
@@ -198,7 +198,7 @@
 
         def note(host: str, started: float, reply: Reply) -> None:
             self.history.attempts.append(
-                Attempt(
+                WriteAttempt(
                     request_id,
                     order.group,
                     order.key,
--- a/src/reedhook_standins/calls.py
+++ b/src/reedhook_standins/calls.py
@@ -9,9 +9,9 @@
 from reedhook.wire import Json
 
 from .engine import digest
-from .log import NO_ROWS, Change, RequestKey, Rows
+from .log import NO_ROWS, LoggedStatement, RequestKey, Rows
 from .service import AnswerLost, ServiceConnection, ServiceRefusal
-from .transaction import Transaction
+from .transaction import SqlTransaction
 
 if TYPE_CHECKING:
     from .member import MemberStandin
@@ -22,7 +22,7 @@
 TRANSACTION_DIGEST: Final = "transaction"
 
 
-class Calls:
+class TargetCallHandler:
     """Handle the calls of `TargetConnection` that no injected fault blocks."""
 
     def __init__(self, member: "MemberStandin") -> None:
@@ -90,7 +90,7 @@
         if earlier is not None:
             self.member.writing.release()
             return self.result(earlier, self.state.held, repeated=True)
-        connection.transaction = Transaction(
+        connection.transaction = SqlTransaction(
             self.state.engine.copy(),
             self.state.leader_term,
             key,
@@ -177,13 +177,13 @@
         return self.state.engine.known(key) if key is not None else None
 
 
-def change_of(message: Json) -> Change:
+def change_of(message: Json) -> LoggedStatement:
     """Parse a statement from the wire."""
     sql: Any = message["sql"]
     params: Any = message["params"]
     if not isinstance(sql, str) or not isinstance(params, list):
         raise ServiceRefusal("bad_request", "sql is text, params a list", 400)
-    return Change(sql, params)
+    return LoggedStatement(sql, params)
 
 
 def key_of(request_id: str | None, content: str) -> RequestKey | None:
@@ -196,10 +196,10 @@
     return RequestKey(request_id, int(match[1]), content)
 
 
-def transaction_of(connection: ServiceConnection) -> Transaction:
+def transaction_of(connection: ServiceConnection) -> SqlTransaction:
     """Return the open transaction of a connection."""
     transaction = connection.transaction
-    if not isinstance(transaction, Transaction):
+    if not isinstance(transaction, SqlTransaction):
         raise unknown_transaction()
     return transaction
 
--- a/src/reedhook_standins/control.py
+++ b/src/reedhook_standins/control.py
@@ -24,7 +24,7 @@
 }
 
 
-class Control(Service):
+class FaultControl(Service):
     """Inject one fault per call and return the state of the groups."""
 
     def __init__(self, platform: "Platform") -> None:
--- a/src/reedhook_standins/demo.py
+++ b/src/reedhook_standins/demo.py
@@ -25,8 +25,8 @@
 from reedhook.record import Record
 
 from .deployment import Deployment
-from .history import Fault, History
-from .outcome import Outcome, judge, text
+from .history import History, RecordedFault
+from .outcome import DayReport, judge, text
 from .truth import effects
 from .workload import DAYS
 from .world import World
@@ -35,7 +35,7 @@
 EXIT_BROKEN: Final = 1
 
 
-class Happening(Record):
+class ScheduledAction(Record):
     """Represent a scheduled action.
 
     :param at: when, as a fraction of the run.
@@ -53,7 +53,7 @@
 OVERLAPPING: Final = (0.2, 0.5, 0.4, 0.7, 0.6, 0.8)
 
 
-class Programme:
+class FaultSchedule:
     """Inject the faults of the run, and end them.
 
     The first group's primary dies and returns; the zone of the second group's primary
@@ -80,7 +80,7 @@
             self.kill_home,
             self.return_home,
         ]
-        happenings = map(Happening, times, actions)
+        happenings = map(ScheduledAction, times, actions)
         self.happenings = sorted(happenings, key=lambda happening: happening.at)
 
     async def run(self, seconds: float) -> None:
@@ -126,12 +126,12 @@
     def note(self, name: str, subject: str, group: str) -> None:
         """Record a fault that begins now."""
         now = self.world.clock.monotonic()
-        self.history.faults.append(Fault(name, subject, group, now))
+        self.history.faults.append(RecordedFault(name, subject, group, now))
 
 
 async def run_day(
     name: str, seconds: float, seed: int, times: Sequence[float] = ONE_BY_ONE
-) -> Outcome:
+) -> DayReport:
     """Run a deployment's workload and faults, and return the report.
 
     :param times: see `Programme`.
@@ -142,7 +142,7 @@
     async with World(Deployment(name), clock, rng) as world:
         day = DAYS[name](list(world.platform.groups), world.caller_of(history), rng)
         await day.prepare()
-        programme = Programme(world, history, times)
+        programme = FaultSchedule(world, history, times)
         start = clock.monotonic()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(day.run())
--- a/src/reedhook_standins/engine.py
+++ b/src/reedhook_standins/engine.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from .log import Change, LogEntry, RequestKey, Rows
+from .log import LogEntry, LoggedStatement, RequestKey, Rows
 from .service import ServiceRefusal
 
 KEEP_IDS_MS: Final = 24 * 3600 * 1000
@@ -77,14 +77,14 @@
         """Return an independent engine with the same rows."""
         return Engine(self.database.serialize())
 
-    def read(self, change: Change) -> Rows:
+    def read(self, change: LoggedStatement) -> Rows:
         """Execute a read-only statement.
 
         :raises ServiceRefusal: with ``statement_failed``.
         """
         return self.run(change, writable=False)
 
-    def write(self, changes: Iterable[Change], key: RequestKey | None) -> Rows:
+    def write(self, changes: Iterable[LoggedStatement], key: RequestKey | None) -> Rows:
         """Run the changes of one transaction and record its request id.
 
         :returns: the rows of the last change.
@@ -107,7 +107,7 @@
         """Apply a log entry."""
         self.write(entry.changes, entry.key)
 
-    def run(self, change: Change, writable: bool) -> Rows:
+    def run(self, change: LoggedStatement, writable: bool) -> Rows:
         """Execute one statement of a caller."""
         self.guarded = True
         self.writable = writable
--- a/src/reedhook_standins/group.py
+++ b/src/reedhook_standins/group.py
@@ -17,7 +17,7 @@
 FIRST_OWNER: Final = "bootstrap"
 
 
-class Reign(Record):
+class TermPrimary(Record):
     """Associate a term with the log of its primary."""
 
     __slots__ = ("term", "log")
@@ -35,12 +35,12 @@
 
     def __init__(self) -> None:
         self.written: list[LogEntry] = []
-        self.reign = Reign(0, Log())
+        self.reign = TermPrimary(0, Log())
 
     def lead(self, term: int, log: Log) -> None:
         """Record the primary of a term."""
         if term > self.reign.term:
-            self.reign = Reign(term, log)
+            self.reign = TermPrimary(term, log)
 
     @property
     def entries(self) -> list[LogEntry]:
--- a/src/reedhook_standins/history.py
+++ b/src/reedhook_standins/history.py
@@ -20,7 +20,7 @@
 CLOCK_STEP_S: Final = 0.001
 
 
-class Attempt(Record):
+class WriteAttempt(Record):
     """Represent one try of a write, as its caller saw it.
 
     :param request_id: the id that all tries of the write share.
@@ -170,7 +170,7 @@
         self.committed = committed
 
 
-class Fault(Record):
+class RecordedFault(Record):
     """Represent an injected fault.
 
     :param group: the group whose primary was hit; None for a host or the store.
@@ -218,13 +218,13 @@
     __slots__ = ("attempts", "reads", "faults")
 
     def __init__(self) -> None:
-        self.attempts: list[Attempt] = []
+        self.attempts: list[WriteAttempt] = []
         self.reads: list[ReadSeen] = []
-        self.faults: list[Fault] = []
+        self.faults: list[RecordedFault] = []
 
-    def acknowledged(self) -> list[Attempt]:
+    def acknowledged(self) -> list[WriteAttempt]:
         """Return the first acknowledged attempt of each write."""
-        first: dict[str, Attempt] = {}
+        first: dict[str, WriteAttempt] = {}
         for attempt in sorted(self.attempts, key=lambda one: one.ended):
             if attempt.verdict is Verdict.DONE:
                 first.setdefault(attempt.request_id, attempt)
@@ -283,7 +283,7 @@
     repeated answer is no evidence: a host may have tried twice for one attempt of the
     caller.
     """
-    tries: dict[str, list[Attempt]] = defaultdict(list)
+    tries: dict[str, list[WriteAttempt]] = defaultdict(list)
     for attempt in history.attempts:
         tries[attempt.request_id].append(attempt)
     for effect in effects:
@@ -321,7 +321,7 @@
     """
     marks: dict[str, dict[Register, int]] = defaultdict(lambda: defaultdict(int))
     for ended, step in steps(history):
-        if isinstance(step, Attempt):
+        if isinstance(step, WriteAttempt):
             raise_mark(marks[step.session], step.register, step.version)
             continue
         mark = marks[step.session]
@@ -332,12 +332,12 @@
             raise_mark(mark, (step.group, key), version)
 
 
-def steps(history: History) -> list[tuple[float, Attempt | ReadSeen]]:
+def steps(history: History) -> list[tuple[float, WriteAttempt | ReadSeen]]:
     """Return the attempts and reads of all sessions, ordered by answer time.
 
     A session runs one request at a time, so this is also its own order.
     """
-    answered: list[tuple[float, Attempt | ReadSeen]] = []
+    answered: list[tuple[float, WriteAttempt | ReadSeen]] = []
     for attempt in history.attempts:
         if attempt.verdict is Verdict.DONE:
             answered.append((attempt.ended, attempt))
--- a/src/reedhook_standins/log.py
+++ b/src/reedhook_standins/log.py
@@ -7,7 +7,7 @@
 from reedhook.request.position import ORIGIN, Position
 
 
-class Change(Record):
+class LoggedStatement(Record):
     """Represent one statement with its parameters."""
 
     __slots__ = ("sql", "params")
@@ -56,7 +56,7 @@
     def __init__(
         self,
         position: Position,
-        changes: tuple[Change, ...],
+        changes: tuple[LoggedStatement, ...],
         key: RequestKey | None,
         result: Rows,
         written: float,
--- a/src/reedhook_standins/member.py
+++ b/src/reedhook_standins/member.py
@@ -9,7 +9,7 @@
 from reedhook.connection.target import MemberState
 from reedhook.wire import Json
 
-from .calls import Calls
+from .calls import TargetCallHandler
 from .replicated import ReplicatedState
 from .replication import SLICE, Replication
 from .service import AnswerLost, Service, ServiceConnection, ServiceRefusal
@@ -93,7 +93,7 @@
         self.peak_connections = 0
         self.revision = 0
         self.tasks: list[asyncio.Task[None]] = []
-        self.calls = Calls(self)
+        self.calls = TargetCallHandler(self)
 
     @property
     def runs(self) -> bool:
--- a/src/reedhook_standins/outcome.py
+++ b/src/reedhook_standins/outcome.py
@@ -9,7 +9,15 @@
 from reedhook.request.statement import Consistency
 from reedhook.wire import Json
 
-from .history import Attempt, Effect, Fault, History, Promise, Violation, violations
+from .history import (
+    Effect,
+    History,
+    Promise,
+    RecordedFault,
+    Violation,
+    WriteAttempt,
+    violations,
+)
 
 SHOWN_VIOLATIONS: Final = 10
 NAME_WIDTH: Final = 46
@@ -28,7 +36,7 @@
     __slots__ = ("fault", "to_first_write", "longest")
 
     def __init__(
-        self, fault: Fault, to_first_write: float | None, longest: float
+        self, fault: RecordedFault, to_first_write: float | None, longest: float
     ) -> None:
         self.fault = fault
         self.to_first_write = to_first_write
@@ -45,7 +53,7 @@
         }
 
 
-class Outcome(Record):
+class DayReport(Record):
     """Represent the report of a run.
 
     :param broken: the violated guarantees.
@@ -143,7 +151,7 @@
     history: History,
     effects: Iterable[Effect],
     gave_up: list[str],
-) -> Outcome:
+) -> DayReport:
     """Return the report of `history`, given the effects in the groups at its end."""
     effect_list = list(effects)
     gaps = [gap for fault in history.faults if (gap := gap_after(history, fault))]
@@ -151,7 +159,7 @@
         (read.consistency.value, read.role or "") for read in history.answered()
     )
     refusals = Counter(history.refusals())
-    outcome = Outcome(
+    outcome = DayReport(
         deployment=deployment,
         seconds=seconds,
         acknowledged=len(history.acknowledged()),
@@ -168,7 +176,7 @@
     return outcome
 
 
-def gap_after(history: History, fault: Fault) -> Gap | None:
+def gap_after(history: History, fault: RecordedFault) -> Gap | None:
     """Return how long a group took no writes after a fault of its primary."""
     if fault.group is None:
         return None
@@ -181,7 +189,7 @@
     return Gap(fault, first_new(acks, fault), longest_gap(acks, fault))
 
 
-def first_new(acks: list[Attempt], fault: Fault) -> float | None:
+def first_new(acks: list[WriteAttempt], fault: RecordedFault) -> float | None:
     """Return the time to the first write that was sent after the fault."""
     return min(
         (attempt.ended - fault.at for attempt in acks if attempt.started > fault.at),
@@ -189,7 +197,7 @@
     )
 
 
-def longest_gap(acks: list[Attempt], fault: Fault) -> float:
+def longest_gap(acks: list[WriteAttempt], fault: RecordedFault) -> float:
     """Return the longest time without an acknowledgement around the fault."""
     ack_times = sorted(attempt.ended for attempt in acks)
     return max(
@@ -202,7 +210,7 @@
     )
 
 
-def what_is_missing(outcome: Outcome) -> Iterator[str]:
+def what_is_missing(outcome: DayReport) -> Iterator[str]:
     """Yield the expected events that did not happen."""
     if not outcome.acknowledged:
         yield "no write was acknowledged"
@@ -217,7 +225,7 @@
         yield f"a caller gave up: {message}"
 
 
-def text(outcome: Outcome) -> str:
+def text(outcome: DayReport) -> str:
     """Format the report as text."""
     counts = Counter(violation.promise for violation in outcome.broken)
     lines = [
@@ -250,7 +258,7 @@
     return f"  {name:<{NAME_WIDTH}} {value:>10}"
 
 
-def share_line(outcome: Outcome, consistency: Consistency) -> str:
+def share_line(outcome: DayReport, consistency: Consistency) -> str:
     """Return the line of the replica share of one consistency."""
     share = percent(outcome.replica_share(consistency))
     return line(f"- {consistency.value} reads", share)
--- a/src/reedhook_standins/partition.py
+++ b/src/reedhook_standins/partition.py
@@ -13,7 +13,7 @@
 LOST: Final = "the message was lost in the partition"
 
 
-class Partition:
+class ZonePartition:
     """Record which zones are cut off from one another and from the platform.
 
     :ivar cut_off: the isolated zones, each separated from all others.
@@ -36,7 +36,7 @@
     :param zone: the zone of the calling host.
     """
 
-    def __init__(self, peers: PeerClient, zone: str, partition: Partition) -> None:
+    def __init__(self, peers: PeerClient, zone: str, partition: ZonePartition) -> None:
         self.peers = peers
         self.zone = zone
         self.partition = partition
@@ -62,7 +62,7 @@
 class PartitionedStore(HttpStore):
     """Drop calls of a zone that is cut off from the platform."""
 
-    def __init__(self, address: str, zone: str, partition: Partition) -> None:
+    def __init__(self, address: str, zone: str, partition: ZonePartition) -> None:
         super().__init__(address)
         self.zone = zone
         self.partition = partition
@@ -81,7 +81,7 @@
 class PartitionedHostList(HttpHostList):
     """Drop calls of a zone that is cut off from the platform."""
 
-    def __init__(self, address: str, zone: str, partition: Partition) -> None:
+    def __init__(self, address: str, zone: str, partition: ZonePartition) -> None:
         super().__init__(address)
         self.zone = zone
         self.partition = partition
--- a/src/reedhook_standins/platform.py
+++ b/src/reedhook_standins/platform.py
@@ -24,7 +24,7 @@
 from reedhook.process.fleet.hostlist import ListedKind
 from reedhook.process.io_uring import forbid_io_uring
 
-from .control import Control, groups_text
+from .control import FaultControl, groups_text
 from .deployment import NETWORKS, Deployment
 from .group import GroupStandin
 from .hostlist import HostListStandin
@@ -93,7 +93,7 @@
 
 async def serve(platform: Platform, port_base: int) -> None:
     """Serve at fixed ports until interrupted."""
-    control = Control(platform)
+    control = FaultControl(platform)
     control.port = port_base
     platform.store.port = port_base + 1
     platform.hostlist.port = port_base + 2
--- a/src/reedhook_standins/promises.py
+++ b/src/reedhook_standins/promises.py
@@ -81,7 +81,7 @@
         self.prepared = prepared
 
 
-class Promises:
+class GuaranteeChecker:
     """Check reads, acknowledgements, "not run" answers and executed statements.
 
     :param now: returns the time by the clock of the check, in seconds.
--- a/src/reedhook_standins/replicated.py
+++ b/src/reedhook_standins/replicated.py
@@ -7,7 +7,7 @@
 from reedhook.request.position import Position
 
 from .engine import Engine
-from .log import NO_ROWS, Change, Log, LogEntry, RequestKey, Rows
+from .log import NO_ROWS, Log, LogEntry, LoggedStatement, RequestKey, Rows
 from .service import ServiceRefusal
 
 
@@ -67,14 +67,14 @@
             detail = f"term {self.leader_term} is superseded by {self.promised}"
             raise ServiceRefusal("superseded", detail)
 
-    def write(self, change: Change, key: RequestKey | None) -> LogEntry:
+    def write(self, change: LoggedStatement, key: RequestKey | None) -> LogEntry:
         """Run a write as primary and append its entry."""
         self.require_primary()
         result = self.engine.write((change,), key)
         return self.append((change,), key, result)
 
     def adopt(
-        self, engine: Engine, changes: Sequence[Change], key: RequestKey | None
+        self, engine: Engine, changes: Sequence[LoggedStatement], key: RequestKey | None
     ) -> Rows:
         """Commit a transaction that ran on a copy of the rows."""
         self.require_primary()
@@ -86,7 +86,7 @@
         return NO_ROWS
 
     def append(
-        self, changes: tuple[Change, ...], key: RequestKey | None, result: Rows
+        self, changes: tuple[LoggedStatement, ...], key: RequestKey | None, result: Rows
     ) -> LogEntry:
         """Append an entry whose changes the rows already reflect."""
         position = Position(self.leader_term, len(self.log.entries) + 1)
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -10,7 +10,7 @@
 from reedhook.request.position import Position
 from reedhook.version.route_table import RouteConsistency
 
-from ..promises import Promises, Sent, Viewer
+from ..promises import GuaranteeChecker, Sent, Viewer
 
 PATIENCE: Final = 3.0
 """Seconds for an answer; must exceed a host's own statement limit of 0.8."""
@@ -31,7 +31,7 @@
 """Consistency and maximum age in seconds of each database."""
 
 
-class Answer(Record):
+class WireAnswer(Record):
     """Represent the answer to one statement.
 
     :param error: empty for a success.
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, name: str, database: str, promises: Promises, random: Random
+        self, name: str, database: str, promises: GuaranteeChecker, random: Random
     ) -> None:
         self.name = name
         self.database = database
@@ -114,7 +114,7 @@
         if self.writer is not None:
             self.writer.close()
 
-    async def ask(self, text: str) -> Answer:
+    async def ask(self, text: str) -> WireAnswer:
         """Send one statement and read its answer.
 
         :raises SessionEnded: if there is none in time.
@@ -136,7 +136,7 @@
         self.judge(id, text, answer, sent_at)
         return answer
 
-    async def read_answer(self) -> Answer:
+    async def read_answer(self) -> WireAnswer:
         """Read the lines of one answer."""
         rows, signature, error = [], "", ""
         while True:
@@ -149,9 +149,11 @@
                 error = content.partition(" ")[0]
             else:
                 state, _, position = content.partition(" ")
-                return Answer(rows, signature, error, state, read_position(position))
+                return WireAnswer(
+                    rows, signature, error, state, read_position(position)
+                )
 
-    def judge(self, id: str, text: str, answer: Answer, asked: float) -> None:
+    def judge(self, id: str, text: str, answer: WireAnswer, asked: float) -> None:
         """Check an answer against the guarantees."""
         word = text.split(" ")[0]
         writes = self.writes_by(word, text)
@@ -177,7 +179,7 @@
             return self.prepared.get(text.split(" ")[1], False)
         return word == "WRITE"
 
-    def judge_read(self, id: str, answer: Answer, asked: float) -> None:
+    def judge_read(self, id: str, answer: WireAnswer, asked: float) -> None:
         """Check the result of a read."""
         if not answer.rows or not answer.signature.startswith("mac"):
             self.promises.broken(f"{id} succeeded without rows or signature")
--- a/src/reedhook_standins/soak/faults.py
+++ b/src/reedhook_standins/soak/faults.py
@@ -6,42 +6,42 @@
 from random import Random
 from typing import Final
 
-from .hosts import HostProcess
-from .proxy import Link
-from .surroundings import Surroundings
+from .hosts import SoakHostProcess
+from .proxy import ProxyLink
+from .surroundings import SoakEnvironment
 
 LONGEST_PAUSE: Final = 14.0
 """Seconds; longer than any grant to use a primary lasts."""
 
 
-class Field:
+class FaultContext:
     """Hold the hosts and systems that faults act on."""
 
     def __init__(
-        self, hosts: list[HostProcess], around: Surroundings, random: Random
+        self, hosts: list[SoakHostProcess], around: SoakEnvironment, random: Random
     ) -> None:
         self.hosts = hosts
         self.around = around
         self.random = random
 
-    def some_hosts(self) -> list[HostProcess]:
+    def some_hosts(self) -> list[SoakHostProcess]:
         """Return a random selection of hosts, mostly one."""
         count = 1 if self.random.random() < 0.7 else self.random.randint(1, 3)
         return self.random.sample(self.hosts, min(count, len(self.hosts)))
 
 
-class Fault(ABC):
+class SoakFault(ABC):
     """Inject one kind of fault, and end it."""
 
     @abstractmethod
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         """Inject the fault, wait and end it; return its description."""
 
 
-class Killed(Fault):
+class Killed(SoakFault):
     """Kill a process and restart it."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             await host.kill()
@@ -51,10 +51,10 @@
         return f"killed {names(hosts)}"
 
 
-class Restarted(Fault):
+class Restarted(SoakFault):
     """Terminate a process gracefully and restart it, or several in turn."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             await host.end()
@@ -63,10 +63,10 @@
         return f"restarted {names(hosts)}"
 
 
-class Paused(Fault):
+class Paused(SoakFault):
     """Pause a process for a while."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         seconds = field.random.choice([0.4, 1.5, 4.0, LONGEST_PAUSE])
         for host in hosts:
@@ -77,10 +77,10 @@
         return f"paused {names(hosts)} for {seconds} s"
 
 
-class Reloaded(Fault):
+class Reloaded(SoakFault):
     """Reload a process's settings; the configuration changes, too."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             host.send(signal.SIGHUP)
@@ -88,10 +88,10 @@
         return f"reloaded {names(hosts)}"
 
 
-class LinkFault(Fault):
+class LinkFault(SoakFault):
     """Cut or delay the links of a host, in one direction or both."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         host = field.random.choice(field.hosts)
         kind = field.random.choice(["store", "promotions", "callers", "targets"])
         links = self.links(field, host, kind)
@@ -111,7 +111,9 @@
             link.heal()
         return f"{kind_of_fault} between {host.name} and {kind}"
 
-    def links(self, field: Field, host: HostProcess, kind: str) -> list[Link]:
+    def links(
+        self, field: FaultContext, host: SoakHostProcess, kind: str
+    ) -> list[ProxyLink]:
         """Return the links of a host to the named kind of peer."""
         if kind == "store":
             return [host.store.link]
@@ -125,10 +127,10 @@
         return field.random.sample(matching, field.random.randint(1, len(matching)))
 
 
-class StoreFault(Fault):
+class StoreFault(SoakFault):
     """Make the store silent or busy, or drop its history."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         store = field.around.store
         kind = field.random.choice(["silent", "busy", "forgets", "lapse"])
         if kind == "silent":
@@ -144,10 +146,10 @@
         return f"store {kind}"
 
 
-class TargetFault(Fault):
+class TargetFault(SoakFault):
     """Make a target stop, lag, receive nothing, leave, or have a full queue."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         group = field.around.group
         member = group.primary
         if field.random.random() < 0.4:
@@ -169,10 +171,10 @@
         return f"target {member.entry.target} {kind}"
 
 
-class StartedAgain(Fault):
+class StartedAgain(SoakFault):
     """Restart a target with an empty log, or corrupt its store entry."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         group = field.around.group
         member = field.random.choice(list(group.members.values()))
         target = member.entry.target
@@ -185,7 +187,7 @@
         return f"target {target} started again"
 
 
-FAULTS: Final[list[type[Fault]]] = [
+FAULTS: Final[list[type[SoakFault]]] = [
     Killed,
     Restarted,
     Paused,
@@ -197,10 +199,10 @@
     TargetFault,
 ]
 
-WITH_LIVES: Final[list[type[Fault]]] = [*FAULTS, StartedAgain]
+WITH_LIVES: Final[list[type[SoakFault]]] = [*FAULTS, StartedAgain]
 """Faults of new seeds; seeds kept as test cases draw from `FAULTS`."""
 
 
-def names(hosts: list[HostProcess]) -> str:
+def names(hosts: list[SoakHostProcess]) -> str:
     """Return the names of hosts."""
     return ", ".join(host.name for host in hosts)
--- a/src/reedhook_standins/soak/hosts.py
+++ b/src/reedhook_standins/soak/hosts.py
@@ -10,7 +10,7 @@
 
 from reedhook.process.start import ignore_reloads
 
-from .proxy import Link, Proxy
+from .proxy import Proxy, ProxyLink
 
 NETWORK: Final = "127.0.0."
 FIRST_NUMBER: Final = 10
@@ -26,7 +26,7 @@
 """Bytes of the log shown for a host that exited unexpectedly."""
 
 
-class HostProcess:
+class SoakHostProcess:
     """Start, disturb and end one host.
 
     Faults overlap: several may start and end one host at the same time, so each method
@@ -53,9 +53,9 @@
         self.folder = folder
         ports = free_ports(self.ip, PORTS)
         self.callers, self.ready, self.peers, self.metrics = sorted(ports)
-        self.store = Proxy(store, Link())
-        self.promotions = Proxy(promotions, Link())
-        self.front = Proxy(f"{self.ip}:{self.callers}", Link())
+        self.store = Proxy(store, ProxyLink())
+        self.promotions = Proxy(promotions, ProxyLink())
+        self.front = Proxy(f"{self.ip}:{self.callers}", ProxyLink())
         self.process: asyncio.subprocess.Process | None = None
         self.starting = asyncio.Lock()
         self.told: asyncio.subprocess.Process | None = None
--- a/src/reedhook_standins/soak/proxy.py
+++ b/src/reedhook_standins/soak/proxy.py
@@ -15,7 +15,7 @@
 """Bytes forwarded at a time."""
 
 
-class Link:
+class ProxyLink:
     """Describe the faults between two parties.
 
     :ivar delay: seconds by which each chunk is delayed.
@@ -42,17 +42,17 @@
     :param link: used by all connections; see `link_of`.
     """
 
-    def __init__(self, target: str, link: Link) -> None:
+    def __init__(self, target: str, link: ProxyLink) -> None:
         super().__init__()
         self.target = target
         self.link = link
-        self.open: dict[asyncio.StreamWriter, Link] = {}
+        self.open: dict[asyncio.StreamWriter, ProxyLink] = {}
 
-    def link_of(self, first: bytes) -> Link:
+    def link_of(self, first: bytes) -> ProxyLink:
         """Return the link of a connection that begins with these bytes."""
         return self.link
 
-    def reset(self, link: Link | None = None) -> None:
+    def reset(self, link: ProxyLink | None = None) -> None:
         """Break the connections of a link, or all."""
         for writer, connection_link in list(self.open.items()):
             if link is None or connection_link is link:
@@ -91,7 +91,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        link: Link,
+        link: ProxyLink,
         up: bool,
         data: bytes,
     ) -> None:
@@ -110,11 +110,11 @@
 class MemberProxy(Proxy):
     """Forward connections to a target, with a link for each host."""
 
-    def __init__(self, target: str, links: dict[str, Link]) -> None:
-        super().__init__(target, Link())
+    def __init__(self, target: str, links: dict[str, ProxyLink]) -> None:
+        super().__init__(target, ProxyLink())
         self.links = links
 
-    def link_of(self, first: bytes) -> Link:
+    def link_of(self, first: bytes) -> ProxyLink:
         fields = first.split(b"\r\n", 1)[0].decode("latin-1").split(" ")
         host = fields[WHO] if len(fields) > WHO else ""
         return self.links.get(host, self.link)
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -22,11 +22,11 @@
 
 from docopt import docopt
 
-from ..promises import Promises
+from ..promises import GuaranteeChecker
 from .caller import ROUTES, SessionEnded, WireCaller
-from .faults import FAULTS, WITH_LIVES, Fault, Field
-from .hosts import HostProcess
-from .surroundings import Surroundings
+from .faults import FAULTS, WITH_LIVES, FaultContext, SoakFault
+from .hosts import SoakHostProcess
+from .surroundings import SoakEnvironment
 
 ZONES: Final = ("z0", "z1", "z2")
 SETTLE: Final = 30.0
@@ -49,7 +49,7 @@
         hosts: int,
         seconds: float,
         folder: Path,
-        faults: list[type[Fault]] = FAULTS,
+        faults: list[type[SoakFault]] = FAULTS,
     ) -> None:
         self.faults = faults
         self.seed = seed
@@ -57,9 +57,9 @@
         self.folder = folder
         self.random = Random(seed)
         names = [f"h{index}" for index in range(hosts)]
-        self.around = Surroundings(list(ZONES), names)
+        self.around = SoakEnvironment(list(ZONES), names)
         self.names = names
-        self.hosts: list[HostProcess] = []
+        self.hosts: list[SoakHostProcess] = []
         self.done = 0
         self.callers = 0
         self.calling = True
@@ -68,7 +68,7 @@
     async def run(self) -> list[str]:
         """Run the seed; return the violated guarantees."""
         loop = asyncio.get_running_loop()
-        self.promises = Promises(self.around.group, loop.time)
+        self.promises = GuaranteeChecker(self.around.group, loop.time)
         self.promises.watch()
         self.folder.mkdir(parents=True, exist_ok=True)
         await self.around.start()
@@ -86,7 +86,7 @@
     async def play(self) -> None:
         """Start all hosts, inject faults, and check recovery."""
         for index, name in enumerate(self.names):
-            host = HostProcess(
+            host = SoakHostProcess(
                 index,
                 name,
                 ZONES[index % len(ZONES)],
@@ -109,7 +109,7 @@
 
     async def disturb(self) -> None:
         """Inject faults for a while, sequentially and overlapping."""
-        field = Field(self.hosts, self.around, self.random)
+        field = FaultContext(self.hosts, self.around, self.random)
         deadline = asyncio.get_running_loop().time() + self.seconds
         running: set[asyncio.Task[str]] = set()
         while asyncio.get_running_loop().time() < deadline:
@@ -149,14 +149,14 @@
                 proxy.link.heal()
             host.resume()
 
-    async def call(self, host: HostProcess) -> None:
+    async def call(self, host: SoakHostProcess) -> None:
         """Open sessions at a host and use them, one after another."""
         random = Random(f"{self.seed} {host.name}")
         while self.calling:
             await self.use(host, random)
             await asyncio.sleep(random.uniform(0.01, 0.2))
 
-    async def use(self, host: HostProcess, random: Random) -> None:
+    async def use(self, host: SoakHostProcess, random: Random) -> None:
         """Open one session and run a few operations."""
         self.callers += 1
         name = f"c{self.callers}"
@@ -186,7 +186,7 @@
         if left:
             self.promises.broken(f"{when}: not served within {SETTLE} s: {left}")
 
-    async def served(self, host: HostProcess, database: str) -> bool:
+    async def served(self, host: SoakHostProcess, database: str) -> bool:
         """Return whether a write and a read succeed at a host."""
         self.callers += 1
         caller = WireCaller(f"c{self.callers}", database, self.promises, self.random)
--- a/src/reedhook_standins/soak/surroundings.py
+++ b/src/reedhook_standins/soak/surroundings.py
@@ -12,7 +12,7 @@
 from ..keyvalue import KeyValueStandIn
 from ..wiredatabase import WireDatabase
 from .caller import ROUTES
-from .proxy import Link, MemberProxy
+from .proxy import MemberProxy, ProxyLink
 
 SERVICE: Final = "db"
 REPORT_EVERY: Final = 0.3
@@ -24,7 +24,7 @@
 KINDS: Final = {kind: word for word, kind in documents.ROUTE_KINDS.items()}
 
 
-class Surroundings:
+class SoakEnvironment:
     """Run the platform and the targets in the current process.
 
     :ivar links: between hosts and targets, by host and target.
@@ -37,7 +37,9 @@
         self.servers: dict[str, WireDatabase] = {}
         self.proxies: dict[str, MemberProxy] = {}
         self.links = {
-            (host, target): Link() for host in hosts for target in self.group.members
+            (host, target): ProxyLink()
+            for host in hosts
+            for target in self.group.members
         }
         self.announced: dict[str, bytes | None] = {}
         self.down_since: dict[str, float] = {}
--- a/src/reedhook_standins/transaction.py
+++ b/src/reedhook_standins/transaction.py
@@ -1,10 +1,10 @@
 """An interactive transaction, bound to one TCP connection."""
 
 from .engine import Engine
-from .log import Change, RequestKey, Rows
+from .log import LoggedStatement, RequestKey, Rows
 
 
-class Transaction:
+class SqlTransaction:
     """Execute steps on a copy of the rows, invisible to others before commit.
 
     :param term: the term in which it began.
@@ -19,10 +19,10 @@
         self.engine = engine
         self.term = term
         self.key = key
-        self.changes: list[Change] = []
+        self.changes: list[LoggedStatement] = []
         self.active = active
 
-    def step(self, change: Change) -> Rows:
+    def step(self, change: LoggedStatement) -> Rows:
         """Execute a statement; a failed one leaves the transaction open."""
         rows = self.engine.run(change, writable=True)
         if self.engine.wrote:
--- a/src/reedhook_standins/world.py
+++ b/src/reedhook_standins/world.py
@@ -31,10 +31,10 @@
 from .history import History
 from .member import Cut
 from .partition import (
-    Partition,
     PartitionedHostList,
     PartitionedPeers,
     PartitionedStore,
+    ZonePartition,
 )
 from .platform import Platform
 from .workload import MakeCaller
@@ -77,7 +77,7 @@
         self.settings: dict[str, Settings] = {}
         self.running: dict[str, HostDaemon] = {}
         self.http: aiohttp.ClientSession | None = None
-        self.partition = Partition(self.clock)
+        self.partition = ZonePartition(self.clock)
 
     async def __aenter__(self) -> "World":
         try:
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -33,7 +33,7 @@
 from reedhook.version.workspace import Workspace, Workspaces, key_digest
 from reedhook.wire import Json, decode, encode, wraps_decode_errors
 from reedhook_standins.database import DatabaseGroup
-from reedhook_standins.promises import Acknowledged, Promises, Sent, Viewer
+from reedhook_standins.promises import Acknowledged, GuaranteeChecker, Sent, Viewer
 
 from .fakes_clock import LoopClock
 from .fakes_keyspace import FakeStore
@@ -147,7 +147,7 @@
         ]
         self.hosts: dict[str, SessionHost] = {}
         self.lives = 0
-        self.promises = Promises(self.group, asyncio.get_running_loop().time)
+        self.promises = GuaranteeChecker(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
         self.callers = 0
 
@@ -221,7 +221,7 @@
         host.background.cancel()
         for lead in [
             *host.primary_leases.held.values(),
-            *host.primary_leases.backup_holders.found.values(),
+            *host.primary_leases.backup_holders.by_service.values(),
         ]:
             lead.stop()
         for member in self.group.members.values():
@@ -246,7 +246,7 @@
         holder = decode(self.store.items["reedhook/lead/db"].value or b"")["holder"]
         return self.hosts[holder["ref"][0]]
 
-    def deputy(self) -> SessionHost:
+    def backup_holder(self) -> SessionHost:
         """Return the backup holder."""
         record = decode(self.store.items["reedhook/lead/db"].value or b"")
         return self.hosts[record["deputy"]["ref"][0]]
--- a/tests/test_demo_outcome.py
+++ b/tests/test_demo_outcome.py
@@ -2,13 +2,19 @@
 
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
-from reedhook_standins.history import Attempt, Effect, Fault, History, ReadSeen
+from reedhook_standins.history import (
+    Effect,
+    History,
+    ReadSeen,
+    RecordedFault,
+    WriteAttempt,
+)
 from reedhook_standins.outcome import judge, text
 
 
-def write(serial: int, started: float, verdict: Verdict = Verdict.DONE) -> Attempt:
+def write(serial: int, started: float, verdict: Verdict = Verdict.DONE) -> WriteAttempt:
     reason = None if verdict is Verdict.DONE else "no_primary"
-    return Attempt(
+    return WriteAttempt(
         f"id-{serial}",
         "feed",
         "gate",
@@ -45,7 +51,7 @@
         [write(1, 1.0), write(2, 1.8, Verdict.NOT_RUN), write(2, 2.6)]
     )
     history.reads.extend([view(1.0, "replica")] * 3 + [view(1.5, "primary")])
-    history.faults.append(Fault("killed", "m1", "feed", 1.5))
+    history.faults.append(RecordedFault("killed", "m1", "feed", 1.5))
     effects = [
         Effect("id-1", "feed", "gate", 1, 1.05),
         Effect("id-2", "feed", "gate", 2, 2.65),
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -5,11 +5,11 @@
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
 from reedhook_standins.history import (
-    Attempt,
     Effect,
     History,
     Promise,
     ReadSeen,
+    WriteAttempt,
     violations,
 )
 
@@ -22,9 +22,9 @@
     verdict: Verdict = Verdict.DONE,
     session: str = "gate",
     repeated: bool = False,
-) -> Attempt:
+) -> WriteAttempt:
     reason = None if verdict is Verdict.DONE else "target_lost"
-    return Attempt(
+    return WriteAttempt(
         request_id,
         "feed",
         "gate",
@@ -70,7 +70,7 @@
 
 
 def violated_promises(
-    attempts: list[Attempt], reads: list[ReadSeen], effects: list[Effect]
+    attempts: list[WriteAttempt], reads: list[ReadSeen], effects: list[Effect]
 ) -> list[Promise]:
     history = History()
     history.attempts.extend(attempts)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -77,9 +77,9 @@
             manager.confirmation.request_state,
             request_during_stall,
         )
-        ended_rounds = manager.confirmation.ended
+        ended_rounds = manager.confirmation.ended_round
         manager.last_report_at.clear()
-        while manager.confirmation.ended == ended_rounds:
+        while manager.confirmation.ended_round == ended_rounds:
             manager.last_report_at.clear()
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.001)
--- a/tests/test_member_home.py
+++ b/tests/test_member_home.py
@@ -21,7 +21,7 @@
 )
 from reedhook.request.verdict import Verdict
 from reedhook_standins.database import DatabaseGroup
-from reedhook_standins.promises import Promises, Sent
+from reedhook_standins.promises import GuaranteeChecker, Sent
 
 from .fakes_clock import LoopClock, in_virtual_time
 from .fakes_members import FakeDriver, FakePhrases
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         clock = LoopClock()
         self.group = DatabaseGroup("db", ["z0"])
-        self.promises = Promises(self.group, asyncio.get_running_loop().time)
+        self.promises = GuaranteeChecker(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
         self.sent = 0
         self.home = SessionTargetHome(
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -268,7 +268,7 @@
     ]
     answers = await asyncio.gather(*calls_in_parallel)
     assert sorted(answer["seen"] for answer in answers) == [1, 2, 3]
-    link = peers.links[listener.ref.address]
+    link = peers.channel_pools[listener.ref.address]
     idle_channels = {one.channel for one in link.idle}
     assert len(idle_channels) == 3
     await peers.call(listener.ref, "note", {}, 1.0)
@@ -285,14 +285,14 @@
         for _ in range(MAX_IDLE_CHANNELS + 4)
     ]
     await asyncio.gather(*calls_in_parallel)
-    link = peers.links[listener.ref.address]
+    link = peers.channel_pools[listener.ref.address]
     assert len(link.idle) == MAX_IDLE_CHANNELS
     now = peers.clock.monotonic()
     peers.sweep(now + CLIENT_KEEPALIVE + 1.0)
     assert link.idle == []
-    assert peers.links == {listener.ref.address: link}
+    assert peers.channel_pools == {listener.ref.address: link}
     peers.sweep(now + LINK_IDLE_SECONDS + 1.0)
-    assert peers.links == {}
+    assert peers.channel_pools == {}
 
 
 @using(peers_and_listener)
--- a/tests/test_peer_tls.py
+++ b/tests/test_peer_tls.py
@@ -118,7 +118,7 @@
     assert not contexts.reload()
     async with HostPair(contexts, contexts.client) as pair:
         await pair.call()
-        link = pair.peers.links[pair.server.address]
+        link = pair.peers.channel_pools[pair.server.address]
         call = asyncio.create_task(pair.call("slow"))
         await asyncio.sleep(0.05)
         former_certificate = await served_certificate(pair.server.address)
@@ -126,7 +126,7 @@
         assert contexts.reload()
         assert await call == {"n": 1}
         assert await pair.call() == {"n": 1}
-        assert pair.peers.links[pair.server.address] is link
+        assert pair.peers.channel_pools[pair.server.address] is link
         assert await served_certificate(pair.server.address) != former_certificate
 
 
--- a/tests/test_pinning_properties.py
+++ b/tests/test_pinning_properties.py
@@ -16,7 +16,7 @@
 )
 from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup
-from reedhook_standins.promises import Promises, Sent, Viewer
+from reedhook_standins.promises import GuaranteeChecker, Sent, Viewer
 
 from .fakes_clock import LoopClock, run_virtual
 from .fakes_members import FakeDriver, FakePhrases
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         clock = LoopClock()
         self.group = DatabaseGroup("db", ["z0"])
-        self.promises = Promises(self.group, asyncio.get_running_loop().time)
+        self.promises = GuaranteeChecker(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
         self.home = SessionTargetHome(
             self.group.primary.entry,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -8,7 +8,7 @@
 
 from reedhook.platform.documents import PlatformDocuments
 from reedhook.platform.line import MAX_LINE_BYTES, LineError, LineReader, encode_line
-from reedhook.platform.settings import SettingsError, read, settings_path
+from reedhook.platform.settings import SettingsFileError, read, settings_path
 from reedhook.platform.text import (
     after,
     read_command,
@@ -316,7 +316,7 @@
 def test_invalid_settings_are_reported_with_their_line(
     old: str, new: str, message: str
 ) -> None:
-    with pytest.raises(SettingsError, match=message.replace(".", r"\.")):
+    with pytest.raises(SettingsFileError, match=message.replace(".", r"\.")):
         read(SETTINGS.replace(old, new))
 
 
@@ -324,7 +324,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.delenv("REEDHOOK_SETTINGS", raising=False)
-    with pytest.raises(SettingsError):
+    with pytest.raises(SettingsFileError):
         settings_path(None)
     monkeypatch.setenv("REEDHOOK_SETTINGS", "/x/settings.conf")
     assert str(settings_path(None)) == "/x/settings.conf"
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 from reedhook.request.position import Position
 from reedhook.version.route_table import RouteConsistency
 from reedhook_standins.database import DatabaseGroup, DatabaseSession
-from reedhook_standins.promises import Promises, Sent, Viewer
+from reedhook_standins.promises import GuaranteeChecker, Sent, Viewer
 
 
 class Case:
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.group = DatabaseGroup("db", ["z0", "z1", "z2"])
         self.at = 100.0
-        self.promises = Promises(self.group, lambda: self.at)
+        self.promises = GuaranteeChecker(self.group, lambda: self.at)
         self.promises.watch()
 
     def session(self, target: str = "db-0") -> DatabaseSession:
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -261,7 +261,7 @@
         async def crash_hosts() -> None:
             for _ in range(6):
                 await asyncio.sleep(2.0)
-                first = world.hosts[20].owner.first(hot)
+                first = world.hosts[20].owner.owner_of(hot)
                 assert first is not None
                 world.network.crash(first.host)
                 await asyncio.sleep(1.0)
@@ -371,7 +371,7 @@
 async def test_possibly_replaced_owner_grants_restricted_share() -> None:
     world = RateWorld([Workspace("w0", frozenset(), 1, 100.0, 100.0)], hosts=12)
     await world.start()
-    first = world.hosts[0].owner.first("w0")
+    first = world.hosts[0].owner.owner_of("w0")
     assert first is not None
     host = next(one for one in world.hosts if one.ref == first)
     granted = host.owner.grant(GrantRequest("w0", 1000)).count
@@ -421,7 +421,7 @@
 async def test_unresponsive_owner_is_skipped() -> None:
     world = RateWorld([Workspace("w0", frozenset(), 1, 50.0, 50.0)], hosts=12)
     await world.start()
-    first = world.hosts[0].owner.first("w0")
+    first = world.hosts[0].owner.owner_of("w0")
     assert first is not None
     world.network.pause(first.host)
     home = next(one for one in world.homes if one.ref != first)
--- a/tests/test_session_world.py
+++ b/tests/test_session_world.py
@@ -125,7 +125,7 @@
 async def test_lease_holder_backup_and_primary_are_in_three_zones(
     world: SessionWorld,
 ) -> None:
-    zones = {world.leader().me.zone, world.deputy().me.zone}
+    zones = {world.leader().me.zone, world.backup_holder().me.zone}
     assert len(zones | {world.group.primary.entry.zone}) == 3
 
 
@@ -139,7 +139,7 @@
     await world.start()
     await asyncio.sleep(4.0)
     assert world.leader().me.host not in weak
-    assert world.deputy().me.host not in weak
+    assert world.backup_holder().me.host not in weak
     caller = await world.caller("h10", "views")
     for _ in range(20):
         await caller.read()
@@ -184,7 +184,7 @@
 async def test_unreachable_primary_is_replaced_within_two_seconds(
     world: SessionWorld,
 ) -> None:
-    caller = await world.caller(world.deputy().me.host, "tickets")
+    caller = await world.caller(world.backup_holder().me.host, "tickets")
     await caller.write()
     world.group.primary.down = True
     outage_seconds = await first_success(caller, 6.0)
@@ -257,7 +257,7 @@
 async def test_backup_holder_serves_while_holder_and_store_are_unreachable(
     world: SessionWorld,
 ) -> None:
-    holder, backup = world.leader(), world.deputy()
+    holder, backup = world.leader(), world.backup_holder()
     await asyncio.sleep(5.0)
     world.store.silent |= {ref.host for ref in world.refs}
     await world.kill(holder.me.host)
@@ -267,7 +267,7 @@
 
 @using(a_world, run_virtual)
 async def test_backup_holder_stops_when_its_lease_expires(world: SessionWorld) -> None:
-    holder, backup = world.leader(), world.deputy()
+    holder, backup = world.leader(), world.backup_holder()
     await asyncio.sleep(5.0)
     world.store.silent |= {ref.host for ref in world.refs}
     await world.kill(holder.me.host)
@@ -437,7 +437,7 @@
         sent.append(location.target)
         raise not_run(RefusalReason.TRANSACTION_LOST, "its connection was lost", 50)
 
-    host.hops.run_at = lose  # type: ignore[method-assign]
+    host.forwarder.run_at = lose  # type: ignore[method-assign]
     await caller.run(SessionCommandKind.BEGIN_READ)
     reply = await caller.read()
     assert reply.refusal is not None
@@ -567,7 +567,7 @@
 ) -> None:
     holder = world.leader().me.host
     other = next(ref.host for ref in world.refs if ref.host != holder)
-    assert await world.hosts[other].promotion_duty.claim_role(None)
+    assert await world.hosts[other].promotion_coordinator.claim_role(None)
     await world.restart(other)
     await asyncio.sleep(4.0)
     caller = await world.caller(world.leader().me.host, "tickets")
--- a/tests/test_soak_hosts.py
+++ b/tests/test_soak_hosts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reedhook_standins.soak.hosts import HostProcess
+from reedhook_standins.soak.hosts import SoakHostProcess
 
 
 class Process:
@@ -54,18 +54,20 @@
 
 def host(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> tuple[HostProcess, Launches]:
+) -> tuple[SoakHostProcess, Launches]:
     """Return a host whose processes are fakes."""
     launches = Launches()
     monkeypatch.setattr(asyncio, "create_subprocess_exec", launches.launch)
-    process_host = HostProcess(0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2")
+    process_host = SoakHostProcess(
+        0, "h0", "z0", tmp_path, "127.0.0.1:1", "127.0.0.1:2"
+    )
     process_host.log_file.touch()
     return process_host, launches
 
 
 async def started(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> tuple[HostProcess, Launches]:
+) -> tuple[SoakHostProcess, Launches]:
     """Return a host whose first process runs."""
     process_host, launches = host(tmp_path, monkeypatch)
     launches.ready.set()
--- a/tests/test_standin_control.py
+++ b/tests/test_standin_control.py
@@ -9,7 +9,7 @@
 from reedhook.connection.target import TargetUnreachableError
 from reedhook.process.fleet.hostlist import ListedState
 from reedhook.wire import Json, decode, encode
-from reedhook_standins.control import Control
+from reedhook_standins.control import FaultControl
 from reedhook_standins.deployment import Deployment
 from reedhook_standins.platform import Platform, base_ports
 
@@ -20,7 +20,7 @@
 class Hand:
     """Call the control service."""
 
-    def __init__(self, platform: Platform, control: Control) -> None:
+    def __init__(self, platform: Platform, control: FaultControl) -> None:
         self.platform = platform
         self.control = control
 
@@ -35,7 +35,7 @@
 @asynccontextmanager
 async def hand_of(name: str = "plant") -> AsyncIterator[Hand]:
     platform = Platform(Deployment(name))
-    control = Control(platform)
+    control = FaultControl(platform)
     await platform.start()
     await control.listen()
     try:
--- a/tests/test_standin_replicated.py
+++ b/tests/test_standin_replicated.py
@@ -5,7 +5,7 @@
 from reedhook.clock import Clock
 from reedhook.request.position import Position
 from reedhook_standins.group import GroupStandin
-from reedhook_standins.log import Change
+from reedhook_standins.log import LoggedStatement
 from reedhook_standins.member import MemberStandin
 from reedhook_standins.service import ServiceRefusal
 
@@ -89,7 +89,7 @@
         leaders = [
             member for member in self.members if member.state.leader == member.name
         ]
-        change = Change("CREATE TABLE IF NOT EXISTS t (a)", [])
+        change = LoggedStatement("CREATE TABLE IF NOT EXISTS t (a)", [])
         leaders[number % len(leaders)].state.write(change, None)
 
     def ship(self, name: str, most: int) -> None:
--- a/tests/trace_replay.py
+++ b/tests/trace_replay.py
@@ -17,7 +17,13 @@
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
 from reedhook.wire import Json
-from reedhook_standins.history import Attempt, Effect, History, ReadSeen, violations
+from reedhook_standins.history import (
+    Effect,
+    History,
+    ReadSeen,
+    WriteAttempt,
+    violations,
+)
 
 from .test_promotion import SteppedController
 from .trace_target import BETWEEN
@@ -187,7 +193,7 @@
         verdict = Verdict(answer["verdict"])
         for row in rows:
             self.history.attempts.append(
-                Attempt(
+                WriteAttempt(
                     row,
                     GROUP,
                     row,
