--- a/src/reedhook/process/primary_lease/backup_holders.py
+++ b/src/reedhook/process/primary_lease/backup_holders.py
@@ -17,9 +17,8 @@
     """Act as backup holder where a record names this host, until told to stop.
 
     :ivar by_service: backup holders of this host, by service.
-    :ivar relinquished_up_to: by service, the record revision up to which this host has
-        promised
-        a holder not to act as backup.
+    :ivar relinquished_up_to: by service, the record revision up to which this host
+        has promised a holder not to act as backup.
     """
 
     def __init__(
