--- a/src/reedhook/platform/store.py
+++ b/src/reedhook/platform/store.py
@@ -38,7 +38,7 @@
 GONE: Final = 410
 CONFLICT: Final = 412
 
-MILLISECONDS: Final = 1000
+MS_PER_SECOND: Final = 1000
 
 MAX_SILENCE_SECONDS: Final = 1.0
 """Time without progress after which a partly received response is abandoned, so that
@@ -87,7 +87,7 @@
         query = {
             "prefix": prefix,
             "after": str(after),
-            "wait_ms": str(int(hold * MILLISECONDS)),
+            "wait_ms": str(int(hold * MS_PER_SECOND)),
         }
         timeout = hold + margin
         answer = await self.request("GET", WATCH, query, None, timeout)
@@ -118,7 +118,7 @@
         return int(require_ok(answer)["revision"])
 
     async def grant_lease(self, seconds: float, timeout: float) -> int:
-        body: Json = {"ttl_ms": int(seconds * MILLISECONDS)}
+        body: Json = {"ttl_ms": int(seconds * MS_PER_SECOND)}
         answer = await self.request("POST", LEASE, {}, body, timeout)
         return int(require_ok(answer)["lease"])
 
--- a/src/reedhook/process/administration/admin.py
+++ b/src/reedhook/process/administration/admin.py
@@ -22,7 +22,7 @@
 
 Handler: TypeAlias = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-GROUPS_AT_ONCE: Final = 16
+MAX_CONCURRENT_GROUPS: Final = 16
 OPERATOR: Final = web.RequestKey("operator", str)
 
 log = logbook.Logger("admin")
@@ -79,7 +79,7 @@
             groups = list(self.all_groups().values())
         else:
             groups = [self.group(name)]
-        semaphore = asyncio.Semaphore(GROUPS_AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_GROUPS)
         statuses = (self.group_status(group, semaphore) for group in groups)
         return respond(200, {"groups": await asyncio.gather(*statuses)})
 
--- a/src/reedhook/process/administration/admin_config.py
+++ b/src/reedhook/process/administration/admin_config.py
@@ -17,7 +17,7 @@
 
 INVALID_STATUS: Final = 422
 DEFAULT_HISTORY: Final = 20
-LONGEST_HISTORY: Final = 200
+MAX_HISTORY: Final = 200
 
 log = logbook.Logger("admin")
 
@@ -41,7 +41,7 @@
         """Answer ``GET /admin/config/history``."""
         require_known(request, ("limit",))
         limit = whole_number(request, "limit") or DEFAULT_HISTORY
-        heads = await self.editor.history(min(limit, LONGEST_HISTORY))
+        heads = await self.editor.history(min(limit, MAX_HISTORY))
         return respond(200, {"versions": [head.summary() for head in heads]})
 
     async def diff(self, request: web.Request) -> web.Response:
--- a/src/reedhook/process/administration/host_source.py
+++ b/src/reedhook/process/administration/host_source.py
@@ -16,7 +16,7 @@
 from .admin_source import AdminSource
 from .admin_status import HostPhase, HostStatus, KnownHost
 
-MILLISECONDS: Final = 1000
+MS_PER_SECOND: Final = 1000
 
 
 class HostSource(AdminSource):
@@ -47,7 +47,7 @@
         self.kept_metrics = kept_metrics
         self.drain = drain
         self.state = HostPhase.STARTING
-        self.started_ms = int(timeline.clock.wall() * MILLISECONDS)
+        self.started_ms = int(timeline.clock.wall() * MS_PER_SECOND)
 
     def now(self) -> float:
         return self.timeline.clock.monotonic()
@@ -60,7 +60,7 @@
             address=self.me.address,
             state=self.state,
             version=self.configuration.version,
-            in_force_ms=None if since is None else int(since * MILLISECONDS),
+            in_force_ms=None if since is None else int(since * MS_PER_SECOND),
             started_ms=self.started_ms,
             active=self.api.active_requests,
             homes=tuple(sorted(self.homes.held)),
--- a/src/reedhook/process/events/timeline_html.py
+++ b/src/reedhook/process/events/timeline_html.py
@@ -10,15 +10,15 @@
 from .timeline_merge import EventHistory, Failover, failovers, order
 from .timeline_text import clock_time, details, failover_lines, gaps
 
-LEFT: Final = 170
-TOP: Final = 40
-LANE: Final = 30
+LEFT_PIXELS: Final = 170
+TOP_PIXELS: Final = 40
+ROW_HEIGHT_PIXELS: Final = 30
 MARGIN: Final = 40
-NARROWEST_STEP: Final = 9.0
+MIN_STEP_PIXELS: Final = 9.0
 STEP_PER_DECADE: Final = 9.0
-WIDEST_STEP: Final = 60.0
+MAX_STEP_PIXELS: Final = 60.0
 LABEL_DISTANCE: Final = 110.0
-RADIUS: Final = 5
+MARK_RADIUS_PIXELS: Final = 5
 
 TROUBLE: Final = "#d55e00"
 AGREEMENT: Final = "#e69f00"
@@ -106,9 +106,12 @@
 
     def __init__(self, events: tuple[Event, ...]) -> None:
         hosts = sorted({event.host for event in events})
-        self.lanes = {host: TOP + LANE * (i + 0.5) for i, host in enumerate(hosts)}
+        self.lanes = {
+            host: TOP_PIXELS + ROW_HEIGHT_PIXELS * (i + 0.5)
+            for i, host in enumerate(hosts)
+        }
         self.places: list[MarkPosition] = []
-        x = float(LEFT)
+        x = float(LEFT_PIXELS)
         previous: Event | None = None
         for event in events:
             if previous is not None:
@@ -116,7 +119,7 @@
             self.places.append(MarkPosition(event, x, self.lanes[event.host]))
             previous = event
         self.width = x + MARGIN
-        self.height = TOP + LANE * len(hosts) + MARGIN
+        self.height = TOP_PIXELS + ROW_HEIGHT_PIXELS * len(hosts) + MARGIN
 
     def x_of(self, event: Event) -> float:
         """Return the horizontal position of `event` or of the next event after it."""
@@ -128,7 +131,9 @@
 def distance(earlier: Event, later: Event) -> float:
     """Return the distance between the marks of two adjacent events, in pixels."""
     elapsed_ms = max(0, later.stamp.wall_ms - earlier.stamp.wall_ms)
-    return min(WIDEST_STEP, NARROWEST_STEP + STEP_PER_DECADE * log10(1 + elapsed_ms))
+    return min(
+        MAX_STEP_PIXELS, MIN_STEP_PIXELS + STEP_PER_DECADE * log10(1 + elapsed_ms)
+    )
 
 
 def page_of(history: EventHistory, title: str = "Time line") -> str:
@@ -177,7 +182,7 @@
         yield from window(layout, failover)
     for host, y in layout.lanes.items():
         end = f"{layout.width:.0f}"
-        yield f'<line class="lane" x1="{LEFT}" x2="{end}" y1="{y}" y2="{y}"/>'
+        yield f'<line class="lane" x1="{LEFT_PIXELS}" x2="{end}" y1="{y}" y2="{y}"/>'
         yield f'<text x="8" y="{y + 4}">{escape(host)}</text>'
     yield from time_labels(layout)
     for place in layout.places:
@@ -192,9 +197,9 @@
     left = plan.x_of(failover.suspected[0])
     width = max(1.0, plan.x_of(failover.resumed) - left)
     subject = escape(failover.group)
-    place = f'x="{left:.1f}" y="{TOP}" width="{width:.1f}"'
+    place = f'x="{left:.1f}" y="{TOP_PIXELS}" width="{width:.1f}"'
     yield f'<rect class="failover" data-subject="{subject}" {place}'
-    yield f' height="{plan.height - TOP - MARGIN:.0f}"/>'
+    yield f' height="{plan.height - TOP_PIXELS - MARGIN:.0f}"/>'
 
 
 def time_labels(plan: Picture) -> Iterator[str]:
@@ -205,14 +210,16 @@
             continue
         next_x = place.x + LABEL_DISTANCE
         time = clock_time(place.event.stamp).split("T")[1]
-        yield f'<text class="time" x="{place.x:.1f}" y="{TOP - 14}">{time}</text>'
+        yield f'<text class="time" x="{place.x:.1f}" y="{TOP_PIXELS - 14}">{time}</text>'
 
 
 def mark(place: MarkPosition) -> str:
     """Return the mark of one event."""
     event = place.event
     colour = COLOURS.get(event.kind, OTHER)
-    attributes = f'cx="{place.x:.1f}" cy="{place.y}" r="{RADIUS}" fill="{colour}"'
+    attributes = (
+        f'cx="{place.x:.1f}" cy="{place.y}" r="{MARK_RADIUS_PIXELS}" fill="{colour}"'
+    )
     words = (clock_time(event.stamp), event.host, event.kind.value, event.subject)
     title = escape(" ".join((*words, details(event))))
     subject = escape(event.subject)
--- a/src/reedhook/process/host.py
+++ b/src/reedhook/process/host.py
@@ -45,7 +45,7 @@
 from .lifecycle import DRAIN_NOTICE_SECONDS, Lifecycle
 from .settings import Settings
 
-DRAIN_POLL: Final = 0.02
+DRAIN_POLL_SECONDS: Final = 0.02
 
 log = logbook.Logger("host")
 
@@ -274,7 +274,7 @@
         await asyncio.gather(self.homes.drain(), self.clock.sleep(DRAIN_NOTICE_SECONDS))
         self.api.draining = True
         while self.api.active_requests > 0:
-            await self.clock.sleep(DRAIN_POLL)
+            await self.clock.sleep(DRAIN_POLL_SECONDS)
         self.timeline.record(EventKind.DRAIN, self.me.host, step="done")
 
     async def close(self) -> None:
--- a/src/reedhook/process/network/listener.py
+++ b/src/reedhook/process/network/listener.py
@@ -11,7 +11,7 @@
 
 Runner: TypeAlias = web.AppRunner | web.ServerRunner
 
-POLL_INTERVAL: Final = 0.02
+POLL_INTERVAL_SECONDS: Final = 0.02
 
 
 class Listener:
@@ -68,8 +68,8 @@
         """
         try:
             async with asyncio.timeout(self.idle_grace):
-                await asyncio.sleep(POLL_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
                 while self.runner.server and self.runner.server.connections:
-                    await asyncio.sleep(POLL_INTERVAL)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
             return
--- a/src/reedhook/process/network/parsing.py
+++ b/src/reedhook/process/network/parsing.py
@@ -11,7 +11,7 @@
 from ...request.refusal import RefusalError, RefusalReason, not_run
 from ...wire import encode
 
-DETAIL_MOST: Final = 160
+MAX_DETAIL_CHARACTERS: Final = 160
 """Limit of the parser's message in a log line, since it quotes the request."""
 
 log = logbook.Logger("server")
@@ -64,5 +64,5 @@
 def malformed_request_refusal(message: str) -> RefusalError:
     """Return the refusal of a request that the parser rejected with `message`."""
     first_line = message.strip().partition("\n")[0]
-    detail = f"the request cannot be parsed: {first_line[:DETAIL_MOST]}"
+    detail = f"the request cannot be parsed: {first_line[:MAX_DETAIL_CHARACTERS]}"
     return not_run(RefusalReason.BAD_REQUEST, detail)
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -11,10 +11,15 @@
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_protocol import CLIENT_KEEPALIVE, CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX
+from .peer_protocol import (
+    CLIENT_KEEPALIVE_SECONDS,
+    CREDENTIAL,
+    MAX_PEER_BODY_BYTES,
+    PREFIX,
+)
 
 LINK_IDLE_SECONDS: Final = 60.0
-SWEEP_INTERVAL: Final = 10.0
+SWEEP_INTERVAL_SECONDS: Final = 10.0
 NEAR: Final = "zone"
 FAR: Final = "other_zones"
 
@@ -101,7 +106,7 @@
     def channel_pool(self, address: str) -> ChannelPool:
         """Return the connection pool of `address`; sweep idle pools periodically."""
         now = self.clock.monotonic()
-        if now - self.swept_at >= SWEEP_INTERVAL:
+        if now - self.swept_at >= SWEEP_INTERVAL_SECONDS:
             self.sweep(now)
         link = self.channel_pools.get(address)
         if link is None:
@@ -114,7 +119,7 @@
         """Close idle channels and drop the pools of peers that are not called."""
         self.swept_at = now
         for link in list(self.channel_pools.values()):
-            link.close_unused(now - CLIENT_KEEPALIVE)
+            link.close_unused(now - CLIENT_KEEPALIVE_SECONDS)
             if not link.in_use and now - link.used > LINK_IDLE_SECONDS:
                 self.retire(link)
 
--- a/src/reedhook/process/network/peer_server.py
+++ b/src/reedhook/process/network/peer_server.py
@@ -10,11 +10,16 @@
 from ...request.refusal import RefusalError, RefusalReason, may_have_run, not_run
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_protocol import CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX, SERVER_KEEPALIVE
+from .peer_protocol import (
+    CREDENTIAL,
+    MAX_PEER_BODY_BYTES,
+    PREFIX,
+    SERVER_KEEPALIVE_SECONDS,
+)
 from .plain_server import LENGTH, PlainRequest, PlainResponse, PlainServer
 
-SHUTDOWN: Final = 10.0
-IDLE_GRACE: Final = 0.2
+SHUTDOWN_TIMEOUT_SECONDS: Final = 10.0
+IDLE_GRACE_SECONDS: Final = 0.2
 HTTP_OK: Final = 200
 POST: Final = "POST"
 ENCODING: Final = "content-encoding"
@@ -36,15 +41,15 @@
         endpoint: "PeerEndpoint",
         address: str,
         tls: ssl.SSLContext | None = None,
-        shutdown: float = SHUTDOWN,
+        shutdown: float = SHUTDOWN_TIMEOUT_SECONDS,
     ) -> None:
         super().__init__(
             "peers",
             endpoint.handle,
             address,
             MAX_PEER_BODY_BYTES,
-            SERVER_KEEPALIVE,
-            IDLE_GRACE,
+            SERVER_KEEPALIVE_SECONDS,
+            IDLE_GRACE_SECONDS,
             tls,
             shutdown,
         )
--- a/src/reedhook/process/network/plain_server.py
+++ b/src/reedhook/process/network/plain_server.py
@@ -25,7 +25,7 @@
 MAX_HEAD_BYTES: Final = 16384
 """Limit of the request line and headers together."""
 
-REQUEST_TIMEOUT: Final = 5.0
+REQUEST_TIMEOUT_SECONDS: Final = 5.0
 """Time limit from the first byte of a request to its last."""
 
 REFUSED_READ_SECONDS: Final = 1.0
@@ -37,7 +37,7 @@
 MAX_QUEUED_REQUESTS: Final = 8
 """Limit of pipelined requests of one connection; hosts do not pipeline."""
 
-DETAIL_MOST: Final = 160
+MAX_DETAIL_CHARACTERS: Final = 160
 """Limit of the parser's message in a log line, since it quotes the request."""
 
 JSON_TYPE: Final = "application/json"
@@ -229,11 +229,11 @@
         if self.refused:
             return
         if not self.request_started:
-            self.restart_timeout(REQUEST_TIMEOUT)
+            self.restart_timeout(REQUEST_TIMEOUT_SECONDS)
         try:
             self.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade) as error:
-            detail = str(error)[:DETAIL_MOST]
+            detail = str(error)[:MAX_DETAIL_CHARACTERS]
             self.refuse(
                 not_run(
                     RefusalReason.BAD_REQUEST, f"the request cannot be parsed: {detail}"
--- a/src/reedhook/process/network/server.py
+++ b/src/reedhook/process/network/server.py
@@ -14,7 +14,7 @@
 from .listener import Listener, Runner
 from .parsing import RefusingServer
 
-IDLE_GRACE: Final = 1.0
+IDLE_GRACE_SECONDS: Final = 1.0
 
 Handler: TypeAlias = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -65,7 +65,7 @@
             max_line_size=self.limits.header_bytes,
             max_field_size=self.limits.header_bytes,
         )
-        self.listener = Listener(self.runner, self.address, IDLE_GRACE)
+        self.listener = Listener(self.runner, self.address, IDLE_GRACE_SECONDS)
         await self.listener.start(self.tls)
         self.address = self.listener.address
         log.info("The {} server is listening on {}.", self.name, self.address)
--- a/src/reedhook/process/network/sockets.py
+++ b/src/reedhook/process/network/sockets.py
@@ -9,7 +9,7 @@
 BACKLOG: Final = 1024
 """Length of the accept queue."""
 
-ACCEPT_TIME: Final = 0.05
+ACCEPT_TIME_SECONDS: Final = 0.05
 """Time for accepting the queued connections before the socket is closed."""
 
 
@@ -21,7 +21,7 @@
     "connection refused" once it is closed, which proves that nothing ran.
     """
     listener.listen(0)
-    await asyncio.sleep(ACCEPT_TIME)
+    await asyncio.sleep(ACCEPT_TIME_SECONDS)
 
 
 def bound_socket(address: str) -> socket.socket:
--- a/src/reedhook/process/network/tls.py
+++ b/src/reedhook/process/network/tls.py
@@ -11,7 +11,7 @@
 from ...clock import Clock
 from ..settings import TlsSettings
 
-RELOAD_INTERVAL: Final = 10.0
+RELOAD_INTERVAL_SECONDS: Final = 10.0
 
 FileVersions: TypeAlias = tuple[tuple[int, int], ...]
 
@@ -86,7 +86,7 @@
     async def watch_files(self, clock: Clock) -> None:
         """Poll the files and reload them after a change, until cancelled."""
         while True:
-            await clock.sleep(RELOAD_INTERVAL)
+            await clock.sleep(RELOAD_INTERVAL_SECONDS)
             self.reload()
 
 
--- a/src/reedhook/process/primary_lease/lease_manager.py
+++ b/src/reedhook/process/primary_lease/lease_manager.py
@@ -358,19 +358,19 @@
         if holder is None or record.holder == self.me or holder.draining:
             return
         if record.revision > holder.record.revision:
-            self.spawn_give_up(holder)
+            self.spawn_release(holder)
 
-    def spawn_give_up(self, lead: PrimaryLeaseHolder) -> None:
+    def spawn_release(self, holder: PrimaryLeaseHolder) -> None:
         """Release a lease in the background."""
-        lead.draining = True
-        self.releasing[lead.service] = self.background.spawn(self.release(lead))
+        holder.draining = True
+        self.releasing[holder.service] = self.background.spawn(self.release(holder))
 
-    async def release(self, lead: PrimaryLeaseHolder) -> None:
+    async def release(self, holder: PrimaryLeaseHolder) -> None:
         """Release a lease once its transactions have ended."""
-        await lead.release(DRAIN_TIMEOUT_SECONDS)
-        self.releasing.pop(lead.service, None)
-        if self.held.get(lead.service) is lead:
-            del self.held[lead.service]
+        await holder.release(DRAIN_TIMEOUT_SECONDS)
+        self.releasing.pop(holder.service, None)
+        if self.held.get(holder.service) is holder:
+            del self.held[holder.service]
 
     async def transfer_all(self) -> None:
         """Transfer all leases to other hosts before this host shuts down."""
@@ -394,7 +394,7 @@
                 break
         holder = self.held.get(service)
         if holder is not None and not holder.draining:
-            self.spawn_give_up(holder)
+            self.spawn_release(holder)
 
     async def close(self) -> None:
         """Stop using all primaries."""
--- a/src/reedhook/process/statsd_metrics.py
+++ b/src/reedhook/process/statsd_metrics.py
@@ -9,7 +9,7 @@
 from ..clock import Clock
 from ..metrics import MemoryMetrics
 
-FLUSH_INTERVAL: Final = 1.0
+FLUSH_INTERVAL_SECONDS: Final = 1.0
 TIMINGS_PER_FLUSH: Final = 50
 
 
@@ -44,7 +44,7 @@
         """Send metrics at each interval until cancelled, then send the rest."""
         try:
             while True:
-                await clock.sleep(FLUSH_INTERVAL)
+                await clock.sleep(FLUSH_INTERVAL_SECONDS)
                 self.flush()
         finally:
             self.close()
--- a/src/reedhook/process/tool/command_client.py
+++ b/src/reedhook/process/tool/command_client.py
@@ -9,8 +9,8 @@
 from .command_access import Endpoint
 from .command_error import CommandError, HostsUnreachableError, ToolExitCode
 
-TIMEOUT: Final = 30.0
-CONNECT_TIMEOUT: Final = 3.0
+REQUEST_TIMEOUT_SECONDS: Final = 30.0
+CONNECT_TIMEOUT_SECONDS: Final = 3.0
 BAD_INPUT: Final = frozenset({400, 404, 413, 422})
 CONFLICT: Final = 409
 REDIRECTION: Final = 300
@@ -80,7 +80,9 @@
         self.session = aiohttp.ClientSession(
             connector=SingleStepConnector(ssl=True if tls is None else tls),
             headers={"Authorization": f"Bearer {self.endpoint.credential}"},
-            timeout=aiohttp.ClientTimeout(TIMEOUT, sock_connect=CONNECT_TIMEOUT),
+            timeout=aiohttp.ClientTimeout(
+                REQUEST_TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS
+            ),
             cookie_jar=aiohttp.DummyCookieJar(),
             trust_env=False,
         )
--- a/tests/test_peer_http.py
+++ b/tests/test_peer_http.py
@@ -16,7 +16,7 @@
 from reedhook.process.events.timeline import Timeline
 from reedhook.process.network.peer_http import LINK_IDLE_SECONDS, HttpPeers
 from reedhook.process.network.peer_protocol import (
-    CLIENT_KEEPALIVE,
+    CLIENT_KEEPALIVE_SECONDS,
     CREDENTIAL,
     MAX_PEER_BODY_BYTES,
 )
@@ -288,7 +288,7 @@
     link = peers.channel_pools[listener.ref.address]
     assert len(link.idle) == MAX_IDLE_CHANNELS
     now = peers.clock.monotonic()
-    peers.sweep(now + CLIENT_KEEPALIVE + 1.0)
+    peers.sweep(now + CLIENT_KEEPALIVE_SECONDS + 1.0)
     assert link.idle == []
     assert peers.channel_pools == {listener.ref.address: link}
     peers.sweep(now + LINK_IDLE_SECONDS + 1.0)
