--- a/src/reedhook/process/events/timeline_html.py
+++ b/src/reedhook/process/events/timeline_html.py
@@ -210,7 +210,10 @@
             continue
         next_x = place.x + LABEL_DISTANCE
         time = clock_time(place.event.stamp).split("T")[1]
-        yield f'<text class="time" x="{place.x:.1f}" y="{TOP_PIXELS - 14}">{time}</text>'
+        yield (
+            f'<text class="time" x="{place.x:.1f}" '
+            f'y="{TOP_PIXELS - 14}">{time}</text>'
+        )
 
 
 def mark(place: MarkPosition) -> str:
