--- a/bench/gap.py
+++ b/bench/gap.py
@@ -1,4 +1,4 @@
-"""How long callers wait after a primary is lost, over many faults.
+"""Measure how long callers wait after a primary is lost, over many faults.
 
 Usage:
     gap [--deployment NAME] [--kind KIND] [--faults N] [--trace N]
@@ -33,7 +33,7 @@
 from reedhook.wire import Json
 from reedhook_standins.caller import GaveUp, WriteOrder
 from reedhook_standins.deployment import Deployment
-from reedhook_standins.history import Attempt, History
+from reedhook_standins.history import History, WriteAttempt
 from reedhook_standins.workload import DAYS, PATIENCE_S, Day, Table
 from reedhook_standins.world import World
 
@@ -50,22 +50,22 @@
 
 
 class Kind(ABC):
-    """Bring about one kind of fault at a group's primary, and undo it."""
+    """Inject one kind of fault at a group's primary, and end it."""
 
     def __init__(self, world: World) -> None:
         self.world = world
 
     @abstractmethod
     async def strike(self, member: str) -> None:
-        """Hit the primary `member`."""
+        """Inject the fault at the primary `member`."""
 
     @abstractmethod
     async def heal(self, member: str) -> None:
-        """Undo the fault."""
+        """End the fault."""
 
 
 class Kill(Kind):
-    """Let the target die; its connections break at once."""
+    """Kill the target; its connections break at once."""
 
     async def strike(self, member: str) -> None:
         await self.world.platform.members()[member].kill()
@@ -98,7 +98,7 @@
 
 
 class Loss(Record):
-    """Carry one lost primary.
+    """Represent one lost primary.
 
     :param at: when it was lost, monotonic seconds.
     :param wall_ms: the same by the wall clock.
@@ -120,7 +120,7 @@
 class Trial:
     """Run writers on all groups of a world while primaries are lost.
 
-    :ivar losses: what was lost, in order.
+    :ivar losses: the lost primaries, in order.
     """
 
     def __init__(self, world: World, kind: Kind, history: History) -> None:
@@ -134,7 +134,7 @@
         self.day: Day = DAYS[world.deployment.name](groups, make, world.random)
 
     async def run(self, faults: int) -> None:
-        """Bring about `faults` faults."""
+        """Inject `faults` faults."""
         await self.day.prepare()
         async with asyncio.TaskGroup() as tasks:
             for group in self.day.groups:
@@ -146,7 +146,7 @@
             self.stopped = True
 
     async def write(self, group: str, name: str) -> None:
-        """Raise one register again and again."""
+        """Raise one register repeatedly."""
         caller = self.day.make_caller(name, self.day.writers)
         table: Table = self.day.tables[0]
         version = 0
@@ -187,7 +187,11 @@
         """Return the addresses of the hosts in the zone of the lost primary."""
         zone = self.world.target_zones()[loss.member]
         settings = self.world.settings.values()
-        return {one.listen for one in settings if one.zone == zone}
+        return {
+            host_settings.listen
+            for host_settings in settings
+            if host_settings.zone == zone
+        }
 
 
 async def measure(name: str, kind: str, faults: int, traced: int) -> Json:
@@ -203,7 +207,7 @@
 
 
 def figures(trial: Trial) -> Json:
-    """Return the distributions of all losses."""
+    """Return the distributions over all losses."""
     events = trial.events()
     acks = trial.history.acknowledged()
     gaps = [gap(acks, loss) for loss in trial.losses]
@@ -227,27 +231,27 @@
     }
 
 
-def gap(acks: Iterable[Attempt], loss: Loss) -> float:
+def gap(acks: Iterable[WriteAttempt], loss: Loss) -> float:
     """Return milliseconds to the first acknowledged write sent after a loss."""
-    ended = [one.ended for one in acks if one.group == loss.group]
+    ack_times = [ack.ended for ack in acks if ack.group == loss.group]
     sent = [
-        one.ended for one in acks if one.group == loss.group and one.started > loss.at
+        ack.ended for ack in acks if ack.group == loss.group and ack.started > loss.at
     ]
-    return 1000 * (min(sent, default=max(ended)) - loss.at)
+    return 1000 * (min(sent, default=max(ack_times)) - loss.at)
 
 
-def caller_waits(acks: Iterable[Attempt], loss: Loss) -> list[float]:
+def caller_waits(acks: Iterable[WriteAttempt], loss: Loss) -> list[float]:
     """Return milliseconds from a loss to each caller's next acknowledgement.
 
-    What was acknowledged by the lost primary itself does not count: the
-    answer must be of a write that was sent after the loss, or is a retry.
+    Acknowledgements by the lost primary itself are excluded: the answer must be of a
+    write that was sent after the loss, or of a retry.
     """
-    first: dict[str, float] = {}
-    for one in acks:
-        if one.group == loss.group and one.started > loss.at:
-            known = first.get(one.session, one.ended)
-            first[one.session] = min(known, one.ended)
-    return [1000 * (ended - loss.at) for ended in first.values()]
+    first_acks: dict[str, float] = {}
+    for ack in acks:
+        if ack.group == loss.group and ack.started > loss.at:
+            previous = first_acks.get(ack.session, ack.ended)
+            first_acks[ack.session] = min(previous, ack.ended)
+    return [1000 * (ended - loss.at) for ended in first_acks.values()]
 
 
 def split(events: Iterable[Event], loss: Loss) -> dict[str, float]:
@@ -268,7 +272,7 @@
 
 
 def spread(values: Iterable[float]) -> dict[str, float] | None:
-    """Return median, 99th percentile and greatest of `values`."""
+    """Return median, 99th percentile and maximum of `values`."""
     ordered = sorted(values)
     if not ordered:
         return None
@@ -280,21 +284,25 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the value that `share` of the ordered values do not exceed."""
+    """Return the given percentile of ordered values."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 def trace(trial: Trial, loss: Loss) -> None:
-    """Print what callers and hosts saw of a loss."""
+    """Print the attempts and events around a loss."""
     cut = trial.cut_hosts(loss)
     lines: list[tuple[float, str]] = []
-    for one in trial.history.attempts:
-        if one.group != loss.group or not 0 <= one.ended - loss.at < FAULT_S:
+    for attempt in trial.history.attempts:
+        if attempt.group != loss.group or not 0 <= attempt.ended - loss.at < FAULT_S:
             continue
-        began, ended = (1000 * (at - loss.at) for at in (one.started, one.ended))
-        where = "near" if one.host in cut else "far"
-        what = one.reason or "ack"
-        lines.append((ended, f"{one.session} {where} {began:.0f}-{ended:.0f} {what}"))
+        started, ended = (
+            1000 * (at - loss.at) for at in (attempt.started, attempt.ended)
+        )
+        where = "near" if attempt.host in cut else "far"
+        what = attempt.reason or "ack"
+        lines.append(
+            (ended, f"{attempt.session} {where} {started:.0f}-{ended:.0f} {what}")
+        )
     for event in trial.events():
         at = event.stamp.wall_ms - loss.wall_ms
         if 0 <= at < 1000 * FAULT_S and event.subject == loss.group:
@@ -307,16 +315,16 @@
 
 
 def main(argv: list[str] | None = None) -> dict[str, Any]:
-    """Run as told by the command line; return the figures."""
+    """Run with command-line options; return the figures."""
     options = docopt.docopt(__doc__, argv)
     name, kind = options["--deployment"], options["--kind"]
     faults, traced = int(options["--faults"]), int(options["--trace"])
-    found = uvloop.run(measure(name, kind, faults, traced))
+    measured = uvloop.run(measure(name, kind, faults, traced))
     baseline = uvloop.run(fixed_detection(name))
     return {
         "deployment": name,
         "kind": kind,
-        **found,
+        **measured,
         "baseline_gap_ms": round(1000 * baseline, 1),
     }
 
--- a/src/reedhook/process/administration/host_source.py
+++ b/src/reedhook/process/administration/host_source.py
@@ -1,4 +1,4 @@
-"""What the administration API learns of this host and does to it."""
+"""Implementation of the administration API's interface to the host."""
 
 from collections.abc import Callable
 from typing import Final
@@ -16,14 +16,14 @@
 from .admin_source import AdminSource
 from .admin_status import HostPhase, HostStatus, KnownHost
 
-MILLISECONDS: Final = 1000
+MS_PER_SECOND: Final = 1000
 
 
 class HostSource(AdminSource):
-    """Answer the administration API from the parts of a host.
+    """Collect the state of a host for the administration API.
 
-    :param drain: begins to drain the host; returns at once.
-    :ivar state: what the host does now; the host sets it.
+    :param drain: starts to drain the host, without waiting for the end.
+    :ivar state: the current phase, set by the host.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.kept_metrics = kept_metrics
         self.drain = drain
         self.state = HostPhase.STARTING
-        self.started_ms = int(timeline.clock.wall() * MILLISECONDS)
+        self.started_ms = int(timeline.clock.wall() * MS_PER_SECOND)
 
     def now(self) -> float:
         return self.timeline.clock.monotonic()
@@ -60,7 +60,7 @@
             address=self.me.address,
             state=self.state,
             version=self.configuration.version,
-            in_force_ms=None if since is None else int(since * MILLISECONDS),
+            in_force_ms=None if since is None else int(since * MS_PER_SECOND),
             started_ms=self.started_ms,
             active=self.api.active_requests,
             homes=tuple(sorted(self.homes.held)),
@@ -80,7 +80,7 @@
         ]
 
     def version_of(self, host: str) -> int | None:
-        """Return the version that `host` last stated, or None."""
+        """Return the configuration version that `host` last reported, or None."""
         if host == self.me.host:
             return self.configuration.version
         return self.membership.configuration_versions.get(host)
@@ -106,5 +106,5 @@
         self.drain()
 
     def metrics(self) -> MemoryMetrics | None:
-        kept = self.kept_metrics
-        return kept if isinstance(kept, MemoryMetrics) else None
+        metrics = self.kept_metrics
+        return metrics if isinstance(metrics, MemoryMetrics) else None
--- a/src/reedhook/process/network/peer_http.py
+++ b/src/reedhook/process/network/peer_http.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts over HTTP; `peer_wire` tells the form."""
+"""Calls to other hosts over HTTP; see `peer_protocol` for the format."""
 
 import ssl
 from typing import Final
@@ -11,31 +11,36 @@
 from ...request.refusal import RefusalError
 from ...wire import Json, WireError, decode, encode
 from ..events.timeline import Timeline
-from .peer_protocol import CLIENT_KEEPALIVE, CREDENTIAL, MAX_PEER_BODY_BYTES, PREFIX
+from .peer_protocol import (
+    CLIENT_KEEPALIVE_SECONDS,
+    CREDENTIAL,
+    MAX_PEER_BODY_BYTES,
+    PREFIX,
+)
 
 LINK_IDLE_SECONDS: Final = 60.0
-SWEEP_INTERVAL: Final = 10.0
+SWEEP_INTERVAL_SECONDS: Final = 10.0
 NEAR: Final = "zone"
 FAR: Final = "other_zones"
 
 HEADERS_BYTES: Final = 220
-"""Bytes of the heads of a call and its answer."""
+"""Approximate size of the headers of a call and its response."""
 
 PATH_PREFIX: Final = PREFIX.lstrip("/")
 
 
 class HttpPeers(PeerClient):
-    """Call other hosts over kept-alive connections.
+    """Call other hosts over persistent connections.
 
-    Each peer has connections of its own. After a call without an answer all
-    of them are given up at once, since what lost track of one connection may
-    have lost its neighbours too; the next call opens a new one.
+    Each peer has its own pool of connections. A call without a response retires
+    the whole pool, since the fault may affect its other connections too; the next
+    call opens a new connection.
 
     :param me: this host.
     :param credential: the credential that all hosts share.
     :param context: TLS context of outgoing connections; None for plain HTTP.
-    :param metrics: counts the bytes of calls and their answers, by path, and apart
-        for hosts of this zone and of others.
+    :param metrics: counts the bytes of calls and responses by path, separately for
+        hosts of this zone and of other zones.
     """
 
     def __init__(
@@ -53,8 +58,8 @@
         self.timeline = timeline
         self.clock = clock
         self.context = context
-        self.links: dict[str, ChannelPool] = {}
-        self.swept = 0.0
+        self.channel_pools: dict[str, ChannelPool] = {}
+        self.swept_at = 0.0
 
     async def call(self, peer: HostRef, path: str, body: Json, timeout: float) -> Json:
         envelope = encode(
@@ -64,7 +69,7 @@
                 "body": body,
             }
         )
-        link = self.link(peer.address)
+        link = self.channel_pool(peer.address)
         try:
             answer = await link.exchange(
                 PATH_PREFIX + path, envelope, timeout, self.clock, MAX_PEER_BODY_BYTES
@@ -76,13 +81,17 @@
             self.retire(link)
             detail = f"{peer.host} did not answer: {error}"
             raise PeerError(detail, sent=True) from None
-        where = NEAR if peer.zone == self.me.zone else FAR
+        zone_label = NEAR if peer.zone == self.me.zone else FAR
         size = len(envelope) + len(answer.body) + HEADERS_BYTES
-        self.metrics.increment(f"peers.{path}.{where}_bytes", size)
+        self.metrics.increment(f"peers.{path}.{zone_label}_bytes", size)
         return self.read_answer(peer, answer.status, answer.body)
 
     def read_answer(self, peer: HostRef, status: int, raw: bytes) -> Json:
-        """Return the body of an answer or raise the refusal that it carries."""
+        """Return the body of a response or raise the refusal that it carries.
+
+        :raises RefusalError: if the peer refused the call.
+        :raises PeerError: if the response is malformed.
+        """
         try:
             message = decode(raw)
             self.timeline.observe(*message["stamp"])
@@ -91,36 +100,36 @@
             body: Json = message["body"]
             return body
         except (WireError, KeyError, TypeError, ValueError):
-            detail = f"{peer.host} gave no usable answer, status {status}"
+            detail = f"{peer.host} sent a malformed response, status {status}"
             raise PeerError(detail, sent=True) from None
 
-    def link(self, address: str) -> ChannelPool:
-        """Return the link to `address`; drop what nobody used for long."""
+    def channel_pool(self, address: str) -> ChannelPool:
+        """Return the connection pool of `address`; sweep idle pools periodically."""
         now = self.clock.monotonic()
-        if now - self.swept >= SWEEP_INTERVAL:
+        if now - self.swept_at >= SWEEP_INTERVAL_SECONDS:
             self.sweep(now)
-        link = self.links.get(address)
+        link = self.channel_pools.get(address)
         if link is None:
             link = ChannelPool(address, self.headers, self.context)
-            self.links[address] = link
+            self.channel_pools[address] = link
         link.used = now
         return link
 
     def sweep(self, now: float) -> None:
-        """Close channels and drop links that are idle; peers come and go."""
-        self.swept = now
-        for link in list(self.links.values()):
-            link.close_unused(now - CLIENT_KEEPALIVE)
+        """Close idle channels and drop the pools of peers that are not called."""
+        self.swept_at = now
+        for link in list(self.channel_pools.values()):
+            link.close_unused(now - CLIENT_KEEPALIVE_SECONDS)
             if not link.in_use and now - link.used > LINK_IDLE_SECONDS:
                 self.retire(link)
 
     def retire(self, link: ChannelPool) -> None:
-        """Let no further call use `link`."""
+        """Remove a pool so that no further call uses it."""
         link.retire()
-        if self.links.get(link.address) is link:
-            del self.links[link.address]
+        if self.channel_pools.get(link.address) is link:
+            del self.channel_pools[link.address]
 
     async def close(self) -> None:
-        for link in list(self.links.values()):
+        for link in list(self.channel_pools.values()):
             self.retire(link)
             link.abort_exchanges()
--- a/src/reedhook/process/primary_lease/lease_claim.py
+++ b/src/reedhook/process/primary_lease/lease_claim.py
@@ -65,17 +65,17 @@
         except KeyValueStoreError as error:
             left = round(self.validity.expires_at - requested_at, 2)
             self.decisions.record(
-                "tenure_unconfirmed", service=self.service, left=left, error=str(error)
+                "lease_unconfirmed", service=self.service, left=left, error=str(error)
             )
             return False
         if item is None:
             # The store never deletes the record, so this is only logged.
-            self.decisions.record("lead_record_missing", service=self.service)
+            self.decisions.record("lease_record_missing", service=self.service)
             return True
-        self.found(item, requested_at)
+        self.handle_item(item, requested_at)
         return True
 
-    def found(self, item: Item, requested_at: float) -> None:
+    def handle_item(self, item: Item, requested_at: float) -> None:
         """Process an item read from the store."""
         record = PrimaryLeaseRecord.from_item(item)
         if self.is_named(record):
@@ -100,11 +100,11 @@
             return await self.resolve(value)
         except KeyValueStoreError as error:
             self.decisions.record(
-                "lead_not_written", service=self.service, error=str(error)
+                "lease_not_written", service=self.service, error=str(error)
             )
             return await self.resolve(value)
         self.validity.extend(requested_at)
-        self.written(record.with_revision(revision))
+        self.set_stored(record.with_revision(revision))
         return True
 
     async def resolve(self, value: bytes) -> bool:
@@ -115,7 +115,7 @@
             )
         except KeyValueStoreError as error:
             self.decisions.record(
-                "lead_write_unknown", service=self.service, error=str(error)
+                "lease_write_unknown", service=self.service, error=str(error)
             )
             return False
         if item is None:
@@ -125,7 +125,7 @@
             self.registry.update(stored, "look")
             return False
         if item.value == value:
-            self.written(stored)
+            self.set_stored(stored)
             return True
         # An earlier write of this host took effect late. Keep the holders it names,
         # since they may have read it. Keep the primary known here: it is newer,
@@ -133,12 +133,12 @@
         self.record = stored.with_primary_of(self.record)
         return False
 
-    def unsaved(self, record: PrimaryLeaseRecord) -> None:
+    def set_unsaved(self, record: PrimaryLeaseRecord) -> None:
         """Use a record that is still to be written to the store."""
         self.record = record
         self.saved = False
 
-    def written(self, record: PrimaryLeaseRecord) -> None:
+    def set_stored(self, record: PrimaryLeaseRecord) -> None:
         """Use a record that is stored."""
         self.record = record
         self.saved = True
--- a/src/reedhook/process/primary_lease/lease_manager.py
+++ b/src/reedhook/process/primary_lease/lease_manager.py
@@ -257,12 +257,16 @@
         try:
             return await self.claim_at_store(service, requested, no_former_holders)
         except StoreUnansweredError as error:
-            self.decisions.record("lead_not_taken", service=service, error=str(error))
+            self.decisions.record(
+                "lease_not_acquired", service=service, error=str(error)
+            )
             if not requested:
                 self.background.spawn(self.request_claim_by_others(service))
             return False
         except KeyValueStoreError as error:
-            self.decisions.record("lead_not_taken", service=service, error=str(error))
+            self.decisions.record(
+                "lease_not_acquired", service=service, error=str(error)
+            )
             return False
         finally:
             self.claiming.discard(service)
@@ -282,7 +286,7 @@
                 )
             except (PeerError, RefusalError) as error:
                 self.decisions.record(
-                    "take_unanswered", host=host.host, error=str(error)
+                    "lease_transfer_unanswered", host=host.host, error=str(error)
                 )
                 continue
             if answer.get("taken") is True:
@@ -329,7 +333,7 @@
     def start_holding(self, record: PrimaryLeaseRecord, requested_at: float) -> None:
         """Start to use the primary under a claimed lease."""
         self.decisions.record(
-            "lead_taken",
+            "lease_acquired",
             service=record.service,
             revision=record.revision,
             former=[one.ref.host for one in record.former],
@@ -354,19 +358,19 @@
         if holder is None or record.holder == self.me or holder.draining:
             return
         if record.revision > holder.record.revision:
-            self.spawn_give_up(holder)
+            self.spawn_release(holder)
 
-    def spawn_give_up(self, lead: PrimaryLeaseHolder) -> None:
+    def spawn_release(self, holder: PrimaryLeaseHolder) -> None:
         """Release a lease in the background."""
-        lead.draining = True
-        self.releasing[lead.service] = self.background.spawn(self.release(lead))
+        holder.draining = True
+        self.releasing[holder.service] = self.background.spawn(self.release(holder))
 
-    async def release(self, lead: PrimaryLeaseHolder) -> None:
+    async def release(self, holder: PrimaryLeaseHolder) -> None:
         """Release a lease once its transactions have ended."""
-        await lead.release(DRAIN_TIMEOUT_SECONDS)
-        self.releasing.pop(lead.service, None)
-        if self.held.get(lead.service) is lead:
-            del self.held[lead.service]
+        await holder.release(DRAIN_TIMEOUT_SECONDS)
+        self.releasing.pop(holder.service, None)
+        if self.held.get(holder.service) is holder:
+            del self.held[holder.service]
 
     async def transfer_all(self) -> None:
         """Transfer all leases to other hosts before this host shuts down."""
@@ -384,11 +388,13 @@
             if await self.indirect_prober.transfer_lease(
                 service, host, no_former_holders
             ):
-                self.decisions.record("lead_passed_on", service=service, to=host.host)
+                self.decisions.record(
+                    "lease_transferred", service=service, to=host.host
+                )
                 break
         holder = self.held.get(service)
         if holder is not None and not holder.draining:
-            self.spawn_give_up(holder)
+            self.spawn_release(holder)
 
     async def close(self) -> None:
         """Stop using all primaries."""
--- a/src/reedhook_standins/calls.py
+++ b/src/reedhook_standins/calls.py
@@ -1,4 +1,4 @@
-"""The calls by which clients use one stand-in member."""
+"""The request handlers of one stand-in member."""
 
 import asyncio
 import re
@@ -9,9 +9,9 @@
 from reedhook.wire import Json
 
 from .engine import digest
-from .log import NO_ROWS, Change, RequestKey, Rows
+from .log import NO_ROWS, LoggedStatement, RequestKey, Rows
 from .service import AnswerLost, ServiceConnection, ServiceRefusal
-from .transaction import Transaction
+from .transaction import SqlTransaction
 
 if TYPE_CHECKING:
     from .member import MemberStandin
@@ -22,8 +22,8 @@
 TRANSACTION_DIGEST: Final = "transaction"
 
 
-class Calls:
-    """Answer the calls of `TargetConnection`, once faults let them pass."""
+class TargetCallHandler:
+    """Handle the calls of `TargetConnection` that no injected fault blocks."""
 
     def __init__(self, member: "MemberStandin") -> None:
         self.member = member
@@ -44,18 +44,18 @@
         }
 
     async def hello(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer the greeting of a client that names itself."""
+        """Accept the greeting of a client that names itself."""
         return {"member": self.member.name}
 
     async def read(self, connection: ServiceConnection, message: Json) -> Json:
-        """Run a read, whatever the role."""
+        """Run a read; allowed in every role."""
         change = change_of(message)
         await self.member.occupy(message["timeout"])
         rows = self.state.engine.read(change)
         return self.result(rows, self.state.visible)
 
     async def write(self, connection: ServiceConnection, message: Json) -> Json:
-        """Run a write on the primary, or give the result of its earlier run."""
+        """Run a write on the primary, or return the result of its earlier run."""
         change = change_of(message)
         key = key_of(message["request_id"], digest([change.sql, change.params]))
         timeout = message["timeout"]
@@ -74,7 +74,7 @@
             self.member.writing.release()
 
     async def begin(self, connection: ServiceConnection, message: Json) -> Json:
-        """Open a transaction, unless one with the same request id committed."""
+        """Open a transaction, unless one with the same request id has committed."""
         key = key_of(message["request_id"], TRANSACTION_DIGEST)
         if connection.transaction is not None:
             raise ServiceRefusal("bad_request", "a transaction is open", 400)
@@ -90,7 +90,7 @@
         if earlier is not None:
             self.member.writing.release()
             return self.result(earlier, self.state.held, repeated=True)
-        connection.transaction = Transaction(
+        connection.transaction = SqlTransaction(
             self.state.engine.copy(),
             self.state.leader_term,
             key,
@@ -130,11 +130,11 @@
         return {}
 
     async def tell_state(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer with the state."""
+        """Return the member's state."""
         return self.member.report().to_json()
 
     async def wait_state(self, connection: ServiceConnection, message: Json) -> Json:
-        """Answer with the state once its revision differs from the known one."""
+        """Return the state once its revision differs from the known one."""
         try:
             async with asyncio.timeout(message["hold"]):
                 while self.member.revision == message["revision"]:
@@ -160,7 +160,7 @@
         return self.member.terms_moved()
 
     def result(self, rows: Rows, position: Position, repeated: bool = False) -> Json:
-        """Return the result of a statement as it stands on the wire."""
+        """Encode the result of a statement for the wire."""
         return {
             "columns": rows.columns,
             "rows": rows.rows,
@@ -177,17 +177,17 @@
         return self.state.engine.known(key) if key is not None else None
 
 
-def change_of(message: Json) -> Change:
-    """Read a statement from the wire."""
+def change_of(message: Json) -> LoggedStatement:
+    """Parse a statement from the wire."""
     sql: Any = message["sql"]
     params: Any = message["params"]
     if not isinstance(sql, str) or not isinstance(params, list):
         raise ServiceRefusal("bad_request", "sql is text, params a list", 400)
-    return Change(sql, params)
+    return LoggedStatement(sql, params)
 
 
 def key_of(request_id: str | None, content: str) -> RequestKey | None:
-    """Read a request id, which begins with its time of issue."""
+    """Parse a request id, which begins with its time of issue."""
     if request_id is None:
         return None
     match = REQUEST_ID.fullmatch(request_id)
@@ -196,10 +196,10 @@
     return RequestKey(request_id, int(match[1]), content)
 
 
-def transaction_of(connection: ServiceConnection) -> Transaction:
+def transaction_of(connection: ServiceConnection) -> SqlTransaction:
     """Return the open transaction of a connection."""
     transaction = connection.transaction
-    if not isinstance(transaction, Transaction):
+    if not isinstance(transaction, SqlTransaction):
         raise unknown_transaction()
     return transaction
 
--- a/src/reedhook_standins/demo.py
+++ b/src/reedhook_standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a deployment's day with faults, and judge it.
+"""Run a deployment under a workload with faults, and check its guarantees.
 
 Usage:
     demo [--deployment NAME] [--seconds N] [--seed N] [--overlap] [--json]
@@ -25,8 +25,8 @@
 from reedhook.record import Record
 
 from .deployment import Deployment
-from .history import Fault, History
-from .outcome import Outcome, judge, text
+from .history import History, RecordedFault
+from .outcome import DayReport, judge, text
 from .truth import effects
 from .workload import DAYS
 from .world import World
@@ -35,11 +35,11 @@
 EXIT_BROKEN: Final = 1
 
 
-class Happening(Record):
-    """Carry something that happens during the day.
+class ScheduledAction(Record):
+    """Represent a scheduled action.
 
-    :param at: when, as a share of the day.
-    :param act: brings it about.
+    :param at: when, as a fraction of the run.
+    :param act: performs the action.
     """
 
     __slots__ = ("at", "act")
@@ -53,14 +53,14 @@
 OVERLAPPING: Final = (0.2, 0.5, 0.4, 0.7, 0.6, 0.8)
 
 
-class Programme:
-    """Bring about the faults of the day, and undo them.
+class FaultSchedule:
+    """Inject the faults of the run, and end them.
 
-    The first group's primary dies and returns; the zone of the second group's
-    primary is cut off while that primary still believes that it leads; the
-    home of the third group's primary dies and returns.
+    The first group's primary dies and returns; the zone of the second group's primary
+    is cut off while that member still acts as primary; the home of the third group's
+    primary dies and returns.
 
-    :param times: when each fault comes and goes, as shares of the day.
+    :param times: when each fault begins and ends, as fractions of the run.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.dead_member = self.groups[0].primary
         self.cut_zone = ""
         self.dead_host = ""
-        acts = [
+        actions = [
             self.kill_primary,
             self.return_primary,
             self.cut_zone_off,
@@ -80,11 +80,11 @@
             self.kill_home,
             self.return_home,
         ]
-        happenings = map(Happening, times, acts)
-        self.happenings = sorted(happenings, key=lambda one: one.at)
+        happenings = map(ScheduledAction, times, actions)
+        self.happenings = sorted(happenings, key=lambda happening: happening.at)
 
     async def run(self, seconds: float) -> None:
-        """Run the day's programme, which lasts `seconds`."""
+        """Run the schedule over `seconds`."""
         clock = self.world.clock
         start = clock.monotonic()
         for happening in self.happenings:
@@ -93,12 +93,12 @@
         await clock.sleep(start + seconds - clock.monotonic())
 
     async def kill_primary(self) -> None:
-        """Let the first group's primary die."""
+        """Kill the first group's primary."""
         self.note("primary killed", self.dead_member.name, self.groups[0].name)
         await self.dead_member.kill()
 
     async def return_primary(self) -> None:
-        """Let the dead primary return, which still believes that it leads."""
+        """Restart the dead primary, which still considers itself primary."""
         await self.dead_member.revive()
 
     async def cut_zone_off(self) -> None:
@@ -109,7 +109,7 @@
         self.world.cut_zone_off(self.cut_zone)
 
     async def heal_zone(self) -> None:
-        """Undo the cut."""
+        """Reconnect the zone."""
         self.world.heal_zone(self.cut_zone)
 
     async def kill_home(self) -> None:
@@ -120,19 +120,19 @@
         await self.world.kill_host(self.dead_host)
 
     async def return_home(self) -> None:
-        """Start the killed host again."""
+        """Restart the killed host."""
         await self.world.start_host(self.dead_host)
 
     def note(self, name: str, subject: str, group: str) -> None:
-        """Record a fault that comes now."""
+        """Record a fault that begins now."""
         now = self.world.clock.monotonic()
-        self.history.faults.append(Fault(name, subject, group, now))
+        self.history.faults.append(RecordedFault(name, subject, group, now))
 
 
 async def run_day(
     name: str, seconds: float, seed: int, times: Sequence[float] = ONE_BY_ONE
-) -> Outcome:
-    """Run the day of a deployment and return its report.
+) -> DayReport:
+    """Run a deployment's workload and faults, and return the report.
 
     :param times: see `Programme`.
     """
@@ -142,18 +142,20 @@
     async with World(Deployment(name), clock, rng) as world:
         day = DAYS[name](list(world.platform.groups), world.caller_of(history), rng)
         await day.prepare()
-        programme = Programme(world, history, times)
+        programme = FaultSchedule(world, history, times)
         start = clock.monotonic()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(day.run())
             await programme.run(seconds)
             day.stop()
-        held = [
+        group_effects = [
             effect
             for group in world.platform.groups.values()
             for effect in effects(group, type(day))
         ]
-        return judge(name, clock.monotonic() - start, history, held, day.gave_up)
+        return judge(
+            name, clock.monotonic() - start, history, group_effects, day.gave_up
+        )
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/src/reedhook_standins/outcome.py
+++ b/src/reedhook_standins/outcome.py
@@ -1,4 +1,4 @@
-"""The report of a day: what was promised, what was measured."""
+"""The report of a run: checked guarantees and measurements."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -9,7 +9,15 @@
 from reedhook.request.statement import Consistency
 from reedhook.wire import Json
 
-from .history import Attempt, Effect, Fault, History, Promise, Violation, violations
+from .history import (
+    Effect,
+    History,
+    Promise,
+    RecordedFault,
+    Violation,
+    WriteAttempt,
+    violations,
+)
 
 SHOWN_VIOLATIONS: Final = 10
 NAME_WIDTH: Final = 46
@@ -17,25 +25,25 @@
 
 
 class Gap(Record):
-    """Carry how long one group took no writes after a fault.
+    """Represent how long one group took no writes after a fault.
 
-    :param to_first_write: from the fault to the first acknowledgement of a
-        write that was sent after it, in seconds; None if none came.
-    :param longest: the longest time without an acknowledgement that the
-        fault lies in or precedes, in seconds.
+    :param to_first_write: seconds from the fault to the first acknowledgement of a
+        write that was sent after it; None if none came.
+    :param longest: the longest time in seconds without an acknowledgement that includes
+        or follows the fault.
     """
 
     __slots__ = ("fault", "to_first_write", "longest")
 
     def __init__(
-        self, fault: Fault, to_first_write: float | None, longest: float
+        self, fault: RecordedFault, to_first_write: float | None, longest: float
     ) -> None:
         self.fault = fault
         self.to_first_write = to_first_write
         self.longest = longest
 
     def to_json(self) -> Json:
-        """Return the gap for programs."""
+        """Return the gap as JSON."""
         return {
             "fault": self.fault.name,
             "subject": self.fault.subject,
@@ -45,11 +53,11 @@
         }
 
 
-class Outcome(Record):
-    """Carry the report of a day.
+class DayReport(Record):
+    """Represent the report of a run.
 
-    :param broken: the promises that did not hold.
-    :param missing: what should have happened and did not.
+    :param broken: the violated guarantees.
+    :param missing: expected events that did not happen.
     :param reads: answered reads by consistency and role.
     """
 
@@ -95,11 +103,11 @@
 
     @property
     def good(self) -> bool:
-        """Return whether the promises held and the main things happened."""
+        """Return whether the guarantees held and the expected events happened."""
         return not self.broken and not self.missing
 
     def replica_share(self, consistency: Consistency | None = None) -> float | None:
-        """Return the share of answered reads that replicas served."""
+        """Return the fraction of answered reads that replicas served."""
         counted = {
             role: sum(
                 count
@@ -112,7 +120,7 @@
         return counted["replica"] / total if total else None
 
     def to_json(self) -> Json:
-        """Return the report for programs."""
+        """Return the report as JSON."""
         counts = Counter(violation.promise for violation in self.broken)
         return {
             "deployment": self.deployment,
@@ -143,64 +151,67 @@
     history: History,
     effects: Iterable[Effect],
     gave_up: list[str],
-) -> Outcome:
-    """Return the report of `history`, given what the groups hold at its end."""
-    held = list(effects)
+) -> DayReport:
+    """Return the report of `history`, given the effects in the groups at its end."""
+    effect_list = list(effects)
     gaps = [gap for fault in history.faults if (gap := gap_after(history, fault))]
     reads = Counter(
         (read.consistency.value, read.role or "") for read in history.answered()
     )
     refusals = Counter(history.refusals())
-    outcome = Outcome(
+    outcome = DayReport(
         deployment=deployment,
         seconds=seconds,
         acknowledged=len(history.acknowledged()),
         attempts=len(history.attempts),
-        effects=len(held),
+        effects=len(effect_list),
         reads=reads,
         refusals=refusals,
         gave_up=gave_up,
         gaps=gaps,
-        broken=violations(history, held),
+        broken=violations(history, effect_list),
         missing=[],
     )
     outcome.missing.extend(what_is_missing(outcome))
     return outcome
 
 
-def gap_after(history: History, fault: Fault) -> Gap | None:
-    """Return how long writes stood still after a fault of a primary."""
+def gap_after(history: History, fault: RecordedFault) -> Gap | None:
+    """Return how long a group took no writes after a fault of its primary."""
     if fault.group is None:
         return None
-    acks = [one for one in history.acknowledged() if one.group == fault.group]
-    after = [one.ended for one in acks if one.ended > fault.at]
-    if not after:
+    acks = [
+        attempt for attempt in history.acknowledged() if attempt.group == fault.group
+    ]
+    later_acks = [attempt.ended for attempt in acks if attempt.ended > fault.at]
+    if not later_acks:
         return Gap(fault, None, history.end() - fault.at)
     return Gap(fault, first_new(acks, fault), longest_gap(acks, fault))
 
 
-def first_new(acks: list[Attempt], fault: Fault) -> float | None:
+def first_new(acks: list[WriteAttempt], fault: RecordedFault) -> float | None:
     """Return the time to the first write that was sent after the fault."""
     return min(
-        (one.ended - fault.at for one in acks if one.started > fault.at), default=None
+        (attempt.ended - fault.at for attempt in acks if attempt.started > fault.at),
+        default=None,
     )
 
 
-def longest_gap(acks: list[Attempt], fault: Fault) -> float:
+def longest_gap(acks: list[WriteAttempt], fault: RecordedFault) -> float:
     """Return the longest time without an acknowledgement around the fault."""
-    times = sorted(one.ended for one in acks)
+    ack_times = sorted(attempt.ended for attempt in acks)
     return max(
         (
             later - earlier
-            for earlier, later in pairwise(times)
+            for earlier, later in pairwise(ack_times)
             if later > fault.at and earlier < fault.at + AFTERMATH_S
         ),
         default=0.0,
     )
 
 
-def what_is_missing(outcome: Outcome) -> Iterator[str]:
-    """Say what should have happened in a day and did not."""
+def what_is_missing(outcome: DayReport) -> Iterator[str]:
+    """Yield the expected events that did not happen."""
     if not outcome.acknowledged:
         yield "no write was acknowledged"
     if not outcome.replica_share():
@@ -210,12 +221,12 @@
     for gap in outcome.gaps:
         if gap.to_first_write is None:
             yield f"writes to {gap.fault.group} did not resume"
-    for complaint in outcome.gave_up:
-        yield f"a caller gave up: {complaint}"
+    for message in outcome.gave_up:
+        yield f"a caller gave up: {message}"
 
 
-def text(outcome: Outcome) -> str:
-    """Return the report for a person."""
+def text(outcome: DayReport) -> str:
+    """Format the report as text."""
     counts = Counter(violation.promise for violation in outcome.broken)
     lines = [
         f"{outcome.deployment}, {outcome.seconds:.1f} s",
@@ -229,14 +240,14 @@
         line("writes that the groups hold", str(outcome.effects)),
         line("answered reads", str(sum(outcome.reads.values()))),
         line("share of reads served by replicas", percent(outcome.replica_share())),
-        *(share_line(outcome, one) for one in Consistency),
+        *(share_line(outcome, item) for item in Consistency),
         *(gap_line(gap) for gap in outcome.gaps),
         "",
         "Refusals that callers saw (each was retried)",
         *(line(reason, str(count)) for reason, count in outcome.refusals.most_common()),
         "",
-        *(f"MISSING: {one}" for one in outcome.missing),
-        *(broken_line(one) for one in outcome.broken[:SHOWN_VIOLATIONS]),
+        *(f"MISSING: {item}" for item in outcome.missing),
+        *(broken_line(item) for item in outcome.broken[:SHOWN_VIOLATIONS]),
         "All promises held." if outcome.good else "NOT GOOD.",
     ]
     return "\n".join(lines)
@@ -247,7 +258,7 @@
     return f"  {name:<{NAME_WIDTH}} {value:>10}"
 
 
-def share_line(outcome: Outcome, consistency: Consistency) -> str:
+def share_line(outcome: DayReport, consistency: Consistency) -> str:
     """Return the line of the replica share of one consistency."""
     share = percent(outcome.replica_share(consistency))
     return line(f"- {consistency.value} reads", share)
@@ -262,15 +273,15 @@
 
 
 def broken_line(violation: Violation) -> str:
-    """Return the line of one broken promise."""
+    """Return the line of one violated guarantee."""
     return f"BROKEN: {violation.promise.value}: {violation.subject}: {violation.detail}"
 
 
 def percent(share: float | None) -> str:
-    """Return a share for a person."""
+    """Format a fraction as a percentage."""
     return "-" if share is None else f"{share:.1%}"
 
 
 def rounded(value: float | None) -> float | None:
-    """Return a figure with the digits that it deserves."""
+    """Round a figure to the digits of the report."""
     return None if value is None else round(value, 4)
--- a/src/reedhook_standins/partition.py
+++ b/src/reedhook_standins/partition.py
@@ -1,4 +1,4 @@
-"""A network partition between zones, as the hosts' adapters feel it."""
+"""A network partition between zones, injected into the hosts' adapters."""
 
 from typing import Final
 
@@ -13,10 +13,10 @@
 LOST: Final = "the message was lost in the partition"
 
 
-class Partition:
-    """Know which zones are cut off from one another and from the platform.
+class ZonePartition:
+    """Record which zones are cut off from one another and from the platform.
 
-    :ivar cut_off: the zones that are cut off, each by itself.
+    :ivar cut_off: the isolated zones, each separated from all others.
     """
 
     __slots__ = ("cut_off", "clock")
@@ -31,12 +31,12 @@
 
 
 class PartitionedPeers(PeerClient):
-    """Lose calls across the partition, and answers that were under way.
+    """Drop calls across the partition, and the answers in flight.
 
     :param zone: the zone of the calling host.
     """
 
-    def __init__(self, peers: PeerClient, zone: str, partition: Partition) -> None:
+    def __init__(self, peers: PeerClient, zone: str, partition: ZonePartition) -> None:
         self.peers = peers
         self.zone = zone
         self.partition = partition
@@ -60,9 +60,9 @@
 
 
 class PartitionedStore(HttpStore):
-    """Lose calls of a zone that is cut off from the platform."""
+    """Drop calls of a zone that is cut off from the platform."""
 
-    def __init__(self, address: str, zone: str, partition: Partition) -> None:
+    def __init__(self, address: str, zone: str, partition: ZonePartition) -> None:
         super().__init__(address)
         self.zone = zone
         self.partition = partition
@@ -79,9 +79,9 @@
 
 
 class PartitionedHostList(HttpHostList):
-    """Lose calls of a zone that is cut off from the platform."""
+    """Drop calls of a zone that is cut off from the platform."""
 
-    def __init__(self, address: str, zone: str, partition: Partition) -> None:
+    def __init__(self, address: str, zone: str, partition: ZonePartition) -> None:
         super().__init__(address)
         self.zone = zone
         self.partition = partition
--- a/src/reedhook_standins/soak/caller.py
+++ b/src/reedhook_standins/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, who check what they are told."""
+"""Callers of the soak test, which check every answer."""
 
 import asyncio
 from random import Random
@@ -10,10 +10,10 @@
 from reedhook.request.position import Position
 from reedhook.version.route_table import RouteConsistency
 
-from ..promises import Promises, Sent, Viewer
+from ..promises import GuaranteeChecker, Sent, Viewer
 
 PATIENCE: Final = 3.0
-"""Seconds for an answer; a host's own bound of a statement is 0.8."""
+"""Seconds for an answer; must exceed a host's own statement limit of 0.8."""
 
 LONGEST_LINE: Final = 1 << 22
 """Bytes of one line of an answer: a read returns the whole log of its target."""
@@ -21,18 +21,18 @@
 WITHOUT_TRACE: Final = frozenset(
     {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOADED"}
 )
-"""Errors that promise that nothing is kept."""
+"""Errors that guarantee that the statement had no effect."""
 
 ROUTES: Final = {
     "tickets": (RouteConsistency.PRIMARY, None),
     "views": (RouteConsistency.BOUNDED, 1.5),
     "reports": (RouteConsistency.OWN_WRITES, 2.5),
 }
-"""Kind and greatest age in seconds of each database."""
+"""Consistency and maximum age in seconds of each database."""
 
 
-class Answer(Record):
-    """Carry the answer to one statement.
+class WireAnswer(Record):
+    """Represent the answer to one statement.
 
     :param error: empty for a success.
     """
@@ -55,17 +55,17 @@
 
 
 class SessionEnded(Exception):
-    """Say that the session has ended, or gives no answer."""
+    """Report that the session has ended or does not answer."""
 
 
 class WireCaller:
-    """Hold one session, and check each answer.
+    """Run one session, and check each answer.
 
     :ivar done: statements that succeeded.
     """
 
     def __init__(
-        self, name: str, database: str, promises: Promises, random: Random
+        self, name: str, database: str, promises: GuaranteeChecker, random: Random
     ) -> None:
         self.name = name
         self.database = database
@@ -110,11 +110,11 @@
         return data.decode("latin-1").rstrip("\r\n")
 
     def close(self) -> None:
-        """End the session; a transaction that is open is rolled back."""
+        """End the session; an open transaction is rolled back."""
         if self.writer is not None:
             self.writer.close()
 
-    async def ask(self, text: str) -> Answer:
+    async def ask(self, text: str) -> WireAnswer:
         """Send one statement and read its answer.
 
         :raises SessionEnded: if there is none in time.
@@ -124,7 +124,7 @@
         self.promises.sent[id] = Sent(
             text, self.transaction, dict(self.settings), dict(self.prepared)
         )
-        asked = self.promises.now()
+        sent_at = self.promises.now()
         assert self.writer is not None
         self.writer.write(f"QUERY {id} {text}\r\n".encode())
         try:
@@ -133,26 +133,28 @@
         except (OSError, TimeoutError) as error:
             raise SessionEnded(repr(error)) from error
         self.state = answer.state
-        self.judge(id, text, answer, asked)
+        self.judge(id, text, answer, sent_at)
         return answer
 
-    async def read_answer(self) -> Answer:
+    async def read_answer(self) -> WireAnswer:
         """Read the lines of one answer."""
         rows, signature, error = [], "", ""
         while True:
-            word, _, rest = (await self.line()).partition(" ")
+            word, _, content = (await self.line()).partition(" ")
             if word == "ROW":
-                rows.append(rest)
+                rows.append(content)
             elif word == "COMPLETE":
-                signature = rest
+                signature = content
             elif word == "ERROR":
-                error = rest.partition(" ")[0]
+                error = content.partition(" ")[0]
             else:
-                state, _, position = rest.partition(" ")
-                return Answer(rows, signature, error, state, read_position(position))
+                state, _, position = content.partition(" ")
+                return WireAnswer(
+                    rows, signature, error, state, read_position(position)
+                )
 
-    def judge(self, id: str, text: str, answer: Answer, asked: float) -> None:
-        """Compare an answer with what was promised."""
+    def judge(self, id: str, text: str, answer: WireAnswer, asked: float) -> None:
+        """Check an answer against the guarantees."""
         word = text.split(" ")[0]
         writes = self.writes_by(word, text)
         if answer.error:
@@ -172,13 +174,13 @@
             self.judge_read(id, answer, self.begun_at if self.transaction else asked)
 
     def writes_by(self, word: str, text: str) -> bool:
-        """Say whether a statement writes."""
+        """Return whether a statement writes."""
         if word == "EXECUTE":
             return self.prepared.get(text.split(" ")[1], False)
         return word == "WRITE"
 
-    def judge_read(self, id: str, answer: Answer, asked: float) -> None:
-        """Check what a read returned."""
+    def judge_read(self, id: str, answer: WireAnswer, asked: float) -> None:
+        """Check the result of a read."""
         if not answer.rows or not answer.signature.startswith("mac"):
             self.promises.broken(f"{id} succeeded without rows or signature")
             return
@@ -213,7 +215,7 @@
                 raise SessionEnded("an operation ended outside of idle")
 
     async def set(self, name: str, value: str) -> None:
-        """Set a value of the session."""
+        """Set a session variable."""
         answer = await self.ask(f"SET {name} {value}")
         if answer.error:
             raise SessionEnded(answer.error)
--- a/src/reedhook_standins/soak/faults.py
+++ b/src/reedhook_standins/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn at random and brought about from outside."""
+"""Random faults of the soak test, injected from outside the host processes."""
 
 import asyncio
 import signal
@@ -6,42 +6,42 @@
 from random import Random
 from typing import Final
 
-from .hosts import HostProcess
-from .proxy import Link
-from .surroundings import Surroundings
+from .hosts import SoakHostProcess
+from .proxy import ProxyLink
+from .surroundings import SoakEnvironment
 
 LONGEST_PAUSE: Final = 14.0
-"""Seconds; longer than any permission to use a primary lasts."""
+"""Seconds; longer than any grant to use a primary lasts."""
 
 
-class Field:
-    """Hold what faults act on."""
+class FaultContext:
+    """Hold the hosts and systems that faults act on."""
 
     def __init__(
-        self, hosts: list[HostProcess], around: Surroundings, random: Random
+        self, hosts: list[SoakHostProcess], around: SoakEnvironment, random: Random
     ) -> None:
         self.hosts = hosts
         self.around = around
         self.random = random
 
-    def some_hosts(self) -> list[HostProcess]:
-        """Return a few of the hosts, mostly one."""
+    def some_hosts(self) -> list[SoakHostProcess]:
+        """Return a random selection of hosts, mostly one."""
         count = 1 if self.random.random() < 0.7 else self.random.randint(1, 3)
         return self.random.sample(self.hosts, min(count, len(self.hosts)))
 
 
-class Fault(ABC):
-    """Bring one kind of trouble about, and end it."""
+class SoakFault(ABC):
+    """Inject one kind of fault, and end it."""
 
     @abstractmethod
-    async def strike(self, field: Field) -> str:
-        """Bring it about, let it last and end it; return what it was."""
+    async def strike(self, field: FaultContext) -> str:
+        """Inject the fault, wait and end it; return its description."""
 
 
-class Killed(Fault):
-    """A process is killed and starts again."""
+class Killed(SoakFault):
+    """Kill a process and restart it."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             await host.kill()
@@ -51,10 +51,10 @@
         return f"killed {names(hosts)}"
 
 
-class Restarted(Fault):
-    """A process is told to end, and starts again; others in series."""
+class Restarted(SoakFault):
+    """Terminate a process gracefully and restart it, or several in turn."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             await host.end()
@@ -63,10 +63,10 @@
         return f"restarted {names(hosts)}"
 
 
-class Paused(Fault):
-    """A process stands still for a while."""
+class Paused(SoakFault):
+    """Pause a process for a while."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         seconds = field.random.choice([0.4, 1.5, 4.0, LONGEST_PAUSE])
         for host in hosts:
@@ -77,10 +77,10 @@
         return f"paused {names(hosts)} for {seconds} s"
 
 
-class Reloaded(Fault):
-    """A process reads its settings anew; the configuration changes, too."""
+class Reloaded(SoakFault):
+    """Reload a process's settings; the configuration changes, too."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         hosts = field.some_hosts()
         for host in hosts:
             host.send(signal.SIGHUP)
@@ -88,87 +88,93 @@
         return f"reloaded {names(hosts)}"
 
 
-class LinkFault(Fault):
-    """A host is cut off from something, both ways or one, or slow to reach."""
+class LinkFault(SoakFault):
+    """Cut or delay the links of a host, in one direction or both."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         host = field.random.choice(field.hosts)
         kind = field.random.choice(["store", "promotions", "callers", "targets"])
         links = self.links(field, host, kind)
-        how = field.random.choice(["cut", "up", "down", "delay", "reset"])
+        kind_of_fault = field.random.choice(["cut", "up", "down", "delay", "reset"])
         for link in links:
-            link.up = how not in ("cut", "up")
-            link.down = how not in ("cut", "down")
-            link.delay = field.random.uniform(0.01, 0.3) if how == "delay" else 0.0
-        if how == "reset":
+            link.up = kind_of_fault not in ("cut", "up")
+            link.down = kind_of_fault not in ("cut", "down")
+            link.delay = (
+                field.random.uniform(0.01, 0.3) if kind_of_fault == "delay" else 0.0
+            )
+        if kind_of_fault == "reset":
             field.around.reset_links(host.name)
             for proxy in host.proxies:
                 proxy.reset()
         await asyncio.sleep(field.random.uniform(0.5, 9.0))
         for link in links:
             link.heal()
-        return f"{how} between {host.name} and {kind}"
+        return f"{kind_of_fault} between {host.name} and {kind}"
 
-    def links(self, field: Field, host: HostProcess, kind: str) -> list[Link]:
-        """Return the links of a host to what is named."""
+    def links(
+        self, field: FaultContext, host: SoakHostProcess, kind: str
+    ) -> list[ProxyLink]:
+        """Return the links of a host to the named kind of peer."""
         if kind == "store":
             return [host.store.link]
         if kind == "promotions":
             return [host.promotions.link]
         if kind == "callers":
             return [host.front.link]
-        found = [one for key, one in field.around.links.items() if key[0] == host.name]
-        return field.random.sample(found, field.random.randint(1, len(found)))
+        matching = [
+            link for key, link in field.around.links.items() if key[0] == host.name
+        ]
+        return field.random.sample(matching, field.random.randint(1, len(matching)))
 
 
-class StoreFault(Fault):
-    """The store is silent, busy, or forgets its history."""
+class StoreFault(SoakFault):
+    """Make the store silent or busy, or drop its history."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         store = field.around.store
-        how = field.random.choice(["silent", "busy", "forgets", "lapse"])
-        if how == "silent":
+        kind = field.random.choice(["silent", "busy", "forgets", "lapse"])
+        if kind == "silent":
             store.silent = True
-        elif how == "busy":
+        elif kind == "busy":
             store.status = field.random.choice([429, 503])
-        elif how == "forgets":
+        elif kind == "forgets":
             store.forget()
         else:
             store.end_leases()
         await asyncio.sleep(field.random.uniform(0.5, 9.0))
         store.silent, store.status = False, 0
-        return f"store {how}"
+        return f"store {kind}"
 
 
-class TargetFault(Fault):
-    """A target is dark, lags, receives nothing, leaves, or is full."""
+class TargetFault(SoakFault):
+    """Make a target stop, lag, receive nothing, leave, or have a full queue."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         group = field.around.group
         member = group.primary
         if field.random.random() < 0.4:
             member = field.random.choice(list(group.members.values()))
-        how = field.random.choice(["dark", "lag", "deaf", "leaving", "busy"])
-        if how == "dark":
+        kind = field.random.choice(["dark", "lag", "deaf", "leaving", "busy"])
+        if kind == "dark":
             member.down = True
-        elif how == "lag":
+        elif kind == "lag":
             member.lag = field.random.uniform(0.1, 3.0)
-        elif how == "deaf":
+        elif kind == "deaf":
             member.deaf = True
-        elif how == "busy":
+        elif kind == "busy":
             member.busy = field.random.randint(5, 200)
         else:
             field.around.leaving.add(member.entry.target)
         await asyncio.sleep(field.random.uniform(1.0, 8.0))
         member.heal()
         field.around.leaving.discard(member.entry.target)
-        return f"target {member.entry.target} {how}"
+        return f"target {member.entry.target} {kind}"
 
 
-class StartedAgain(Fault):
-    """A target starts again under its id and holds nothing, or is scribbled over."""
+class StartedAgain(SoakFault):
+    """Restart a target with an empty log, or corrupt its store entry."""
 
-    async def strike(self, field: Field) -> str:
+    async def strike(self, field: FaultContext) -> str:
         group = field.around.group
         member = field.random.choice(list(group.members.values()))
         target = member.entry.target
@@ -176,12 +182,12 @@
             field.around.scribble(target)
             return f"target {target} scribbled over"
         member.start_again()
-        # Only one of three may lose everything at a time: what is left holds all.
+        # At most one of three members may lose its log at a time.
         await asyncio.sleep(field.random.uniform(3.0, 8.0))
         return f"target {target} started again"
 
 
-FAULTS: Final[list[type[Fault]]] = [
+FAULTS: Final[list[type[SoakFault]]] = [
     Killed,
     Restarted,
     Paused,
@@ -193,10 +199,10 @@
     TargetFault,
 ]
 
-WITH_LIVES: Final[list[type[Fault]]] = [*FAULTS, StartedAgain]
-"""Drawn by new seeds; those that are kept as cases draw from the list above."""
+WITH_LIVES: Final[list[type[SoakFault]]] = [*FAULTS, StartedAgain]
+"""Faults of new seeds; seeds kept as test cases draw from `FAULTS`."""
 
 
-def names(hosts: list[HostProcess]) -> str:
+def names(hosts: list[SoakHostProcess]) -> str:
     """Return the names of hosts."""
     return ", ".join(host.name for host in hosts)
--- a/src/reedhook_standins/soak/soak.py
+++ b/src/reedhook_standins/soak/soak.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak.
+"""Run seeds of the soak test.
 
 Usage:
   soak [--seeds N] [--first SEED] [--hosts N] [--seconds S] [--folder DIR]
@@ -22,27 +22,26 @@
 
 from docopt import docopt
 
-from ..promises import Promises
+from ..promises import GuaranteeChecker
 from .caller import ROUTES, SessionEnded, WireCaller
-from .faults import FAULTS, WITH_LIVES, Fault, Field
-from .hosts import HostProcess
-from .surroundings import Surroundings
+from .faults import FAULTS, WITH_LIVES, FaultContext, SoakFault
+from .hosts import SoakHostProcess
+from .surroundings import SoakEnvironment
 
 ZONES: Final = ("z0", "z1", "z2")
 SETTLE: Final = 30.0
-"""Seconds in which all databases are to be served, before faults and after;
-generous, since a busy machine starts processes slowly."""
+"""Seconds in which all databases must be served, before and after the faults."""
 
 CALLERS_A_HOST: Final = 2
 MOST_AT_ONCE: Final = 3
-"""Faults that overlap."""
+"""Maximum of concurrent faults."""
 
 POLL: Final = 0.1
 FIRST_SEEDS: Final = 1_000_000
 
 
 class Soak:
-    """Run hosts under faults, and judge what callers and targets saw."""
+    """Run hosts under faults, and check what callers and targets saw."""
 
     def __init__(
         self,
@@ -50,7 +49,7 @@
         hosts: int,
         seconds: float,
         folder: Path,
-        faults: list[type[Fault]] = FAULTS,
+        faults: list[type[SoakFault]] = FAULTS,
     ) -> None:
         self.faults = faults
         self.seed = seed
@@ -58,18 +57,18 @@
         self.folder = folder
         self.random = Random(seed)
         names = [f"h{index}" for index in range(hosts)]
-        self.around = Surroundings(list(ZONES), names)
+        self.around = SoakEnvironment(list(ZONES), names)
         self.names = names
-        self.hosts: list[HostProcess] = []
+        self.hosts: list[SoakHostProcess] = []
         self.done = 0
         self.callers = 0
         self.calling = True
         self.struck: list[str] = []
 
     async def run(self) -> list[str]:
-        """Run the seed; return what was promised and not kept."""
+        """Run the seed; return the violated guarantees."""
         loop = asyncio.get_running_loop()
-        self.promises = Promises(self.around.group, loop.time)
+        self.promises = GuaranteeChecker(self.around.group, loop.time)
         self.promises.watch()
         self.folder.mkdir(parents=True, exist_ok=True)
         await self.around.start()
@@ -85,9 +84,9 @@
         return self.promises.violations
 
     async def play(self) -> None:
-        """Start all hosts, let faults come, and look for recovery."""
+        """Start all hosts, inject faults, and check recovery."""
         for index, name in enumerate(self.names):
-            host = HostProcess(
+            host = SoakHostProcess(
                 index,
                 name,
                 ZONES[index % len(ZONES)],
@@ -101,16 +100,16 @@
             await host.start()
         await self.until_served("before any fault")
         calls = [self.call(host) for host in self.hosts for _ in range(CALLERS_A_HOST)]
-        calling = [asyncio.ensure_future(one) for one in calls]
+        call_tasks = [asyncio.ensure_future(call) for call in calls]
         await self.disturb()
         self.heal()
         await self.until_served("after the last fault")
         self.calling = False
-        await asyncio.gather(*calling)
+        await asyncio.gather(*call_tasks)
 
     async def disturb(self) -> None:
-        """Bring faults about for a while, in series and overlapping."""
-        field = Field(self.hosts, self.around, self.random)
+        """Inject faults for a while, sequentially and overlapping."""
+        field = FaultContext(self.hosts, self.around, self.random)
         deadline = asyncio.get_running_loop().time() + self.seconds
         running: set[asyncio.Task[str]] = set()
         while asyncio.get_running_loop().time() < deadline:
@@ -120,44 +119,44 @@
             await asyncio.sleep(self.random.uniform(0.1, 1.5))
             running -= self.collect(running)
             self.check_processes()
-        for one in await asyncio.gather(*running):
-            self.struck.append(one)
+        for description in await asyncio.gather(*running):
+            self.struck.append(description)
 
     def collect(self, running: set[asyncio.Task[str]]) -> set[asyncio.Task[str]]:
-        """Return the faults that are over, and note what they were."""
-        over = {one for one in running if one.done()}
-        self.struck += [one.result() for one in over]
-        return over
+        """Return the faults still running, and record the finished ones."""
+        done = {task for task in running if task.done()}
+        self.struck += [task.result() for task in done]
+        return done
 
     def check_processes(self) -> None:
-        """Report processes that ended by themselves, each once."""
+        """Report processes that exited unexpectedly, each once."""
         for host in self.hosts:
-            if said := host.ended_by_itself():
+            if message := host.ended_by_itself():
                 host.told = host.process
-                self.promises.broken(said)
+                self.promises.broken(message)
 
     def check_tokens(self) -> None:
-        """Report promotions whose fencing tokens went back."""
+        """Report promotions whose fencing tokens decreased."""
         tokens = [token for _, _, token in self.around.group.promotions]
         if tokens != sorted(tokens):
             self.promises.broken(f"fencing tokens went back: {tokens}")
 
     def heal(self) -> None:
-        """End all faults that may be left."""
+        """End all remaining faults."""
         self.around.heal()
         for host in self.hosts:
             for proxy in host.proxies:
                 proxy.link.heal()
             host.resume()
 
-    async def call(self, host: HostProcess) -> None:
+    async def call(self, host: SoakHostProcess) -> None:
         """Open sessions at a host and use them, one after another."""
         random = Random(f"{self.seed} {host.name}")
         while self.calling:
             await self.use(host, random)
             await asyncio.sleep(random.uniform(0.01, 0.2))
 
-    async def use(self, host: HostProcess, random: Random) -> None:
+    async def use(self, host: SoakHostProcess, random: Random) -> None:
         """Open one session and run a few operations."""
         self.callers += 1
         name = f"c{self.callers}"
@@ -167,7 +166,7 @@
             await caller.open(host.front.address)
             await caller.operate()
         except SessionEnded:
-            # Sessions break under faults; what was acknowledged is judged.
+            # Sessions break under faults; acknowledged statements are still checked.
             pass
         finally:
             caller.close()
@@ -187,8 +186,8 @@
         if left:
             self.promises.broken(f"{when}: not served within {SETTLE} s: {left}")
 
-    async def served(self, host: HostProcess, database: str) -> bool:
-        """Say whether a write and a read succeed at a host."""
+    async def served(self, host: SoakHostProcess, database: str) -> bool:
+        """Return whether a write and a read succeed at a host."""
         self.callers += 1
         caller = WireCaller(f"c{self.callers}", database, self.promises, self.random)
         try:
@@ -205,8 +204,8 @@
 def main(argv: list[str] | None = None) -> int:
     """Run seeds; return the exit code."""
     arguments = docopt(__doc__, argv)
-    first = arguments["--first"]
-    seed = int(first) if first else Random().randrange(FIRST_SEEDS)
+    first_seed = arguments["--first"]
+    seed = int(first_seed) if first_seed else Random().randrange(FIRST_SEEDS)
     failed = 0
     for offset in range(int(arguments["--seeds"])):
         folder = Path(arguments["--folder"]) / str(seed + offset)
@@ -220,12 +219,12 @@
         violations = asyncio.run(soak.run())
         failed += bool(violations)
         report(soak, violations)
-    print(f"{arguments['--seeds']} seeds, {failed} with a broken promise")
+    print(f"{arguments['--seeds']} seeds, {failed} with violations")
     return 1 if failed else 0
 
 
 def report(soak: Soak, violations: list[str]) -> None:
-    """Print what became of a seed."""
+    """Print the result of a seed."""
     group = soak.around.group
     print(
         f"seed {soak.seed}: {soak.callers} sessions, {soak.done} statements done, "
@@ -233,8 +232,8 @@
         f"promotions, {len(soak.struck)} faults, {len(violations)} broken",
         flush=True,
     )
-    for one in violations[:5]:
-        print(f"  {one}")
+    for violation in violations[:5]:
+        print(f"  {violation}")
     if violations:
         print(f"  faults: {'; '.join(soak.struck)}")
 
--- a/src/reedhook_standins/transaction.py
+++ b/src/reedhook_standins/transaction.py
@@ -1,13 +1,13 @@
-"""An interactive transaction, pinned to one TCP connection."""
+"""An interactive transaction, bound to one TCP connection."""
 
 from .engine import Engine
-from .log import Change, RequestKey, Rows
+from .log import LoggedStatement, RequestKey, Rows
 
 
-class Transaction:
-    """Run steps on a copy of the rows, which no one else sees before commit.
+class SqlTransaction:
+    """Execute steps on a copy of the rows, invisible to others before commit.
 
-    :param term: the leader term in which it began.
+    :param term: the term in which it began.
     :param active: when its last statement ended, clock time in seconds.
     """
 
@@ -19,11 +19,11 @@
         self.engine = engine
         self.term = term
         self.key = key
-        self.changes: list[Change] = []
+        self.changes: list[LoggedStatement] = []
         self.active = active
 
-    def step(self, change: Change) -> Rows:
-        """Run a statement; one that fails leaves the transaction open."""
+    def step(self, change: LoggedStatement) -> Rows:
+        """Execute a statement; a failed one leaves the transaction open."""
         rows = self.engine.run(change, writable=True)
         if self.engine.wrote:
             self.changes.append(change)
--- a/tests/session_world.py
+++ b/tests/session_world.py
@@ -1,10 +1,10 @@
-"""Hosts that serve sessions, with store, targets and callers in one test.
+"""Session hosts with a store, targets and callers in one test.
 
 world = SessionWorld()
 await world.start()
 caller = world.caller("h1", "views")
 await caller.read()
-world.check()                # what was promised, against the truth
+world.check()                # compares the answers with the truth
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 from reedhook.version.workspace import Workspace, Workspaces, key_digest
 from reedhook.wire import Json, decode, encode, wraps_decode_errors
 from reedhook_standins.database import DatabaseGroup
-from reedhook_standins.promises import Acknowledged, Promises, Sent, Viewer
+from reedhook_standins.promises import Acknowledged, GuaranteeChecker, Sent, Viewer
 
 from .fakes_clock import LoopClock
 from .fakes_keyspace import FakeStore
@@ -60,7 +60,7 @@
 
 
 class PlainDocuments(StoreValueParser):
-    """Read the documents that a world writes."""
+    """Parse the documents that a world writes."""
 
     def is_table(self, key: str) -> bool:
         return key == TABLE_KEY
@@ -73,10 +73,10 @@
 
     def without_keys(self, value: bytes) -> bytes:
         message = decode(value)
-        for one in message.get("workspaces", []):
-            one["keys"] = [
+        for workspace in message.get("workspaces", []):
+            workspace["keys"] = [
                 key if key.startswith("#") else f"#{key_digest(key)}"
-                for key in one["keys"]
+                for key in workspace["keys"]
             ]
         return encode(message)
 
@@ -93,9 +93,9 @@
 def table(
     version: int, databases: list[str], workspaces: list[Json] | None = None
 ) -> RouteTable:
-    """Return a configuration with the databases that are named.
+    """Return a configuration with the named databases.
 
-    :param workspaces: with their keys, or digests behind a ``#``; without any, all
+    :param workspaces: with their keys, or digests after a ``#``; without any, all
         routes are public.
     """
     routes = {}
@@ -109,12 +109,12 @@
         {SERVICE: ServiceLimits(SERVICE, 16)},
         3.0,
         3.0,
-        Workspaces(read_workspace(one) for one in workspaces or []),
+        Workspaces(read_workspace(workspace) for workspace in workspaces or []),
     )
 
 
 def read_workspace(one: Json) -> Workspace:
-    """Return a workspace of a configuration of a world."""
+    """Parse a workspace of a world's configuration."""
     digests = frozenset(key.removeprefix("#") for key in one["keys"])
     rate = one.get("rate")
     burst = float(one.get("burst") or rate or 0.0)
@@ -122,7 +122,7 @@
 
 
 class SessionWorld:
-    """Six hosts in three zones before one group of three members."""
+    """Run six hosts in three zones before one group of three members."""
 
     def __init__(
         self,
@@ -147,17 +147,17 @@
         ]
         self.hosts: dict[str, SessionHost] = {}
         self.lives = 0
-        self.promises = Promises(self.group, asyncio.get_running_loop().time)
+        self.promises = GuaranteeChecker(self.group, asyncio.get_running_loop().time)
         self.promises.watch()
         self.callers = 0
 
     @property
     def acknowledged(self) -> list[Acknowledged]:
-        """Return the commits that callers were told of."""
+        """Return the acknowledged commits."""
         return self.promises.acknowledged
 
     async def start(self) -> None:
-        """Start all hosts and wait until somebody leads."""
+        """Start all hosts and wait for a holder of the primary lease."""
         self.configure(1, ["tickets", "views", "reports"])
         for member in self.group.members.values():
             self.announce(member.entry)
@@ -178,12 +178,12 @@
         self.store.write(TABLE_KEY, encode(message))
 
     def announce(self, entry: TargetAnnouncement) -> None:
-        """Write what a target announces."""
+        """Write a target's announcement."""
         value = encode({"entry": list(entry.values())})
         self.store.write(TARGET_PREFIX + entry.target, value)
 
     async def start_host(self, ref: HostRef) -> SessionHost:
-        """Start a host, in a new life if it ran before."""
+        """Start a host, as a new incarnation if it ran before."""
         self.lives += 1
         clock = self.network.clock(ref.host)
         routes = PeerRoutes()
@@ -211,17 +211,17 @@
         return host
 
     def settings_of(self, *values: Any) -> SessionHostSettings:
-        """Return the settings of a host; `values` as `HostingSettings` takes them."""
+        """Return the settings of a host; `values` are `SessionHostSettings` fields."""
         return SessionHostSettings(*values)
 
     async def kill(self, name: str) -> None:
-        """End a process without a word; its connections break."""
+        """Kill a process; its connections break."""
         host = self.hosts.pop(name)
         self.network.crash(name)
         host.background.cancel()
         for lead in [
             *host.primary_leases.held.values(),
-            *host.primary_leases.backup_holders.found.values(),
+            *host.primary_leases.backup_holders.by_service.values(),
         ]:
             lead.stop()
         for member in self.group.members.values():
@@ -231,7 +231,7 @@
 
     async def restart(self, name: str) -> SessionHost:
         """Kill a process and start it again."""
-        ref = next(one for one in self.refs if one.host == name)
+        ref = next(host_ref for host_ref in self.refs if host_ref.host == name)
         if name in self.hosts:
             await self.kill(name)
         return await self.start_host(ref)
@@ -242,19 +242,19 @@
             await self.hosts.pop(name).close()
 
     def leader(self) -> SessionHost:
-        """Return the host that the store names as the holder of the lead."""
+        """Return the host that the store names as the holder of the primary lease."""
         holder = decode(self.store.items["reedhook/lead/db"].value or b"")["holder"]
         return self.hosts[holder["ref"][0]]
 
-    def deputy(self) -> SessionHost:
-        """Return the host that stands in for the holder."""
+    def backup_holder(self) -> SessionHost:
+        """Return the backup holder."""
         record = decode(self.store.items["reedhook/lead/db"].value or b"")
         return self.hosts[record["deputy"]["ref"][0]]
 
     async def caller(self, host: str, database: str, key: str = "") -> "Caller":
         """Open a session.
 
-        :raises Refusal: if the host refuses.
+        :raises RefusalError: if the host refuses.
         """
         session = await self.hosts[host].caller_sessions.open_session(database, key)
         self.callers += 1
@@ -262,26 +262,26 @@
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone off from the others, and from the store."""
-        inside = {one.host for one in self.refs if one.zone == zone}
-        outside = {one.host for one in self.refs} - inside
-        self.network.isolate(inside, outside)
-        self.store.silent |= inside
+        zone_hosts = {host_ref.host for host_ref in self.refs if host_ref.zone == zone}
+        other_hosts = {host_ref.host for host_ref in self.refs} - zone_hosts
+        self.network.isolate(zone_hosts, other_hosts)
+        self.store.silent |= zone_hosts
         for member in self.group.members.values():
-            far = outside if member.entry.zone == zone else inside
-            for host in far:
+            unreachable = other_hosts if member.entry.zone == zone else zone_hosts
+            for host in unreachable:
                 self.group.cut(host, member.entry.target)
-            for other in self.group.members.values():
-                if (other.entry.zone == zone) != (member.entry.zone == zone):
-                    self.group.cut(member.entry.target, other.entry.target)
+            for peer in self.group.members.values():
+                if (peer.entry.zone == zone) != (member.entry.zone == zone):
+                    self.group.cut(member.entry.target, peer.entry.target)
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all cuts."""
         self.network.heal()
         self.store.silent.clear()
         self.group.cuts.clear()
 
     def check(self) -> None:
-        """Fail with what was promised and not kept."""
+        """Fail with the violated guarantees."""
         broken = [
             *self.network.failures,
             *self.group.violations,
@@ -294,7 +294,7 @@
 
 
 class Caller:
-    """One caller, which checks what it is told."""
+    """Run one caller, which checks every answer."""
 
     def __init__(self, world: SessionWorld, session: Session, name: str) -> None:
         self.world = world
@@ -317,30 +317,32 @@
         """Send one statement and check its answer."""
         self.sent += 1
         id = f"{self.name}-{self.sent}"
-        asked = asyncio.get_running_loop().time()
-        inside = self.session.state is SessionState.OPEN
+        sent_at = asyncio.get_running_loop().time()
+        in_transaction = self.session.state is SessionState.OPEN
         command = SessionCommand(kind, text or KINDS[kind], name, writes)
         if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
             self.transaction = id
         self.world.promises.sent[id] = Sent(
             command.text,
-            self.transaction if inside else "",
+            self.transaction if in_transaction else "",
             dict(self.values),
             dict(self.prepared),
         )
         reply = await self.session.run(id, command)
         done = reply.fault is StatementFault.NONE and reply.refusal is None
         if kind is SessionCommandKind.BEGIN or kind is SessionCommandKind.BEGIN_READ:
-            self.begun_at, self.wrote = asked, False
+            self.begun_at, self.wrote = sent_at, False
         if done and reply.rows:
-            self.check_read(reply, self.begun_at if inside else asked)
-        if done and kind is SessionCommandKind.WRITE and inside:
+            self.check_read(reply, self.begun_at if in_transaction else sent_at)
+        if done and kind is SessionCommandKind.WRITE and in_transaction:
             self.wrote = True
         commits = kind is SessionCommandKind.COMMIT and self.wrote
-        if done and (commits or (kind is SessionCommandKind.WRITE and not inside)):
+        if done and (
+            commits or (kind is SessionCommandKind.WRITE and not in_transaction)
+        ):
             self.acknowledge(reply)
         if not done and reply.refusal is not None:
-            self.check_refusal(id, kind, reply, inside)
+            self.check_refusal(id, kind, reply, in_transaction)
         return reply
 
     async def read(self) -> SessionReply:
@@ -352,14 +354,14 @@
         return await self.run(SessionCommandKind.WRITE)
 
     async def set(self, name: str, value: str) -> SessionReply:
-        """Set a value of the session."""
+        """Set a session variable."""
         reply = await self.run(SessionCommandKind.SET, f"SET {name} {value}", name)
         if reply.refusal is None:
             self.values[name] = value
         return reply
 
     async def prepare(self, name: str, writes: bool) -> SessionReply:
-        """Prepare a statement, or prepare it anew."""
+        """Prepare a statement, or replace a prepared one."""
         shape = "WRITE" if writes else "READ"
         text = f"PREPARE {name} {shape} q"
         reply = await self.run(SessionCommandKind.PREPARE, text, name, writes)
@@ -368,7 +370,7 @@
         return reply
 
     def acknowledge(self, reply: SessionReply) -> None:
-        """Remember a commit; one at a superseded primary breaks a promise."""
+        """Record a commit; one at a superseded primary is a violation."""
         assert reply.position is not None
         if reply.position.term < self.world.group.primary.term:
             self.world.promises.broken(
@@ -377,7 +379,7 @@
         self.world.promises.acknowledge(self.name, reply.position, self.session.name)
 
     def check_read(self, reply: SessionReply, asked: float) -> None:
-        """Compare what a read saw with what it must not miss."""
+        """Check that a read saw every commit it must see."""
         kind, max_age = KINDS_OF_ROUTES[self.session.database]
         viewer = Viewer(
             self.name, self.session.name, kind, max_age, self.values, self.prepared
@@ -387,7 +389,7 @@
     def check_refusal(
         self, id: str, kind: SessionCommandKind, reply: SessionReply, inside: bool
     ) -> None:
-        """A write that is said not to have run must not have run."""
+        """Check that a write answered "not run" has not run."""
         assert reply.refusal is not None
         if reply.refusal.verdict is not Verdict.NOT_RUN or inside:
             return
--- a/tests/test_demo_outcome.py
+++ b/tests/test_demo_outcome.py
@@ -1,14 +1,20 @@
-"""The report of a day."""
+"""The report of a demo run."""
 
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
-from reedhook_standins.history import Attempt, Effect, Fault, History, ReadSeen
+from reedhook_standins.history import (
+    Effect,
+    History,
+    ReadSeen,
+    RecordedFault,
+    WriteAttempt,
+)
 from reedhook_standins.outcome import judge, text
 
 
-def write(serial: int, started: float, verdict: Verdict = Verdict.DONE) -> Attempt:
+def write(serial: int, started: float, verdict: Verdict = Verdict.DONE) -> WriteAttempt:
     reason = None if verdict is Verdict.DONE else "no_primary"
-    return Attempt(
+    return WriteAttempt(
         f"id-{serial}",
         "feed",
         "gate",
@@ -40,12 +46,12 @@
     )
 
 
-def day(history: History) -> tuple[list[Effect], History]:
+def failover_history(history: History) -> tuple[list[Effect], History]:
     history.attempts.extend(
         [write(1, 1.0), write(2, 1.8, Verdict.NOT_RUN), write(2, 2.6)]
     )
     history.reads.extend([view(1.0, "replica")] * 3 + [view(1.5, "primary")])
-    history.faults.append(Fault("killed", "m1", "feed", 1.5))
+    history.faults.append(RecordedFault("killed", "m1", "feed", 1.5))
     effects = [
         Effect("id-1", "feed", "gate", 1, 1.05),
         Effect("id-2", "feed", "gate", 2, 2.65),
@@ -53,8 +59,8 @@
     return effects, history
 
 
-def test_a_day_with_a_failover_is_good() -> None:
-    effects, history = day(History())
+def test_run_with_failover_passes() -> None:
+    effects, history = failover_history(History())
     outcome = judge("plant", 3.0, history, effects, [])
     assert outcome.good
     assert outcome.acknowledged == 2
@@ -67,16 +73,16 @@
     assert "failover gap, killed m1" in text(outcome)
 
 
-def test_a_broken_promise_shows_and_is_not_good() -> None:
-    effects, history = day(History())
+def test_violation_is_reported_and_fails_the_run() -> None:
+    effects, history = failover_history(History())
     outcome = judge("plant", 3.0, history, effects[:1], [])
     assert not outcome.good
     assert outcome.to_json()["promises"]["acknowledged writes lost"] == 1
     assert "BROKEN: acknowledged writes lost: id-2" in text(outcome)
 
 
-def test_a_day_on_which_the_main_things_did_not_happen_is_not_good() -> None:
-    effects, history = day(History())
+def test_run_without_expected_events_fails() -> None:
+    effects, history = failover_history(History())
     history.attempts.pop()
     history.reads = [view(1.0, "primary")]
     outcome = judge("plant", 3.0, history, effects[:1], ["gate: still no_primary"])
@@ -87,8 +93,8 @@
     ]
 
 
-def test_a_day_without_a_fault_is_not_good() -> None:
-    effects, history = day(History())
+def test_run_without_faults_fails() -> None:
+    effects, history = failover_history(History())
     history.faults.clear()
     outcome = judge("plant", 3.0, history, effects, [])
     assert outcome.missing == ["no primary was lost"]
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,15 +1,15 @@
-"""The check of what callers saw, on crafted histories."""
+"""The guarantee checks on crafted histories of callers."""
 
 import pytest
 
 from reedhook.request.statement import Consistency
 from reedhook.request.verdict import Verdict
 from reedhook_standins.history import (
-    Attempt,
     Effect,
     History,
     Promise,
     ReadSeen,
+    WriteAttempt,
     violations,
 )
 
@@ -22,9 +22,9 @@
     verdict: Verdict = Verdict.DONE,
     session: str = "gate",
     repeated: bool = False,
-) -> Attempt:
+) -> WriteAttempt:
     reason = None if verdict is Verdict.DONE else "target_lost"
-    return Attempt(
+    return WriteAttempt(
         request_id,
         "feed",
         "gate",
@@ -69,8 +69,8 @@
     return Effect(request_id, "feed", "gate", version, committed)
 
 
-def found(
-    attempts: list[Attempt], reads: list[ReadSeen], effects: list[Effect]
+def violated_promises(
+    attempts: list[WriteAttempt], reads: list[ReadSeen], effects: list[Effect]
 ) -> list[Promise]:
     history = History()
     history.attempts.extend(attempts)
@@ -83,101 +83,105 @@
 EFFECTS = [effect("a", 1, 1.1), effect("b", 2, 2.1)]
 
 
-def test_a_history_that_keeps_all_promises_passes() -> None:
+def test_history_without_violations_passes() -> None:
     reads = [
         read(2, 2.3, Consistency.FRESH),
         read(2, 2.5, Consistency.SESSION),
         read(1, 2.7, Consistency.MAX_AGE, age=0.8, session="clerk"),
         read(0, 2.9, Consistency.FRESH, reason="unconfirmed"),
     ]
-    assert found([FIRST, SECOND], reads, EFFECTS) == []
+    assert violated_promises([FIRST, SECOND], reads, EFFECTS) == []
 
 
-def test_an_acknowledged_write_that_no_group_holds_is_lost() -> None:
-    assert found([FIRST, SECOND], [], EFFECTS[:1]) == [Promise.LOST]
+def test_missing_acknowledged_write_is_reported_as_lost() -> None:
+    assert violated_promises([FIRST, SECOND], [], EFFECTS[:1]) == [Promise.LOST]
 
 
-def test_a_write_in_doubt_may_be_missing() -> None:
-    doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
-    assert found([FIRST, doubt], [], EFFECTS[:1]) == []
+def test_write_in_doubt_may_be_missing() -> None:
+    in_doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
+    assert violated_promises([FIRST, in_doubt], [], EFFECTS[:1]) == []
 
 
-def test_a_write_that_took_effect_twice_is_doubled() -> None:
-    again = [*EFFECTS, effect("b", 2, 2.4)]
-    assert found([FIRST, SECOND], [], again) == [Promise.DOUBLED]
+def test_write_with_two_effects_is_reported_as_doubled() -> None:
+    effects = [*EFFECTS, effect("b", 2, 2.4)]
+    assert violated_promises([FIRST, SECOND], [], effects) == [Promise.DOUBLED]
 
 
-def test_not_run_with_an_effect_is_untrue() -> None:
+def test_effect_of_write_answered_not_run_is_reported() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
-    assert found([FIRST, refused], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
+    assert violated_promises([FIRST, refused], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
 
 
-def test_a_retry_explains_only_effects_that_come_after_it() -> None:
+def test_attempt_explains_only_later_effects() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
     retry = attempt("b", 2, 3.0, 3.2)
     early = [EFFECTS[0], effect("b", 2, 2.1)]
-    late = [EFFECTS[0], effect("b", 2, 3.1)]
-    assert found([FIRST, refused, retry], [], early) == [Promise.UNTRUE_NOT_RUN]
-    assert found([FIRST, refused, retry], [], late) == []
+    effects = [EFFECTS[0], effect("b", 2, 3.1)]
+    assert violated_promises([FIRST, refused, retry], [], early) == [
+        Promise.UNTRUE_NOT_RUN
+    ]
+    assert violated_promises([FIRST, refused, retry], [], effects) == []
 
 
-def test_a_repeated_answer_does_not_explain_a_run_before_its_attempt() -> None:
+def test_repeated_answer_does_not_explain_earlier_effect() -> None:
     refused = attempt("b", 2, 2.0, 2.2, Verdict.NOT_RUN)
-    doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
+    in_doubt = attempt("b", 2, 2.0, 2.2, Verdict.MAY_HAVE_RUN)
     retry = attempt("b", 2, 3.0, 3.2, repeated=True)
-    assert found([FIRST, refused, retry], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
-    assert found([FIRST, doubt, retry], [], EFFECTS) == []
+    assert violated_promises([FIRST, refused, retry], [], EFFECTS) == [
+        Promise.UNTRUE_NOT_RUN
+    ]
+    assert violated_promises([FIRST, in_doubt, retry], [], EFFECTS) == []
 
 
-def test_a_repeated_answer_may_repeat_a_run_of_its_own_attempt() -> None:
+def test_repeated_answer_may_explain_effect_during_its_attempt() -> None:
     once = attempt("b", 2, 2.0, 2.2, repeated=True)
-    assert found([FIRST, once], [], EFFECTS) == []
+    assert violated_promises([FIRST, once], [], EFFECTS) == []
 
 
-def test_an_effect_that_no_attempt_explains_is_reported() -> None:
-    assert found([FIRST], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
+def test_effect_without_attempt_is_reported() -> None:
+    assert violated_promises([FIRST], [], EFFECTS) == [Promise.UNTRUE_NOT_RUN]
 
 
-def test_a_fresh_read_must_see_what_was_acknowledged_before_it_began() -> None:
+def test_fresh_read_must_see_earlier_acknowledged_write() -> None:
     stale = read(1, 2.3, Consistency.FRESH, session="viewer")
-    assert found([FIRST, SECOND], [stale], EFFECTS) == [Promise.STALE_FRESH]
+    assert violated_promises([FIRST, SECOND], [stale], EFFECTS) == [Promise.STALE_FRESH]
 
 
-def test_a_fresh_read_may_miss_what_was_acknowledged_meanwhile() -> None:
+def test_fresh_read_may_miss_concurrent_write() -> None:
     meanwhile = read(1, 2.15, Consistency.FRESH, session="viewer")
-    assert found([FIRST, SECOND], [meanwhile], EFFECTS) == []
+    assert violated_promises([FIRST, SECOND], [meanwhile], EFFECTS) == []
 
 
-def test_a_session_read_must_see_the_session_s_own_write() -> None:
+def test_session_read_must_see_own_write() -> None:
     miss = read(1, 2.3, Consistency.SESSION)
-    assert found([FIRST, SECOND], [miss], EFFECTS) == [Promise.SESSION]
+    assert violated_promises([FIRST, SECOND], [miss], EFFECTS) == [Promise.SESSION]
 
 
-def test_a_session_read_may_miss_the_writes_of_others() -> None:
-    other = read(1, 2.3, Consistency.SESSION, session="skipper")
-    assert found([FIRST, SECOND], [other], EFFECTS) == []
+def test_session_read_may_miss_writes_of_other_sessions() -> None:
+    other_read = read(1, 2.3, Consistency.SESSION, session="skipper")
+    assert violated_promises([FIRST, SECOND], [other_read], EFFECTS) == []
 
 
-def test_a_session_never_runs_backwards() -> None:
+def test_session_reads_are_monotonic() -> None:
     reads = [
         read(2, 2.3, Consistency.SESSION, session="skipper"),
         read(1, 2.5, Consistency.SESSION, session="skipper"),
     ]
-    assert found([FIRST, SECOND], reads, EFFECTS) == [Promise.SESSION]
+    assert violated_promises([FIRST, SECOND], reads, EFFECTS) == [Promise.SESSION]
 
 
 @pytest.mark.parametrize(("age", "broken"), [(0.1, [Promise.AGE]), (0.95, [])])
-def test_a_told_age_is_an_upper_bound(age: float, broken: list[Promise]) -> None:
-    bounded = read(1, 3.0, Consistency.MAX_AGE, age=age, session="clerk")
-    assert found([FIRST, SECOND], [bounded], EFFECTS) == broken
+def test_reported_age_is_an_upper_bound(age: float, broken: list[Promise]) -> None:
+    bounded_read = read(1, 3.0, Consistency.MAX_AGE, age=age, session="clerk")
+    assert violated_promises([FIRST, SECOND], [bounded_read], EFFECTS) == broken
 
 
-def test_an_age_is_held_against_the_acknowledgement_without_a_commit_time() -> None:
+def test_age_is_checked_by_acknowledgement_without_commit_time() -> None:
     effects = [effect("a", 1, None), effect("b", 2, None)]
-    bounded = read(1, 3.0, Consistency.MAX_AGE, age=0.5, session="clerk")
-    assert found([FIRST, SECOND], [bounded], effects) == [Promise.AGE]
+    bounded_read = read(1, 3.0, Consistency.MAX_AGE, age=0.5, session="clerk")
+    assert violated_promises([FIRST, SECOND], [bounded_read], effects) == [Promise.AGE]
 
 
-def test_an_answer_to_another_request_is_reported() -> None:
+def test_answer_to_another_request_is_reported() -> None:
     foreign = read(2, 2.3, Consistency.SESSION, echoed="another")
-    assert found([FIRST, SECOND], [foreign], EFFECTS) == [Promise.MIXED]
+    assert violated_promises([FIRST, SECOND], [foreign], EFFECTS) == [Promise.MIXED]
