--- a/src/reedhook/process/network/peer_protocol.py
+++ b/src/reedhook/process/network/peer_protocol.py
@@ -11,5 +11,5 @@
 PREFIX: Final = "/peer/"
 MAX_PEER_BODY_BYTES: Final = 4 * 1024 * 1024
 CLIENT_KEEPALIVE_SECONDS: Final = 15.0
-# Must exceed `CLIENT_KEEPALIVE`, so that no call uses a connection being closed.
+# Must exceed `CLIENT_KEEPALIVE_SECONDS`: no call may use a connection being closed.
 SERVER_KEEPALIVE_SECONDS: Final = 75.0
--- a/src/reedhook/process/statsd_metrics.py
+++ b/src/reedhook/process/statsd_metrics.py
@@ -14,7 +14,7 @@
 
 
 class StatsdMetrics(MemoryMetrics):
-    """Collect metrics in memory and send them by UDP every `FLUSH_INTERVAL` seconds.
+    """Collect metrics in memory and send them by UDP every `FLUSH_INTERVAL_SECONDS`.
 
     This avoids a system call per statement. Of each timing, the first
     `TIMINGS_PER_FLUSH` values of an interval are sent.
--- a/src/reedhook/request/statement_forwarder.py
+++ b/src/reedhook/request/statement_forwarder.py
@@ -206,9 +206,9 @@
     def check_host(self, host: HostRef) -> None:
         """Refuse at once a statement for a host that is known to be unresponsive.
 
-        One statement in each `SILENT_HOST_RETRY_SECONDS` tries the host again. None
-        does while this host reaches no other zone: such statements would time out
-        or leave writes in doubt, and reachability is probed without them.
+        One statement in each `UNRESPONSIVE_HOST_RETRY_SECONDS` tries the host again.
+        None does while this host reaches no other zone: such statements would time
+        out or leave writes in doubt, and reachability is probed without them.
 
         :raises RefusalError: not run.
         """
--- a/src/reedhook_standins/demo.py
+++ b/src/reedhook_standins/demo.py
@@ -134,7 +134,7 @@
 ) -> DayReport:
     """Run a deployment's workload and faults, and return the report.
 
-    :param times: see `Programme`.
+    :param times: see `FaultSchedule`.
     """
     clock = SystemClock()
     rng = random.Random(seed)
--- a/src/reedhook_standins/platform.py
+++ b/src/reedhook_standins/platform.py
@@ -2,7 +2,7 @@
 
 Run by hand as ``python -m reedhook_standins.platform``, it serves until it is
 interrupted. The members listen at the addresses in the deployment's base file;
-the calls by which faults are switched are those of `Control`.
+the calls by which faults are switched are those of `FaultControl`.
 
 Usage:
   platform --deployment NAME [--port-base N]
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The `Promises` checks detect each kind of violation."""
+"""The `GuaranteeChecker` checks detect each kind of violation."""
 
 import asyncio
 
