--- a/src/reedhook/connection/admission_queue.py
+++ b/src/reedhook/connection/admission_queue.py
@@ -143,7 +143,7 @@
 
     :ivar priority: priority of the newest statement.
     :ivar expected_seconds: expected duration of the newest statement, in seconds.
-    :ivar slot_fraction: the share at time `at`, from which it decays.
+    :ivar slot_fraction: the share at `updated_at`, from which it decays.
     """
 
     __slots__ = ("priority", "expected_seconds", "slot_fraction", "updated_at")
